--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/parts.py
@@ -8,10 +8,10 @@
 from lagoonrun_duties import usage_exchange
 from lagoonrun_http import upstream as http_upstream
 from lagoonrun_router import (
+    admission_floor,
     crash_watch,
     crashing_requests,
     dialect,
-    let_in_times,
     load_ledger,
     metrics,
     peer_table,
@@ -45,7 +45,7 @@
     directory: upstreams.UpstreamDirectory
     ledger: load_ledger.LoadLedger
     peers: peer_table.PeerTable
-    let_in: let_in_times.LetInTimes
+    let_in: admission_floor.LetInTimes
     pressed: pressure.Pressure
     homes: prompt_homes.PromptHomes
     domains: reach.DomainReach
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -16,6 +16,7 @@
 from lagoonrun_platform import store as store_module
 from lagoonrun_platform import store_eras
 from lagoonrun_router import (
+    admission_floor,
     beliefs,
     crash_guard,
     declarations,
@@ -25,7 +26,6 @@
     gathered_work,
     gauges,
     ingress,
-    let_in_times,
     load_ledger,
     metrics,
     own_calls,
@@ -125,7 +125,7 @@
         self._domains = reach.DomainReach()
         self._pressed = pressure.Pressure()
         self._gathered = gathered_work.GatheredWork()
-        self._let_in = let_in_times.LetInTimes(
+        self._let_in = admission_floor.LetInTimes(
             started_at=self._clock.monotonic()
         )
         self._budget = retry_budget.RetryBudget(
