--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -245,7 +245,7 @@
         return policy_shards.ShardView(
             shard=shard,
             own=place.own,
-            near=place.near,
+            same_region=place.near,
             distance_seconds=place.distance_seconds,
             reachable=place.reachable,
             age_seconds=math.inf,
@@ -253,7 +253,7 @@
     return policy_shards.ShardView(
         shard=shard,
         own=place.own,
-        near=place.near,
+        same_region=place.near,
         distance_seconds=place.distance_seconds,
         reachable=place.reachable,
         free=summary.free,
--- a/packages/policy/src/lagoonrun_policy/shards.py
+++ b/packages/policy/src/lagoonrun_policy/shards.py
@@ -47,7 +47,7 @@
     shard: types.ShardId
     own: bool
     reachable: bool = True
-    near: bool = True
+    same_region: bool = True
     distance_seconds: float = 0.0
     free: int = 0
     lowest_waiting_tier: types.Tier = NO_TIER
@@ -125,8 +125,12 @@
     ]
     own = _sorted(one for one in candidates if one.view.own)
     others = _merge(
-        near=_sorted(c for c in candidates if c.view.near and not c.view.own),
-        far=_sorted(c for c in candidates if not (c.view.near or c.view.own)),
+        near=_sorted(
+            c for c in candidates if c.view.same_region and not c.view.own
+        ),
+        far=_sorted(
+            c for c in candidates if not (c.view.same_region or c.view.own)
+        ),
         target_seconds=target,
     )
     chosen = _choose(own, others, len(candidates) if most is None else most)
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shards.py
@@ -172,7 +172,11 @@
 def test_far_free_shard_against_near_queue(target, wait, distance, far_first):
     near = shards.ShardView(shard="near", own=False, wait_seconds=wait)
     far = shards.ShardView(
-        shard="far", own=False, near=False, distance_seconds=distance, free=1
+        shard="far",
+        own=False,
+        same_region=False,
+        distance_seconds=distance,
+        free=1,
     )
     order = shards.rank_shards(
         [near, far],
