--- a/packages/cli/tests/test_blocked_requests.py
+++ b/packages/cli/tests/test_blocked_requests.py
@@ -28,7 +28,7 @@
         if self.lifted:
             return ()
         crashes = tuple(
-            running_requests.StartedUpstream(upstream=f"u-{n}", start=1)
+            running_requests.UpstreamInstance(upstream=f"u-{n}", start=1)
             for n in range(3)
         )
         return (
--- a/packages/router/src/lagoonrun_router/crash_evidence.py
+++ b/packages/router/src/lagoonrun_router/crash_evidence.py
@@ -51,7 +51,7 @@
     """
 
     request: types.RequestDigest
-    at: running_requests.StartedUpstream
+    at: running_requests.UpstreamInstance
     route: str
     seen_at: float
     silent: bool = True
@@ -72,7 +72,7 @@
 
     request: types.RequestDigest
     route: str
-    crashes: tuple[running_requests.StartedUpstream, ...]
+    crashes: tuple[running_requests.UpstreamInstance, ...]
     until: float
 
 
@@ -87,10 +87,10 @@
     def __init__(self) -> None:
         self._records_by_request: dict[
             types.RequestDigest,
-            dict[running_requests.StartedUpstream, CrashRecord],
+            dict[running_requests.UpstreamInstance, CrashRecord],
         ] = {}
         self._suspects_by_upstream: dict[
-            running_requests.StartedUpstream, set[types.RequestDigest]
+            running_requests.UpstreamInstance, set[types.RequestDigest]
         ] = {}
         self._size = 0
 
@@ -279,7 +279,7 @@
 
 
 def _weight(
-    records: dict[running_requests.StartedUpstream, CrashRecord],
+    records: dict[running_requests.UpstreamInstance, CrashRecord],
 ) -> _Weight:
     """Return how much it would cost to forget the records of a request."""
     return _Weight(
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -136,7 +136,7 @@
     return tuple(
         crash_evidence.CrashRecord(
             request=one.request,
-            at=running_requests.StartedUpstream(
+            at=running_requests.UpstreamInstance(
                 upstream=one.upstream, start=one.start
             ),
             route=one.route,
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -32,7 +32,7 @@
 
     def __call__(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.RanRequest],
     ) -> None:
         """Take in which requests of this entry VM ran there; maybe none."""
@@ -78,9 +78,9 @@
         self._clock = clock
         self._running = running_requests.RunningRequests()
         self._probes_by_upstream: dict[
-            running_requests.StartedUpstream, asyncio.Task[None]
+            running_requests.UpstreamInstance, asyncio.Task[None]
         ] = {}
-        self._crashed: dict[running_requests.StartedUpstream, None] = {}
+        self._crashed: dict[running_requests.UpstreamInstance, None] = {}
         self.on_crash: CrashListener | None = None
         self.on_answer: AnswerListener | None = None
 
@@ -92,7 +92,7 @@
         await asyncio.gather(*probes, return_exceptions=True)
 
     @property
-    def looks_into(self) -> frozenset[running_requests.StartedUpstream]:
+    def looks_into(self) -> frozenset[running_requests.UpstreamInstance]:
         """Upstreams to which a connection is being tried."""
         return frozenset(self._probes_by_upstream)
 
@@ -138,7 +138,7 @@
     # What others tell.
 
     def ran_at(
-        self, at: running_requests.StartedUpstream
+        self, at: running_requests.UpstreamInstance
     ) -> frozenset[running_requests.RanRequest]:
         """Return the requests of this entry VM that ran at a crashed upstream.
 
@@ -151,7 +151,7 @@
 
     def _probe(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
         # All that ran there is looked at together, whichever breaks first.
@@ -162,7 +162,7 @@
 
     async def _look_into(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
         try:
@@ -174,7 +174,7 @@
 
     def _take_crash(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
         requests = self.ran_at(at)
@@ -192,7 +192,7 @@
         if self.on_crash is not None:
             self.on_crash(at, requests)
 
-    def _remember(self, at: running_requests.StartedUpstream) -> None:
+    def _remember(self, at: running_requests.UpstreamInstance) -> None:
         self._crashed[at] = None
         while len(self._crashed) > _REMEMBERED_CRASHES:
             del self._crashed[next(iter(self._crashed))]
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -112,7 +112,7 @@
 
     def take_crash(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.RanRequest],
     ) -> None:
         """Hold a crash against the requests that ran there."""
@@ -303,7 +303,7 @@
 
 
 def _records(
-    at: running_requests.StartedUpstream,
+    at: running_requests.UpstreamInstance,
     requests: frozenset[running_requests.RanRequest],
     *,
     seen_at: float,
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -217,7 +217,7 @@
         detail: str,
         retry_after_seconds: float | None = None,
         closed: tuple[availability.ClosedUpstream, ...] = (),
-        crashes: tuple[running_requests.StartedUpstream, ...] = (),
+        crashes: tuple[running_requests.UpstreamInstance, ...] = (),
     ) -> outcomes.Ending:
         """End a request that is not sent, with a line of what decided.
 
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -54,7 +54,7 @@
         self._beats = 0
         self._next_old = 0
         self._told_at_by_start: dict[
-            running_requests.StartedUpstream, float
+            running_requests.UpstreamInstance, float
         ] = {}
 
     def tell(
@@ -143,7 +143,7 @@
     """Return the statement in a message."""
     thousandths = limit.thousandths_per_second
     return upstream_limits.LimitStatement(
-        at=running_requests.StartedUpstream(
+        at=running_requests.UpstreamInstance(
             upstream=limit.upstream, start=limit.start
         ),
         requests_per_second=None
--- a/packages/router/src/lagoonrun_router/place_giver.py
+++ b/packages/router/src/lagoonrun_router/place_giver.py
@@ -29,12 +29,12 @@
         self._limits = limits
         self._chance = chance
         self._bucket_by_start: dict[
-            running_requests.StartedUpstream, place_bucket.PlaceBucket
+            running_requests.UpstreamInstance, place_bucket.PlaceBucket
         ] = {}
 
     def take(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         tier: types.Tier,
         *,
         part: float,
@@ -60,7 +60,7 @@
 
     def _bucket(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         per_second: float,
         now: float,
     ) -> place_bucket.PlaceBucket:
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -125,7 +125,7 @@
             int, asyncio.Future[router_messages.PlaceAnswer]
         ] = {}
         self._closed_by_start: dict[
-            running_requests.StartedUpstream, _Closed
+            running_requests.UpstreamInstance, _Closed
         ] = {}
 
     # As the entry VM that has a request.
@@ -188,7 +188,7 @@
 
     def _close_for(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         tier: types.Tier,
         wait_seconds: float,
     ) -> None:
@@ -205,7 +205,7 @@
     async def _ask(
         self,
         upstream: upstreams.Registration,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         tier: types.Tier,
     ) -> tuple[Giver, place_bucket.Verdict]:
         now = self._clock.monotonic()
@@ -228,7 +228,7 @@
     def _question(
         self,
         upstream: upstreams.Registration,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         tier: types.Tier,
         now: float,
     ) -> router_messages.PlaceRequest:
@@ -283,7 +283,7 @@
             source=asked.entry_vm,
             now=now,
         )
-        at = running_requests.StartedUpstream(
+        at = running_requests.UpstreamInstance(
             upstream=asked.limit.upstream, start=asked.limit.start
         )
         tier = types.Tier(asked.tier)
@@ -324,7 +324,7 @@
     def _give(
         self,
         giver: Giver,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         tier: types.Tier,
         now: float,
     ) -> place_bucket.Verdict:
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -41,7 +41,7 @@
         self._rests = rests
         self._spreader = spreader
         self._told_at_by_start: dict[
-            running_requests.StartedUpstream, float
+            running_requests.UpstreamInstance, float
         ] = {}
 
     def tell(self, rest: upstream_rests.Rest, *, now: float) -> None:
@@ -57,7 +57,7 @@
     def take(self, news: router_messages.RestNews, *, now: float) -> None:
         """Take in a rest that a peer was asked for, and hand it on."""
         rest = upstream_rests.Rest(
-            at=running_requests.StartedUpstream(
+            at=running_requests.UpstreamInstance(
                 upstream=news.upstream, start=news.start
             ),
             until=now + news.left_milliseconds / 1000.0,
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -28,16 +28,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class StartedUpstream:
+class UpstreamInstance:
     """One start of an upstream: it may start again under its id."""
 
     upstream: types.UpstreamId
     start: types.UpstreamStart
 
 
-def started(upstream: upstreams.Registration) -> StartedUpstream:
+def started(upstream: upstreams.Registration) -> UpstreamInstance:
     """Return the start of an upstream that a registration is of."""
-    return StartedUpstream(upstream=upstream.id, start=upstream.start)
+    return UpstreamInstance(upstream=upstream.id, start=upstream.start)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -77,7 +77,7 @@
 
     digest: types.RequestDigest
     route: str
-    at: StartedUpstream
+    at: UpstreamInstance
     ended_at: float | None = None
     silent: bool = True
 
@@ -86,10 +86,10 @@
     """Runs by upstream: those under way, and those that ended a moment ago."""
 
     def __init__(self) -> None:
-        self._runs_by_upstream: dict[StartedUpstream, list[Run]] = {}
+        self._runs_by_upstream: dict[UpstreamInstance, list[Run]] = {}
 
     def begin(
-        self, digest: types.RequestDigest, *, route: str, at: StartedUpstream
+        self, digest: types.RequestDigest, *, route: str, at: UpstreamInstance
     ) -> Run:
         """Note that a request is about to be written to an upstream."""
         run = Run(digest=digest, route=route, at=at)
@@ -105,7 +105,7 @@
         self._forget_old(run.at, now)
 
     def ran_at(
-        self, at: StartedUpstream, *, now: float
+        self, at: UpstreamInstance, *, now: float
     ) -> frozenset[RanRequest]:
         """Return the requests that ran at an upstream a moment ago."""
         self._forget_old(at, now)
@@ -130,7 +130,7 @@
         if runs and run in runs:
             runs.remove(run)
 
-    def _forget_old(self, at: StartedUpstream, now: float) -> None:
+    def _forget_old(self, at: UpstreamInstance, now: float) -> None:
         runs = [
             run
             for run in self._runs_by_upstream.get(at, ())
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -47,7 +47,7 @@
         Reading of the clock when the answer that said so arrived.
     """
 
-    at: running_requests.StartedUpstream
+    at: running_requests.UpstreamInstance
     requests_per_second: float | None
     heard_at: float
 
@@ -65,15 +65,15 @@
     """The newest statement of each upstream."""
 
     def __init__(self) -> None:
-        self._by_start: dict[running_requests.StartedUpstream, _Known] = {}
+        self._by_start: dict[running_requests.UpstreamInstance, _Known] = {}
 
-    def limit_of(self, at: running_requests.StartedUpstream) -> float | None:
+    def limit_of(self, at: running_requests.UpstreamInstance) -> float | None:
         """Return the requests a second that an upstream takes; None for any."""
         known = self._by_start.get(at)
         return known.statement.requests_per_second if known else None
 
     def statement_of(
-        self, at: running_requests.StartedUpstream
+        self, at: running_requests.UpstreamInstance
     ) -> LimitStatement | None:
         """Return what an upstream has said last; None for nothing."""
         known = self._by_start.get(at)
@@ -97,7 +97,7 @@
 
     def take_answer(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
         *,
         sent_at: float,
@@ -148,7 +148,7 @@
             return None
         return self._take(bounded, source=source, now=now)
 
-    def forget_start(self, at: running_requests.StartedUpstream) -> None:
+    def forget_start(self, at: running_requests.UpstreamInstance) -> None:
         """Forget what an upstream said before it started again."""
         self._by_start.pop(at, None)
 
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -42,7 +42,7 @@
         Reading of the clock at its end.
     """
 
-    at: running_requests.StartedUpstream
+    at: running_requests.UpstreamInstance
     until: float
 
 
@@ -57,11 +57,11 @@
 
     def __init__(self, *, chance: random.Random) -> None:
         self._chance = chance
-        self._own_until: dict[running_requests.StartedUpstream, float] = {}
-        self._told_until: dict[running_requests.StartedUpstream, float] = {}
+        self._own_until: dict[running_requests.UpstreamInstance, float] = {}
+        self._told_until: dict[running_requests.UpstreamInstance, float] = {}
 
     def rest_seconds(
-        self, at: running_requests.StartedUpstream, *, now: float
+        self, at: running_requests.UpstreamInstance, *, now: float
     ) -> float:
         """Return how long this entry VM has to leave an upstream alone."""
         return max(0.0, self._own_until.get(at, now) - now)
@@ -75,14 +75,14 @@
         return bool(self._own_until or self._told_until)
 
     def is_spared(
-        self, at: running_requests.StartedUpstream, *, now: float
+        self, at: running_requests.UpstreamInstance, *, now: float
     ) -> bool:
         """Return whether others were asked to leave an upstream alone."""
         return self._told_until.get(at, now) > now
 
     def take_answer(
         self,
-        at: running_requests.StartedUpstream,
+        at: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
         *,
         now: float,
@@ -128,15 +128,15 @@
         )
         return True
 
-    def forget_start(self, at: running_requests.StartedUpstream) -> None:
+    def forget_start(self, at: running_requests.UpstreamInstance) -> None:
         """Forget what an upstream asked for before it started again."""
         self._own_until.pop(at, None)
         self._told_until.pop(at, None)
 
 
 def _note(
-    until_by_start: dict[running_requests.StartedUpstream, float],
-    at: running_requests.StartedUpstream,
+    until_by_start: dict[running_requests.UpstreamInstance, float],
+    at: running_requests.UpstreamInstance,
     until: float,
 ) -> None:
     until_by_start.pop(at, None)
--- a/packages/router/tests/test_block_keeper.py
+++ b/packages/router/tests/test_block_keeper.py
@@ -19,7 +19,7 @@
     request="one",
     route="lookups",
     crashes=tuple(
-        running_requests.StartedUpstream(upstream=f"u-{n}", start=n)
+        running_requests.UpstreamInstance(upstream=f"u-{n}", start=n)
         for n in range(3)
     ),
     until=100.0,
--- a/packages/router/tests/test_crash_evidence.py
+++ b/packages/router/tests/test_crash_evidence.py
@@ -24,7 +24,7 @@
 
 
 def started(upstream, start=1):
-    return running_requests.StartedUpstream(upstream=upstream, start=start)
+    return running_requests.UpstreamInstance(upstream=upstream, start=start)
 
 
 def record(request, upstream, *, seen_at=NOW, **more):
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -102,7 +102,7 @@
 
     def _crash(self, cause, running, now):
         self._upstreams += 1
-        at = running_requests.StartedUpstream(
+        at = running_requests.UpstreamInstance(
             upstream=f"u-{self._upstreams}", start=0
         )
         for request in (cause, *running):
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -39,7 +39,7 @@
 def record(number, *, seen_at=NOW, **more):
     return crash_evidence.CrashRecord(
         request=f"r-{number}",
-        at=running_requests.StartedUpstream(upstream="u-1", start=7),
+        at=running_requests.UpstreamInstance(upstream="u-1", start=7),
         route="lookups",
         seen_at=seen_at,
         **more,
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -90,7 +90,7 @@
 
 
 def started(number):
-    return running_requests.StartedUpstream(upstream=f"u-{number}", start=1)
+    return running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
 
 
 def told(*runs, age_milliseconds=0, void=False):
--- a/packages/router/tests/test_running_requests.py
+++ b/packages/router/tests/test_running_requests.py
@@ -4,8 +4,8 @@
 
 from lagoonrun_router import running_requests
 
-AT = running_requests.StartedUpstream(upstream="u-1", start=1)
-RESTARTED = running_requests.StartedUpstream(upstream="u-1", start=2)
+AT = running_requests.UpstreamInstance(upstream="u-1", start=1)
+RESTARTED = running_requests.UpstreamInstance(upstream="u-1", start=2)
 NOW = 100.0
 LONG_AFTER = NOW + 2 * running_requests.SUSPECT_SECONDS
 
@@ -62,7 +62,7 @@
 
 def test_nothing_is_kept_of_what_ended_long_ago(running):
     for number in range(100):
-        at = running_requests.StartedUpstream(upstream=f"u-{number}", start=1)
+        at = running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
         run = running.begin("one", route="r", at=at)
         running.end(run, running_requests.RunEnd.ABANDONED, now=NOW)
     running.forget_old(now=LONG_AFTER)
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -9,7 +9,7 @@
     upstream_notice,
 )
 
-AT = running_requests.StartedUpstream(upstream="u-1", start=7)
+AT = running_requests.UpstreamInstance(upstream="u-1", start=7)
 NOW = 1000.0
 NO_NOTICE = upstream_notice.NO_NOTICE
 
@@ -60,7 +60,7 @@
 def test_other_start_of_an_upstream_owes_nothing(limits):
     """Guards against a limit that outlives the process that named it."""
     answer(limits, 1.5)
-    other = running_requests.StartedUpstream(upstream="u-1", start=8)
+    other = running_requests.UpstreamInstance(upstream="u-1", start=8)
     assert limits.limit_of(other) is None
     limits.forget_start(AT)
     assert limits.limit_of(AT) is None
@@ -95,7 +95,7 @@
 def test_what_is_remembered_is_bounded(limits, monkeypatch):
     monkeypatch.setattr(upstream_limits, "_MOST_LIMITS", 4)
     for number in range(10):
-        at = running_requests.StartedUpstream(upstream=f"u-{number}", start=1)
+        at = running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
         answer(limits, 1.0, at=at)
     known = {one.at.upstream for one in limits.in_force()}
     assert known == {"u-6", "u-7", "u-8", "u-9"}
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -6,7 +6,7 @@
 
 from lagoonrun_router import running_requests, upstream_notice, upstream_rests
 
-AT = running_requests.StartedUpstream(upstream="u-1", start=7)
+AT = running_requests.UpstreamInstance(upstream="u-1", start=7)
 NOW = 1000.0
 
 
@@ -46,7 +46,7 @@
 def test_other_start_of_an_upstream_does_not_rest(rests):
     """Guards against a rest that outlives the process that asked for it."""
     ask(rests, AT, 3.0, now=NOW)
-    other = running_requests.StartedUpstream(upstream="u-1", start=8)
+    other = running_requests.UpstreamInstance(upstream="u-1", start=8)
     assert rests.rest_seconds(other, now=NOW) == 0.0
     rests.forget_start(AT)
     assert not rests.has_any(now=NOW)
@@ -66,7 +66,7 @@
 def test_ends_of_rests_asked_for_at_one_moment_differ(rests):
     """Guards against a whole pool's callers that come back at one moment."""
     ats = [
-        running_requests.StartedUpstream(upstream=f"u-{n}", start=1)
+        running_requests.UpstreamInstance(upstream=f"u-{n}", start=1)
         for n in range(10)
     ]
     for at in ats:
@@ -78,7 +78,7 @@
 def test_what_is_remembered_is_bounded(rests, monkeypatch):
     monkeypatch.setattr(upstream_rests, "_MOST_RESTS", 4)
     ats = [
-        running_requests.StartedUpstream(upstream=f"u-{n}", start=1)
+        running_requests.UpstreamInstance(upstream=f"u-{n}", start=1)
         for n in range(10)
     ]
     for at in ats:
