--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -11,7 +11,7 @@
 """
 
 
-class LetInTimes:
+class AdmissionFloor:
     """Times by class at which the last request was let in here.
 
     Parameters
