--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -244,7 +244,7 @@
     if summary is None:
         return policy_shards.ShardView(
             shard=shard,
-            own=place.own,
+            same_domain=place.own,
             same_region=place.near,
             distance_seconds=place.distance_seconds,
             reachable=place.reachable,
@@ -252,7 +252,7 @@
         )
     return policy_shards.ShardView(
         shard=shard,
-        own=place.own,
+        same_domain=place.own,
         same_region=place.near,
         distance_seconds=place.distance_seconds,
         reachable=place.reachable,
--- a/packages/policy/src/lagoonrun_policy/shards.py
+++ b/packages/policy/src/lagoonrun_policy/shards.py
@@ -45,7 +45,7 @@
     """
 
     shard: types.ShardId
-    own: bool
+    same_domain: bool
     reachable: bool = True
     same_region: bool = True
     distance_seconds: float = 0.0
@@ -123,13 +123,17 @@
         if view.reachable
         and _may_serve(one := _ranked(view, tier), remaining_seconds)
     ]
-    own = _sorted(one for one in candidates if one.view.own)
+    own = _sorted(one for one in candidates if one.view.same_domain)
     others = _merge(
         near=_sorted(
-            c for c in candidates if c.view.same_region and not c.view.own
+            c
+            for c in candidates
+            if c.view.same_region and not c.view.same_domain
         ),
         far=_sorted(
-            c for c in candidates if not (c.view.same_region or c.view.own)
+            c
+            for c in candidates
+            if not (c.view.same_region or c.view.same_domain)
         ),
         target_seconds=target,
     )
@@ -138,8 +142,8 @@
 
 
 def _ranked(view: ShardView, tier: types.Tier) -> _Ranked:
-    travel = 0.0 if view.own else ROUND_TRIPS * view.distance_seconds
-    wait = 0.0 if view.free > 0 and not view.own else view.wait_seconds
+    travel = 0.0 if view.same_domain else ROUND_TRIPS * view.distance_seconds
+    wait = 0.0 if view.free > 0 and not view.same_domain else view.wait_seconds
     return _Ranked(
         view=view,
         rank=_rank(view, tier),
@@ -149,7 +153,7 @@
 
 
 def _rank(view: ShardView, tier: types.Tier) -> _Rank:
-    if view.own:
+    if view.same_domain:
         return _Rank.OWN
     if view.age_seconds > _OLD_SECONDS:
         return _Rank.OLD_SUMMARY
--- a/packages/policy/src/lagoonrun_policy/summaries.py
+++ b/packages/policy/src/lagoonrun_policy/summaries.py
@@ -19,7 +19,7 @@
         wait = shared.drain_seconds(lowest, lowest.queue.length, now)
     return shards.ShardView(
         shard=shared.policy.shard,
-        own=True,
+        same_domain=True,
         free=free,
         lowest_waiting_tier=_lowest(
             c for c in shared.classes if c.queue.length > 0
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shards.py
@@ -170,10 +170,10 @@
     ],
 )
 def test_far_free_shard_against_near_queue(target, wait, distance, far_first):
-    near = shards.ShardView(shard="near", own=False, wait_seconds=wait)
+    near = shards.ShardView(shard="near", same_domain=False, wait_seconds=wait)
     far = shards.ShardView(
         shard="far",
-        own=False,
+        same_domain=False,
         same_region=False,
         distance_seconds=distance,
         free=1,
