--- a/packages/cli/src/lagoonrun_cli/context.py
+++ b/packages/cli/src/lagoonrun_cli/context.py
@@ -38,9 +38,7 @@
     settings: operator_settings.OperatorSettings
     console: consoles.Console
     clock: clocks.Clock = dataclasses.field(default_factory=clocks.SystemClock)
-    chance: random.Random = dataclasses.field(
-        default_factory=random.SystemRandom
-    )
+    rng: random.Random = dataclasses.field(default_factory=random.SystemRandom)
     sleep: Sleep = asyncio.sleep
     first_delay_seconds: float = _FIRST_DELAY_SECONDS
     call_timeout_seconds: float = _CALL_TIMEOUT_SECONDS
@@ -64,13 +62,13 @@
         gateway = etcd_gateway.EtcdGateway(
             addresses=self.settings.platform,
             clock=self.clock,
-            chance=self.chance,
+            rng=self.rng,
             call_timeout_seconds=self.call_timeout_seconds,
         )
         try:
             yield configuration_store.ConfigurationStore(
                 store=gateway,
-                chance=self.chance,
+                rng=self.rng,
                 first_delay_seconds=self.first_delay_seconds,
             )
         finally:
--- a/packages/cli/tests/conftest.py
+++ b/packages/cli/tests/conftest.py
@@ -105,7 +105,7 @@
         return contexts.Context(
             settings=dataclasses.replace(loaded, admin_token=self.admin_token),
             console=console,
-            chance=random.Random(7),
+            rng=random.Random(7),
             first_delay_seconds=0.001,
             call_timeout_seconds=0.2,
         )
--- a/packages/config/src/lagoonrun_config/configuration_store.py
+++ b/packages/config/src/lagoonrun_config/configuration_store.py
@@ -33,7 +33,7 @@
     ----------
     store
         The platform's key-value service.
-    chance
+    rng
         Source of the jitter between attempts.
     first_delay_seconds
         Delay after the first failed attempt; it doubles up to 2 s.
@@ -43,11 +43,11 @@
         self,
         *,
         store: store_module.KeyValueStore,
-        chance: random.Random,
+        rng: random.Random,
         first_delay_seconds: float = _FIRST_DELAY_SECONDS,
     ) -> None:
         self._access = head_access.HeadAccess(store=store)
-        self._chance = chance
+        self._rng = rng
         self._first_delay_seconds = first_delay_seconds
 
     async def apply(
@@ -190,7 +190,7 @@
             return
         delay = self._first_delay_seconds * 2 ** (failures - 1)
         delay = min(delay, _LONGEST_DELAY_SECONDS)
-        await asyncio.sleep(delay * self._chance.uniform(0.5, 1.5))
+        await asyncio.sleep(delay * self._rng.uniform(0.5, 1.5))
 
 
 def _no_such_revision(
--- a/packages/config/src/lagoonrun_config/follower.py
+++ b/packages/config/src/lagoonrun_config/follower.py
@@ -58,7 +58,7 @@
         What other entry VMs have in force.
     watchers
         Says whether this entry VM watches the head.
-    chance
+    rng
         Source of the jitter.
     sleep
         Waits between polls and retries.
@@ -70,7 +70,7 @@
         store: store_module.KeyValueStore,
         peers: following.PeerSnapshots,
         watchers: following.WatcherChoice,
-        chance: random.Random,
+        rng: random.Random,
         sleep: following.Sleep = asyncio.sleep,
     ) -> None:
         self._store = store
@@ -81,7 +81,7 @@
             watchers=watchers,
             on_head=self._on_head,
             sleep=sleep,
-            chance=chance,
+            rng=rng,
         )
         self._in_force: InForce | None = None
         self._subscribers: list[asyncio.Queue[model.Configuration]] = []
--- a/packages/config/src/lagoonrun_config/head_source.py
+++ b/packages/config/src/lagoonrun_config/head_source.py
@@ -36,7 +36,7 @@
         Called with each head.
     sleep
         Waits between polls and retries.
-    chance
+    rng
         Source of the jitter.
     """
 
@@ -47,13 +47,13 @@
         watchers: following.WatcherChoice,
         on_head: HeadSeen,
         sleep: following.Sleep,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._store = store
         self._watchers = watchers
         self._on_head = on_head
         self._sleep = sleep
-        self._chance = chance
+        self._rng = rng
         self._reachable = True
         self._seen = False
         self._tasks: list[asyncio.Task[None]] = []
@@ -95,7 +95,7 @@
     def _poll_period(self) -> float:
         watches = self._watchers.is_watcher()
         period = _WATCHER_POLL_SECONDS if watches else _POLL_SECONDS
-        return period * self._chance.uniform(0.5, 1.5)
+        return period * self._rng.uniform(0.5, 1.5)
 
     async def _supervise_watch(self) -> None:
         while True:
@@ -171,7 +171,7 @@
             _LONGEST_RETRY_SECONDS,
             _FIRST_RETRY_SECONDS * 2 ** min(failures - 1, 16),
         )
-        return ceiling * self._chance.uniform(0.5, 1.0)
+        return ceiling * self._rng.uniform(0.5, 1.0)
 
     def _note_unreachable(self, detail: str) -> None:
         if self._reachable:
--- a/packages/config/tests/test_configuration_machine.py
+++ b/packages/config/tests/test_configuration_machine.py
@@ -93,8 +93,8 @@
 class NaiveStore:
     """The naive version: it writes the whole draft, whatever is there."""
 
-    def __init__(self, *, store, chance, first_delay_seconds):
-        del chance, first_delay_seconds
+    def __init__(self, *, store, rng, first_delay_seconds):
+        del rng, first_delay_seconds
         self._access = configuration_store.head_access.HeadAccess(store=store)
         self._store = store
 
@@ -206,7 +206,7 @@
             store=self._view,
             peers=peers,
             watchers=peers,
-            chance=random.Random(1),
+            rng=random.Random(1),
             sleep=self._sleep,
         )
         await made.start()
@@ -242,7 +242,7 @@
     def _configurations(self, name):
         return type(self).make_store(
             store=self._stores[name],
-            chance=random.Random(1),
+            rng=random.Random(1),
             first_delay_seconds=0.0,
         )
 
--- a/packages/config/tests/test_configuration_store.py
+++ b/packages/config/tests/test_configuration_store.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def configurations(memory):
     return configuration_store.ConfigurationStore(
-        store=memory, chance=random.Random(3), first_delay_seconds=0.0
+        store=memory, rng=random.Random(3), first_delay_seconds=0.0
     )
 
 
@@ -151,7 +151,7 @@
     """
     pending = _HoldingStore(memory, applied=applied)
     held = configuration_store.ConfigurationStore(
-        store=pending, chance=random.Random(3), first_delay_seconds=0.0
+        store=pending, rng=random.Random(3), first_delay_seconds=0.0
     )
     unknown = await held.apply(
         small_draft, base=0, change_id="c1", operator="leila"
@@ -274,7 +274,7 @@
         small_draft, base=0, change_id="first", operator="tevita"
     )
     slow = configuration_store.ConfigurationStore(
-        store=racing, chance=random.Random(3), first_delay_seconds=0.0
+        store=racing, rng=random.Random(3), first_delay_seconds=0.0
     )
     mine = dataclasses.replace(
         draft.EMPTY_DRAFT,
@@ -326,7 +326,7 @@
 
     forgetful.race = fill_the_tail
     slow = configuration_store.ConfigurationStore(
-        store=forgetful, chance=random.Random(3), first_delay_seconds=0.0
+        store=forgetful, rng=random.Random(3), first_delay_seconds=0.0
     )
     result = await slow.apply(
         small_draft, base=0, change_id="c1", operator="leila"
--- a/packages/config/tests/test_follower.py
+++ b/packages/config/tests/test_follower.py
@@ -97,7 +97,7 @@
             store=network.reads,
             peers=self,
             watchers=self,
-            chance=random.Random(name),
+            rng=random.Random(name),
             sleep=network.time.sleep,
         )
 
@@ -152,9 +152,9 @@
         self.time = ManualTime()
         self.vms_by_id = {}
         self.configurations = configuration_store.ConfigurationStore(
-            store=self.store, chance=random.Random(1), first_delay_seconds=0.0
+            store=self.store, rng=random.Random(1), first_delay_seconds=0.0
         )
-        self._chance = random.Random(7)
+        self._rng = random.Random(7)
 
     async def add(self, name, *, watcher=False):
         """Start one entry VM."""
@@ -177,7 +177,7 @@
         vms = list(self.vms_by_id.values())
         told = []
         for vm in vms:
-            other = self._chance.choice([one for one in vms if one is not vm])
+            other = self._rng.choice([one for one in vms if one is not vm])
             told += [(vm, other), (other, vm)]
         for sender, receiver in told:
             if sender.revision and not sender.frozen:
@@ -435,7 +435,7 @@
 async def test_snapshot_of_a_large_fleet_is_taken(network, small_draft):
     vm = await network.add("a-1", watcher=True)
     configurations = vm.follower.subscribe()
-    chance = random.Random(2)
+    rng = random.Random(2)
     upstreams = {}
     for index in range(3_000):
         name = f"runner-{index}-{chance.getrandbits(32):x}"
--- a/packages/config/tests/test_snapshot.py
+++ b/packages/config/tests/test_snapshot.py
@@ -89,12 +89,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(entries, st.randoms(use_true_random=False))
-def test_round_trip_and_order_do_not_change_it(values, chance):
+def test_round_trip_and_order_do_not_change_it(values, rng):
     original = _draft(values)
     encoded = snapshot.encode_snapshot(original)
     assert snapshot.decode_snapshot(encoded) == original
     shuffled = list(original.entries_by_name().items())
-    chance.shuffle(shuffled)
+    rng.shuffle(shuffled)
     again = snapshot.encode_snapshot(draft.from_entries(dict(shuffled)))
     assert again == encoded
 
@@ -144,7 +144,7 @@
 
 
 def _fleet(small_draft, *, count) -> draft.Draft:
-    chance = random.Random(5)
+    rng = random.Random(5)
     fleet = {}
     for index in range(count):
         name = types.UpstreamId(f"runner-{index:05d}-{chance.getrandbits(24)}")
@@ -153,8 +153,8 @@
             pool=types.PoolName(f"pool-{index % 40}"),
             domain=types.FailureDomain(f"domain-{index % 12}"),
             address=f"10.{index // 62500}.{index // 250 % 250}.{index % 250}",
-            port=9000 + chance.randrange(4),
-            slots=chance.choice((8, 16, 32)),
+            port=9000 + rng.randrange(4),
+            slots=rng.choice((8, 16, 32)),
         )
     return dataclasses.replace(small_draft, upstreams_by_id=fleet)
 
--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -71,7 +71,7 @@
         Checked settings.
     clock
         Source of time.
-    chance
+    rng
         Source of jitter.
     """
 
@@ -80,11 +80,11 @@
         *,
         configured: settings.Settings,
         clock: clocks.Clock | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._settings = configured
         self._clock = clock or clocks.SystemClock()
-        self._random = chance or random.Random(secrets.randbits(64))
+        self._random = rng or random.Random(secrets.randbits(64))
         self._configured_event = asyncio.Event()
         self._stopping = False
         self._in_force_at: float | None = None
@@ -102,7 +102,7 @@
         self.store = etcd_gateway.EtcdGateway(
             addresses=configured.platform,
             clock=self._clock,
-            chance=self._random,
+            rng=self._random,
             calls_per_second=configured.platform_calls_per_second,
             burst=2 * configured.platform_calls_per_second,
         )
@@ -184,7 +184,7 @@
                 entry_vm=configured.entry_vm,
                 view=self.fleet,
                 clock=self._clock,
-                chance=self._random,
+                rng=self._random,
             )
         self.snapshots = peer_snapshots.PeerSnapshots(
             transport=self._transport, announcer=self.members
@@ -193,7 +193,7 @@
             store=self.store,
             peers=self.snapshots,
             watchers=self,
-            chance=self._random,
+            rng=self._random,
         )
         self.snapshots.serve_from(self.follower)
         self._router = message_router.MessageRouter(
@@ -230,7 +230,7 @@
             view=self.fleet,
             clock=self._clock,
             # Nonces must differ between processes.
-            chance=random.SystemRandom(),
+            rng=random.SystemRandom(),
         )
         self._budget = retries.RetryBudget(classes_by_name={})
         self.ingress = ingress.Ingress(
@@ -291,7 +291,7 @@
             members=self.members,
             watchers=self,
             clock=self._clock,
-            chance=self._random,
+            rng=self._random,
         )
 
     @property
--- a/packages/daemon/src/lagoonrun_daemon/naive_permits.py
+++ b/packages/daemon/src/lagoonrun_daemon/naive_permits.py
@@ -28,7 +28,7 @@
         Configuration, shards and leaving upstreams.
     clock
         Source of time.
-    chance
+    rng
         Source of the two choices.
     """
 
@@ -38,12 +38,12 @@
         entry_vm: types.EntryVmId,
         view: fleet.FleetView,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._entry_vm = entry_vm
         self._view = view
         self._clock = clock
-        self._random = chance
+        self._random = rng
         self._attempts = 0
         self._revision = types.Revision(0)
         self._scheduler_by_pool: dict[types.PoolName, naive.NaiveScheduler] = {}
--- a/packages/daemon/src/lagoonrun_daemon/placement.py
+++ b/packages/daemon/src/lagoonrun_daemon/placement.py
@@ -29,7 +29,7 @@
     client: http_upstream.UpstreamClient,
     view: fleet.FleetView,
     clock: clocks.Clock,
-    chance: random.Random,
+    rng: random.Random,
 ) -> orderer.Orderer:
     """Return an orderer that follows the configuration in force.
 
@@ -37,7 +37,7 @@
     ----------
     view
         Says what is in force and which upstreams are leaving.
-    chance
+    rng
         Source of jitter and nonces; must differ between processes.
     """
     rate = configured.weight_bytes_per_second
@@ -49,7 +49,7 @@
             duty=tenure.duty_of_domain(configured.domain),
             entry_vm=configured.entry_vm,
             clock=clock,
-            random=chance,
+            random=rng,
             order_timeout_seconds=configured.order_timeout_seconds,
             ttl_seconds=configured.order_lease_seconds,
             margin_seconds=margin_seconds,
--- a/packages/daemon/src/lagoonrun_daemon/vm_watch.py
+++ b/packages/daemon/src/lagoonrun_daemon/vm_watch.py
@@ -49,7 +49,7 @@
         Says whether this entry VM reads the list.
     clock
         Dates what the list says.
-    chance
+    rng
         Source of jitter.
     """
 
@@ -60,13 +60,13 @@
         members: VmListener,
         watchers: following.WatcherChoice,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._vms = vms
         self._members = members
         self._watchers = watchers
         self._clock = clock
-        self._random = chance
+        self._random = rng
         self._leaving_since_by_id: dict[
             types.UpstreamId, types.Incarnation
         ] = {}
--- a/packages/daemon/tests/failures/test_orderers.py
+++ b/packages/daemon/tests/failures/test_orderers.py
@@ -76,7 +76,7 @@
         self._store = etcd_gateway.EtcdGateway(
             addresses=[running.platform.address()],
             clock=clock.SystemClock(),
-            chance=random.Random(0),
+            rng=random.Random(0),
         )
 
     async def want(self, name):
--- a/packages/daemon/tests/test_configuration.py
+++ b/packages/daemon/tests/test_configuration.py
@@ -61,13 +61,13 @@
                     settings.Address(host=_LOOPBACK, port=platform.port)
                 ],
                 clock=clock_module.SystemClock(),
-                chance=random.Random(1),
+                rng=random.Random(1),
                 call_timeout_seconds=call_timeout_seconds,
             )
             stack.push_async_callback(gateway.close)
             return configuration_store.ConfigurationStore(
                 store=gateway,
-                chance=random.Random(1),
+                rng=random.Random(1),
                 first_delay_seconds=0.001,
             )
 
--- a/packages/daemon/tests/test_placement.py
+++ b/packages/daemon/tests/test_placement.py
@@ -32,7 +32,7 @@
             count=1,
         )
         store = configuration_store.ConfigurationStore(
-            store=small_deployment.daemon.store, chance=random.Random(0)
+            store=small_deployment.daemon.store, rng=random.Random(0)
         )
         await store.apply(
             dataclasses.replace(
--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -78,7 +78,7 @@
         Returns the pools that may be scaled.
     eras
         Eras of the store; None where it is never restored.
-    time, clock, chance, sleep
+    time, clock, rng, sleep
         Sources of time and of choices.
     """
 
@@ -95,7 +95,7 @@
         views: Callable[[], Sequence[runner_model.PoolView]],
         time: true_time.TrueTime,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
         eras: store_eras.StoreEras | None = None,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
@@ -107,7 +107,7 @@
             duty=DUTY,
             entry_vm=entry_vm,
             clock=clock,
-            random=chance,
+            random=rng,
             order_timeout_seconds=platform_calls.CALL_SECONDS,
             ttl_seconds=LEASE_SECONDS,
             margin_seconds=MARGIN_SECONDS,
--- a/packages/duties/tests/test_usage_counts.py
+++ b/packages/duties/tests/test_usage_counts.py
@@ -74,7 +74,7 @@
     ),
     strategies.randoms(),
 )
-def test_lost_and_overtaken_rows_never_give_too_much(steps, chance):
+def test_lost_and_overtaken_rows_never_give_too_much(steps, rng):
     """Never more than was counted, and all of it once all is told again."""
     own = usage_counts.UsageCounts()
     gathered = usage_counts.GatheredUsage()
@@ -83,7 +83,7 @@
         count(own, window, organisation, 1)
         if tell:
             told.append(own.take_rows())
-    chance.shuffle(told)
+    rng.shuffle(told)
     for rows in told[: len(told) // 2]:
         gathered.take_in("vm", 1, rows)
         gathered.take_in("vm", 1, rows)
--- a/packages/orders/tests/test_fencing.py
+++ b/packages/orders/tests/test_fencing.py
@@ -368,8 +368,8 @@
 
     @stateful.initialize(seed=strategies.integers(0, 1000))
     def choose_latencies(self, seed):
-        chance = random.Random(seed)
-        self.receiver.latency = lambda _: chance.choice(_LATENCIES_SECONDS)
+        rng = random.Random(seed)
+        self.receiver.latency = lambda _: rng.choice(_LATENCIES_SECONDS)
 
     @stateful.rule(
         data=strategies.data(),
--- a/packages/platform/src/lagoonrun_platform/call_budget.py
+++ b/packages/platform/src/lagoonrun_platform/call_budget.py
@@ -41,7 +41,7 @@
         A call that would wait longer for its turn is denied.
     clock
         Drives the bucket.
-    chance
+    rng
         Source of the backoff's jitter.
     """
 
@@ -52,13 +52,13 @@
         burst: float,
         longest_wait_seconds: float,
         clock: clock_module.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._rate = calls_per_second
         self._burst = burst
         self._longest_wait_seconds = longest_wait_seconds
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._tokens = burst
         self._filled_at = clock.monotonic()
         self._failures = 0
@@ -100,7 +100,7 @@
         ceiling = min(
             _LONGEST_DELAY_SECONDS, _FIRST_DELAY_SECONDS * 2 ** min(over, 16)
         )
-        delay = ceiling * self._chance.uniform(0.5, 1.0)
+        delay = ceiling * self._rng.uniform(0.5, 1.0)
         self._retry_at = self._clock.monotonic() + delay
 
     def _refill(self, now: float) -> None:
--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -39,7 +39,7 @@
         The gateway's addresses, with `host` and `port`.
     clock
         Drives the call budget.
-    chance
+    rng
         Source of jitter.
     call_timeout_seconds
         Longest wait for a reply.
@@ -59,7 +59,7 @@
         *,
         addresses: Sequence[http_calls.NetworkAddress],
         clock: clock_module.Clock,
-        chance: random.Random,
+        rng: random.Random,
         call_timeout_seconds: float = _CALL_TIMEOUT_SECONDS,
         calls_per_second: float = _CALLS_PER_SECOND,
         burst: float = _BURST,
@@ -73,13 +73,13 @@
             )
             for address in addresses
         )
-        self._pools.rotate(chance.randrange(max(1, len(self._pools))))
+        self._pools.rotate(rng.randrange(max(1, len(self._pools))))
         self._budget = call_budget.CallBudget(
             calls_per_second=calls_per_second,
             burst=burst,
             longest_wait_seconds=call_timeout_seconds,
             clock=clock,
-            chance=chance,
+            rng=rng,
         )
         self._watches: set[http_calls.GatewayConnection] = set()
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
--- a/packages/platform/tests/conftest.py
+++ b/packages/platform/tests/conftest.py
@@ -41,7 +41,7 @@
                 Address(host=one.host, port=one.port) for one in stand_ins
             ],
             clock=clock,
-            chance=random.Random(1),
+            rng=random.Random(1),
             **options,
         )
         opened.append(gateway)
--- a/packages/router/src/lagoonrun_router/answers.py
+++ b/packages/router/src/lagoonrun_router/answers.py
@@ -28,7 +28,7 @@
 """Part of the above by which callers are spread, so that they don't meet."""
 
 
-def retry_after_seconds(chance: random.Random, *, left_seconds: float) -> float:
+def retry_after_seconds(rng: random.Random, *, left_seconds: float) -> float:
     """Return when a refused caller should come back.
 
     Parameters
@@ -37,13 +37,11 @@
         Time left to the caller; it comes back within a third of it or not
         at all.
     """
-    seconds = _RETRY_SECONDS * (1.0 + _RETRY_JITTER * chance.random())
+    seconds = _RETRY_SECONDS * (1.0 + _RETRY_JITTER * rng.random())
     return max(0.01, min(seconds, left_seconds / 4.0))
 
 
-def spread_retry_seconds(
-    chance: random.Random, *, wait_seconds: float
-) -> float:
+def spread_retry_seconds(rng: random.Random, *, wait_seconds: float) -> float:
     """Return when to come back for something that comes up for one at a time.
 
     Parameters
@@ -52,7 +50,7 @@
         Time until it may come up next.
     """
     soonest = max(_RETRY_SECONDS, wait_seconds)
-    return soonest * (1.0 + chance.random())
+    return soonest * (1.0 + rng.random())
 
 
 async def end_without_answer(
--- a/packages/router/src/lagoonrun_router/block_keeper.py
+++ b/packages/router/src/lagoonrun_router/block_keeper.py
@@ -30,7 +30,7 @@
         The platform's store.
     prefix
         Keys of blocked requests begin so.
-    chance
+    rng
         Source of the jitter.
     """
 
@@ -39,11 +39,11 @@
         *,
         store: store_module.KeyValueStore,
         prefix: str,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._chance = chance
+        self._rng = rng
         self._wanted_by_request: dict[
             types.RequestDigest, crash_evidence.Block | None
         ] = {}
@@ -85,7 +85,7 @@
                 continue
             request, block = next(iter(self._wanted_by_request.items()))
             if not await self._write(request, block):
-                pause = _PAUSE_SECONDS * (0.5 + self._chance.random())
+                pause = _PAUSE_SECONDS * (0.5 + self._rng.random())
                 await asyncio.sleep(pause)
             elif self._wanted_by_request.get(request) is block:
                 self._wanted_by_request.pop(request, None)
--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -24,7 +24,7 @@
         Receives the number of crashes.
     store, prefix
         Where blocks are kept, and how their keys begin.
-    clock, chance
+    clock, rng
         Sources of time and of jitter.
 
     Attributes
@@ -43,13 +43,13 @@
         store: store_module.KeyValueStore,
         prefix: str,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.watch = crash_watch.CrashWatch(
             directory=directory, counters=counters, clock=clock
         )
         self._keeper = block_keeper.BlockKeeper(
-            store=store, prefix=prefix, chance=chance
+            store=store, prefix=prefix, rng=rng
         )
         self.crashing = crashing_requests.CrashingRequests(
             watch=self.watch, keeper=self._keeper, clock=clock
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -178,7 +178,7 @@
     ) -> float:
         """Return when to come back to upstreams that take nothing now."""
         return answers.spread_retry_seconds(
-            self._parts.chance, wait_seconds=closed[0].wait_seconds
+            self._parts.rng, wait_seconds=closed[0].wait_seconds
         )
 
     async def _refuse(
@@ -448,6 +448,6 @@
             detail=detail,
             upstream=upstream,
             retry_after_seconds=answers.retry_after_seconds(
-                self._parts.chance, left_seconds=left
+                self._parts.rng, left_seconds=left
             ),
         )
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -92,7 +92,7 @@
         Returns whether the router knows enough to act for the fleet.
     eras
         Eras of the store; None where it is never restored.
-    clock, chance
+    clock, rng
         Sources of time and of choices.
     """
 
@@ -106,7 +106,7 @@
         view: "FleetView",
         ready: Callable[[], bool],
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
         eras: store_eras.StoreEras | None = None,
     ) -> None:
         # Only here: a deployment without duties starts without them.
@@ -126,7 +126,7 @@
             views=view.views,
             time=counting.time,
             clock=clock,
-            chance=chance,
+            rng=rng,
             eras=eras,
         )
 
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -42,7 +42,7 @@
         Relays of the failure domains.
     send
         Sends a message.
-    chance
+    rng
         Source of the choice of peers.
     """
 
@@ -53,13 +53,13 @@
         table: peer_table.PeerTable,
         fleet: FleetAddresses,
         send: Sender,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._domain = domain
         self._table = table
         self._fleet = fleet
         self._send = send
-        self._chance = chance
+        self._rng = rng
 
     @property
     def leads(self) -> bool:
@@ -84,5 +84,5 @@
     def tell_some(self, message: router_messages.RouterMessage) -> None:
         """Send a message to a neighbour and to a peer of another domain."""
         near = self._table.near_addresses()
-        near_one = self._chance.sample(near, min(1, len(near)))
-        self._send(message, (*near_one, *self._table.far_told(self._chance)))
+        near_one = self._rng.sample(near, min(1, len(near)))
+        self._send(message, (*near_one, *self._table.far_told(self._rng)))
--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/parts.py
@@ -52,7 +52,7 @@
     budget: retry_budget.RetryBudget
     client: http_upstream.UpstreamClient
     clock: clocks.Clock
-    chance: random.Random
+    rng: random.Random
     metrics: metrics.RouterMetrics
     crashes: crash_watch.CrashWatch
     crashing: crashing_requests.CrashingRequests
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -284,14 +284,14 @@
         """Whether the neighbours are too many to tell each other all."""
         return len(self._near_by_id) > _MOST_NEAR_TOLD
 
-    def far_told(self, chance: random.Random) -> tuple[settings.Address, ...]:
+    def far_told(self, rng: random.Random) -> tuple[settings.Address, ...]:
         """Return peers of other domains that learn who there is."""
         far = [
             peer.address
             for peer in self._peers_by_id.values()
             if peer.domain != self._domain
         ]
-        return tuple(chance.sample(far, min(len(far), _MOST_FAR_TOLD)))
+        return tuple(rng.sample(far, min(len(far), _MOST_FAR_TOLD)))
 
     def near_addresses(self) -> tuple[settings.Address, ...]:
         """Return the addresses of the own failure domain's peers."""
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -85,7 +85,7 @@
         Receives the number of places at limited upstreams.
     usage
         Counts of requests; None where nobody asks for them.
-    clock, chance
+    clock, rng
         Sources of time and of choices.
     """
 
@@ -106,7 +106,7 @@
         counters: metrics.RouterMetrics,
         usage: usage_exchange.UsageExchange | None = None,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._settings = configured
         self._socket = peer_socket.PeerSocket(
@@ -123,7 +123,7 @@
         self._gathered = gathered
         self._usage = usage
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._beats_until_look = 0
         self._beats_since_greeting = 0
         # Not a time: the wall clock may have been ahead at an earlier start.
@@ -146,7 +146,7 @@
             pressed=pressed,
             relays=self._relays,
             usage=usage,
-            chance=chance,
+            rng=rng,
         )
         self._fleet_news = fleet_news.FleetNewsExchange(
             entry_vm=configured.entry_vm,
@@ -183,7 +183,7 @@
             table=table,
             fleet=self,
             send=self._socket.send,
-            chance=chance,
+            rng=rng,
         )
         self._crashing = crashing
         self._crash_news = crash_news.CrashNewsExchange(
@@ -206,7 +206,7 @@
             exchange=self,
             counters=counters,
             clock=clock,
-            chance=chance,
+            rng=rng,
         )
         self._timer = standing_task.StandingTask(
             name="peers", function=self._run
@@ -364,7 +364,7 @@
         if self._beats_since_greeting < wanted:
             return
         self._beats_since_greeting = 0
-        far = self._table.far_told(self._chance)
+        far = self._table.far_told(self._rng)
         if far:
             self._socket.send(self._teller.greeting(now=now), far)
 
--- a/packages/router/src/lagoonrun_router/place_giver.py
+++ b/packages/router/src/lagoonrun_router/place_giver.py
@@ -16,7 +16,7 @@
     ----------
     limits
         Limits that upstreams have named.
-    chance
+    rng
         Source of the first levels; None where buckets begin empty.
     """
 
@@ -24,10 +24,10 @@
         self,
         *,
         limits: upstream_limits.UpstreamLimits,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._limits = limits
-        self._chance = chance
+        self._rng = rng
         self._bucket_by_start: dict[
             running_requests.UpstreamInstance, place_bucket.PlaceBucket
         ] = {}
@@ -69,7 +69,7 @@
             bucket = place_bucket.PlaceBucket(
                 per_second=per_second,
                 now=now,
-                level=self._chance.random() if self._chance else 0.0,
+                level=self._rng.random() if self._rng else 0.0,
             )
         else:
             bucket.use(per_second, now=now)
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -89,7 +89,7 @@
         Sends a message to each address.
     counters
         Receives the number of places.
-    clock, chance
+    clock, rng
         Sources of time and of choices.
     """
 
@@ -102,7 +102,7 @@
         send: news_spreader.Sender,
         counters: metrics.RouterMetrics,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._configured = configured
         self._limits = limits
@@ -115,12 +115,12 @@
             Giver.DOMAIN: place_giver.PlaceGiver(limits=limits),
             # Levels by chance: were all buckets of a fleet empty at first, the
             # small parts of many entry VMs would come up together much later.
-            Giver.SELF: place_giver.PlaceGiver(limits=limits, chance=chance),
+            Giver.SELF: place_giver.PlaceGiver(limits=limits, rng=rng),
         }
         self._own_used_at = float("-inf")
         self._unanswered_until = float("-inf")
         # By chance: an answer to the process before must not be taken for one.
-        self._number = chance.getrandbits(_NUMBER_BITS)
+        self._number = rng.getrandbits(_NUMBER_BITS)
         self._waiting_by_number: dict[
             int, asyncio.Future[router_messages.PlaceAnswer]
         ] = {}
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -69,7 +69,7 @@
         Keys and formats of the store.
     language
         Requests and answers on the wire.
-    clock, chance
+    clock, rng
         Sources of time and of choices.
     store_calls_by_kind, unsent_store_calls_by_kind
         Counts of the store's client, for the metrics.
@@ -93,7 +93,7 @@
         store_calls_by_kind: Mapping[str, int] | None = None,
         unsent_store_calls_by_kind: Mapping[str, int] | None = None,
         eras: store_eras.StoreEras | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         listening: socket.socket | None = None,
         duty_platform: platform_calls.DutyPlatform | None = None,
     ) -> None:
@@ -102,7 +102,7 @@
         self._duty_platform = duty_platform
         self._layout = layout
         self._clock = clock or clocks.SuspendAwareClock()
-        self._chance = chance or random.Random(secrets.randbits(64))
+        self._rng = rng or random.Random(secrets.randbits(64))
         self._store_calls_by_kind = _or_empty(store_calls_by_kind)
         self._unsent_calls_by_kind = _or_empty(unsent_store_calls_by_kind)
         self._eras = eras or store_eras.StoreEras(clock=self._clock)
@@ -143,7 +143,7 @@
             store=self._store,
             prefix=self._layout.blocked_requests_prefix,
             clock=self._clock,
-            chance=self._chance,
+            rng=self._rng,
         )
         self.crashing = self._crash_guard.crashing
         self._build_knowledge()
@@ -173,7 +173,7 @@
             ),
             ready=lambda: self.ready,
             clock=self._clock,
-            chance=self._chance,
+            rng=self._rng,
             eras=self._eras,
         )
 
@@ -194,7 +194,7 @@
         self.follower = store_follower.StoreFollower(
             store=self._store,
             reader=self.beliefs,
-            chance=self._chance,
+            rng=self._rng,
             clock=self._clock,
         )
         self._duty = store_duty.StoreDuty(
@@ -222,7 +222,7 @@
             counters=self.metrics,
             usage=self._usage,
             clock=self._clock,
-            chance=self._chance,
+            rng=self._rng,
         )
         self._gauges = gauges.Gauges(
             into=self.metrics,
@@ -254,7 +254,7 @@
                 budget=self._budget,
                 client=self._client,
                 clock=self._clock,
-                chance=self._chance,
+                rng=self._rng,
                 metrics=self.metrics,
                 crashes=self._crash_guard.watch,
                 crashing=self.crashing,
@@ -442,7 +442,7 @@
             if isinstance(result, store_module.Committed):
                 return
             # Written twice it says the same.
-            pause = _RECORD_PAUSE_SECONDS * (0.5 + self._chance.random())
+            pause = _RECORD_PAUSE_SECONDS * (0.5 + self._rng.random())
             await asyncio.sleep(pause)
 
     async def _keep_house(self) -> None:
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -55,7 +55,7 @@
         Order of the relays of the own failure domain.
     usage
         Counts of requests; None where nobody asks for them.
-    chance
+    rng
         Source of choices.
     """
 
@@ -72,7 +72,7 @@
         pressed: pressure.Pressure,
         relays: roster.Roster,
         usage: usage_exchange.UsageExchange | None = None,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._configured = configured
         self._start = start
@@ -84,7 +84,7 @@
         self._pressed = pressed
         self._relays = relays
         self._usage = usage
-        self._chance = chance
+        self._rng = rng
         self._sequence = 0
         self._beats_since_told = 0
         self._told_news: _News | None = None
@@ -215,5 +215,5 @@
 
     def _some_members(self) -> tuple[router_messages.EntryVmAddress, ...]:
         known = list(self._table.known())
-        shown = self._chance.sample(known, min(len(known), _TOLD_MEMBERS))
+        shown = self._rng.sample(known, min(len(known), _TOLD_MEMBERS))
         return tuple(self._table.member(one) for one in shown)
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -125,7 +125,7 @@
         The platform's store.
     reader
         Receives it.
-    chance
+    rng
         Source of the jitter.
     clock
         Dates the store's answers.
@@ -136,12 +136,12 @@
         *,
         store: store_module.KeyValueStore,
         reader: StoreReader,
-        chance: random.Random,
+        rng: random.Random,
         clock: clocks.Clock,
     ) -> None:
         self._store = store
         self._reader = reader
-        self._chance = chance
+        self._rng = rng
         self._lost = False
         self._settled = False
         self._known = store_module.ABSENT
@@ -316,7 +316,7 @@
             longest = _SPARE_PAUSE_SECONDS
         pause = self._pause_seconds
         self._pause_seconds = min(longest, 2.0 * pause)
-        return pause * (0.5 + self._chance.random())
+        return pause * (0.5 + self._rng.random())
 
 
 def _overtaken_bytes(changes: tuple[store_module.Event, ...]) -> int:
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -49,7 +49,7 @@
         How peers are told.
     counters
         Receives the number of places at limited upstreams.
-    clock, chance
+    clock, rng
         Sources of time and of choices.
 
     Attributes
@@ -70,12 +70,12 @@
         exchange: Exchange,
         counters: metrics.RouterMetrics,
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._directory = directory
         self._clock = clock
         self.limits = upstream_limits.UpstreamLimits()
-        self.rests = upstream_rests.UpstreamRests(chance=chance)
+        self.rests = upstream_rests.UpstreamRests(rng=rng)
         self._limit_news = limit_news.LimitNewsExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
@@ -95,7 +95,7 @@
             send=exchange.send,
             counters=counters,
             clock=clock,
-            chance=chance,
+            rng=rng,
         )
         self.availability = availability.Availability(
             limited=self.places, rests=self.rests
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -51,12 +51,12 @@
 
     Parameters
     ----------
-    chance
+    rng
         Source of the jitter.
     """
 
-    def __init__(self, *, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, *, rng: random.Random) -> None:
+        self._rng = rng
         self._own_until: dict[running_requests.UpstreamInstance, float] = {}
         self._told_until: dict[running_requests.UpstreamInstance, float] = {}
 
@@ -95,7 +95,7 @@
         if not asked_seconds:
             return None
         seconds = min(LONGEST_REST_SECONDS, asked_seconds)
-        until = now + seconds * (1.0 + _JITTER * self._chance.random())
+        until = now + seconds * (1.0 + _JITTER * self._rng.random())
         if until <= self._own_until.get(at, now):
             return None
         _note(self._own_until, at, until)
--- a/packages/router/tests/conftest.py
+++ b/packages/router/tests/conftest.py
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def chance():
+def rng():
     return random.Random(1)
 
 
@@ -79,7 +79,7 @@
             store=store,
             layout=layout,
             language=PlainDialect(),
-            chance=random.Random(1),
+            rng=random.Random(1),
             duty_platform=platform,
         )
         await made.start()
--- a/packages/router/tests/test_block_keeper.py
+++ b/packages/router/tests/test_block_keeper.py
@@ -40,7 +40,7 @@
 async def keeper(store, monkeypatch):
     monkeypatch.setattr(block_keeper, "_PAUSE_SECONDS", 0.01)
     made = block_keeper.BlockKeeper(
-        store=store, prefix=PREFIX, chance=random.Random(1)
+        store=store, prefix=PREFIX, rng=random.Random(1)
     )
     await made.start()
     yield made
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -58,7 +58,7 @@
 
     def __init__(self, evidence, *, seed, causes, pool):
         self._evidence = evidence
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._causes = causes
         self._pool = pool
         self._upstreams = 0
@@ -78,7 +78,7 @@
         cause = f"cause-{self._chance.randrange(self._causes)}"
         place = None
         if self._evidence.block_of(cause, now=now) is None:
-            place = self._chance.randrange(self._pool)
+            place = self._rng.randrange(self._pool)
             self.outcome.crashes_by_cause[cause] += 1
         for number, running in enumerate(running_by_place):
             if number == place:
@@ -88,14 +88,14 @@
                 self._evidence.clear(request)
 
     def _new_ones(self):
-        count = self._chance.randrange(MOST_BESIDE + 1)
+        count = self._rng.randrange(MOST_BESIDE + 1)
         self._requests += count
         return [f"r-{self._requests - n}" for n in range(count)]
 
     def _admit_again(self, running_by_place, now):
         for request in self._again:
             if self._evidence.block_of(request, now=now) is None:
-                self._chance.choice(running_by_place).append(request)
+                self._rng.choice(running_by_place).append(request)
             else:
                 self.outcome.turned_away += 1
         self._again = []
@@ -106,7 +106,7 @@
             upstream=f"u-{self._upstreams}", start=0
         )
         for request in (cause, *running):
-            silent = request == cause or self._chance.random() < SILENT_SHARE
+            silent = request == cause or self._rng.random() < SILENT_SHARE
             record = crash_evidence.CrashRecord(
                 request=request, at=at, route="r", seen_at=now, silent=silent
             )
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -75,7 +75,7 @@
             table=table,
             fleet=fleet,
             send=lambda message, to: sent.append((message, tuple(to))),
-            chance=random.Random(1),
+            rng=random.Random(1),
         ),
         records=evidence.records,
     )
--- a/packages/router/tests/test_division.py
+++ b/packages/router/tests/test_division.py
@@ -181,20 +181,20 @@
 
 def late_share(deployment, seed, weights):
     """Return the share of late streams in a burst."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = Fleet(deployment)
     questions = deployment.questions_per_second * deployment.runners
     rate = questions + deployment.digests_per_second * deployment.runners
     now = 0.0
     number = 0
     while now < 10.0:
-        now += chance.expovariate(rate)
+        now += rng.expovariate(rate)
         number += 1
-        if chance.random() < questions / rate:
+        if rng.random() < questions / rate:
             request = deployment.question(number)
         else:
             median = deployment.digest_tokens
-            tokens = median * chance.lognormvariate(0.0, 0.9)
+            tokens = median * rng.lognormvariate(0.0, 0.9)
             request = deployment.digest(number, min(10 * median, tokens))
         fleet.send(request, now, weights)
     late = sum(one.late for one in fleet.streams)
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -59,7 +59,7 @@
             table=table,
             fleet=Leads(),
             send=send,
-            chance=random.Random(1),
+            rng=random.Random(1),
         )
 
     def run(self, *messages):
@@ -77,7 +77,7 @@
     return rest_news.RestNewsExchange(
         entry_vm=name,
         domain="north",
-        rests=upstream_rests.UpstreamRests(chance=random.Random(1)),
+        rests=upstream_rests.UpstreamRests(rng=random.Random(1)),
         spreader=spreader,
     )
 
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -105,7 +105,7 @@
             send=self._send,
             counters=metrics.RouterMetrics(),
             clock=fleet.clock,
-            chance=random.Random(number),
+            rng=random.Random(number),
         )
 
     def _send(self, message, addresses):
@@ -170,15 +170,15 @@
 
 async def granted_in(fleet, askers, *, seconds, per_second, seed=1):
     """Return the times of granted places while some entry VMs ask at random."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     taken = []
     end = fleet.clock.monotonic() + seconds
     while fleet.clock.monotonic() < end:
         fleet.clock.advance(STEP_SECONDS)
         now = fleet.clock.monotonic()
-        if chance.random() >= per_second * STEP_SECONDS:
+        if rng.random() >= per_second * STEP_SECONDS:
             continue
-        vm = chance.choice(askers)
+        vm = rng.choice(askers)
         if vm.places.closed_seconds(UPSTREAM, 1, now=now):
             continue
         verdict = await vm.places.take(UPSTREAM, 1, request_id="r")
--- a/packages/router/tests/test_standing_back.py
+++ b/packages/router/tests/test_standing_back.py
@@ -38,13 +38,13 @@
 
 def in_time_share(seed, *, standing_back):
     """Return the share of digests that come in time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     queue = []
     now = read_at = 0.0
     arrived = in_time = 0
     while now < 10.0 or queue:
         if now < 10.0:
-            now += chance.expovariate(ARRIVALS_PER_SECOND)
+            now += rng.expovariate(ARRIVALS_PER_SECOND)
         else:
             now = read_at + PROMPT_TOKENS / READ_PER_SECOND
         while queue and read_at + PROMPT_TOKENS / READ_PER_SECOND <= now:
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -76,7 +76,7 @@
         relays=roster.Roster(
             duty="relay", places=2, own="vm-1", own_size=0.5, others=table
         ),
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
     made.beat(now=0.0)
     return made
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -323,11 +323,11 @@
 
 
 @pytest.fixture
-async def follower(store, chance):
+async def follower(store, rng):
     made = store_follower.StoreFollower(
         store=store,
         reader=Reader(),
-        chance=chance,
+        rng=rng,
         clock=clocks.SystemClock(),
     )
     await made.start()
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def rests():
-    return upstream_rests.UpstreamRests(chance=random.Random(1))
+    return upstream_rests.UpstreamRests(rng=random.Random(1))
 
 
 def ask(rests, at, seconds, *, now):
--- a/packages/soak/src/lagoonrun_soak/caller.py
+++ b/packages/soak/src/lagoonrun_soak/caller.py
@@ -33,7 +33,7 @@
         The entry VM.
     seen
         Where requests are noted.
-    chance
+    rng
         Source of pauses.
     crashing
         Name of a request that ends upstreams, which this caller sends again and
@@ -47,7 +47,7 @@
         kind: layout.RequestKind,
         target: vm.EntryVm,
         seen: record.Record,
-        chance: random.Random,
+        rng: random.Random,
         crashing: str = "",
     ) -> None:
         self._crashing = crashing
@@ -55,7 +55,7 @@
         self._kind = kind
         self._target = target
         self._seen = seen
-        self._chance = chance
+        self._rng = rng
         self._numbers = itertools.count()
         self._task: asyncio.Task[None] | None = None
 
@@ -77,7 +77,7 @@
             with contextlib.suppress(OSError, TimeoutError):
                 # A refused connection is no request; the next one follows.
                 await self._use_connection()
-            await asyncio.sleep(_LONGEST_PAUSE_SECONDS * self._chance.random())
+            await asyncio.sleep(_LONGEST_PAUSE_SECONDS * self._rng.random())
 
     async def _use_connection(self) -> None:
         address = self._target.configured.caller
@@ -89,7 +89,7 @@
         boot = self._target.boot
         try:
             while await self._ask(connection, boot):
-                pause = _LONGEST_PAUSE_SECONDS * self._chance.random()
+                pause = _LONGEST_PAUSE_SECONDS * self._rng.random()
                 await asyncio.sleep(pause)
         finally:
             writer.transport.abort()
@@ -116,7 +116,7 @@
         self, connection: router_world.Caller, boot: int
     ) -> tuple[record.Ask, float]:
         now = time.monotonic()
-        age = self._chance.choice(_KEY_AGES_SECONDS)
+        age = self._rng.choice(_KEY_AGES_SECONDS)
         revision = 0 if age is None else self._seen.revision_at(now - age)
         profile = self._kind.route.profile
         ask = record.Ask(
--- a/packages/soak/src/lagoonrun_soak/faults.py
+++ b/packages/soak/src/lagoonrun_soak/faults.py
@@ -73,7 +73,7 @@
     ----------
     world
         Where they happen.
-    chance
+    rng
         Source of all choices.
     kinds
         What may happen.
@@ -83,12 +83,12 @@
         self,
         *,
         world: fleet.Fleet,
-        chance: random.Random,
+        rng: random.Random,
         kinds: tuple[FaultKind, ...] = tuple(FaultKind),
     ) -> None:
         self._world = world
         self._seen = world.seen
-        self._chance = chance
+        self._rng = rng
         self._kinds = kinds
         self._task: asyncio.Task[None] | None = None
         self._busy_vms: set[str] = set()
@@ -118,10 +118,10 @@
 
     async def _run(self) -> None:
         while True:
-            pause = self._chance.expovariate(1.0 / _MEAN_PAUSE_SECONDS)
+            pause = self._rng.expovariate(1.0 / _MEAN_PAUSE_SECONDS)
             await asyncio.sleep(pause)
-            kind = self._chance.choice(self._kinds)
-            for _ in range(self._chance.choice(_SERIES)):
+            kind = self._rng.choice(self._kinds)
+            for _ in range(self._rng.choice(_SERIES)):
                 task = asyncio.create_task(self._inject(kind))
                 self._running.add(task)
                 await asyncio.sleep(_SERIES_PAUSE_SECONDS)
@@ -160,7 +160,7 @@
         ]
         if len(free) < 2:
             return None
-        taken = self._chance.choice(free)
+        taken = self._rng.choice(free)
         self._busy_vms.add(taken.name)
         return taken
 
@@ -205,20 +205,20 @@
         since = time.monotonic()
         self._seen.disturb(f"{taken.name} unplanned", since, since)
         taken.send(signal.SIGSTOP)
-        await asyncio.sleep(self._chance.uniform(0.2, 3.0))
+        await asyncio.sleep(self._rng.uniform(0.2, 3.0))
         taken.send(signal.SIGCONT)
         self._free_vm(taken, since, planned=False)
 
     async def _write_settings(self) -> None:
-        taken = self._chance.choice(self._world.vms)
+        taken = self._rng.choice(self._world.vms)
         taken.write_settings(f"changed {self._chance.random()}")
-        if self._chance.random() < 0.5:
+        if self._rng.random() < 0.5:
             taken.send(signal.SIGHUP)
 
     # The store.
 
     async def _break_store_link(self) -> None:
-        index = self._chance.randrange(len(self._world.vms))
+        index = self._rng.randrange(len(self._world.vms))
         await self._break_links(
             [self._world.store_links[index]],
             subjects=(self._world.vms[index].name,),
@@ -233,10 +233,10 @@
         self, links: list[link.FaultyLink], *, subjects: tuple[str, ...]
     ) -> None:
         since = time.monotonic()
-        state = self._chance.choice(_FAULTY)
+        state = self._rng.choice(_FAULTY)
         for one in links:
             one.use(state)
-        await asyncio.sleep(self._chance.uniform(0.3, 4.0))
+        await asyncio.sleep(self._rng.uniform(0.3, 4.0))
         for one in links:
             one.use(link.LinkState.SOUND)
         end = time.monotonic() + _SETTLING_SECONDS
@@ -256,7 +256,7 @@
         """Have the store come back from a copy that is some seconds old."""
         since = time.monotonic()
         copy = self._world.store.memory.revision
-        await asyncio.sleep(self._chance.uniform(0.0, _COPY_SECONDS))
+        await asyncio.sleep(self._rng.uniform(0.0, _COPY_SECONDS))
         self._world.store.restore(copy)
         await self._world.write_again()
         self._seen.disturb(
@@ -278,8 +278,8 @@
         id = self._choose_at_work(upstreams)
         self._seen.disturb(str(id), time.monotonic(), float("inf"))
         broken = self._world.upstream_links[id]
-        broken.use(self._chance.choice(_FAULTY))
-        await asyncio.sleep(self._chance.uniform(0.1, 2.0))
+        broken.use(self._rng.choice(_FAULTY))
+        await asyncio.sleep(self._rng.uniform(0.1, 2.0))
         broken.use(link.LinkState.SOUND)
 
     def _choose_at_work(
@@ -288,7 +288,7 @@
         """Return an upstream that has a request, if any has."""
         upstreams = self._world.upstreams
         busy = [one for one in ids if upstreams[one].busy]
-        return self._chance.choice(busy or ids)
+        return self._rng.choice(busy or ids)
 
     async def _take_upstream(self) -> types.UpstreamId | None:
         """Return an upstream that may go, after another has come."""
@@ -334,16 +334,16 @@
             return
         made = upstreams[self._choose_at_work(sorted(upstreams))]
         since = time.monotonic()
-        for _ in range(self._chance.choice((1, 1, 2))):
-            per_second = self._chance.choice((0.5, 1.0, 1.4))
+        for _ in range(self._rng.choice((1, 1, 2))):
+            per_second = self._rng.choice((0.5, 1.0, 1.4))
             made.notice = notices.Notice(per_second=per_second)
-            await asyncio.sleep(self._chance.uniform(*_LIMITED_SECONDS))
+            await asyncio.sleep(self._rng.uniform(*_LIMITED_SECONDS))
         self._end_notice(made, since)
 
     async def _rest_pool(self) -> None:
         """Have all upstreams of a pool turn requests away and ask for rest."""
-        pool = self._chance.choice((layout.PLAIN, layout.ENGINES))
-        seconds = self._chance.choice((0.5, 1.5, 2.5))
+        pool = self._rng.choice((layout.PLAIN, layout.ENGINES))
+        seconds = self._rng.choice((0.5, 1.5, 2.5))
         resting = [
             one
             for one in self._world.upstreams.values()
@@ -378,7 +378,7 @@
         """Have many ask for summaries at once."""
         made = [
             await self._world.add_caller(
-                layout.SUMMARY, self._chance.choice(self._world.vms)
+                layout.SUMMARY, self._rng.choice(self._world.vms)
             )
             for _ in range(_BURST_CALLERS)
         ]
@@ -389,7 +389,7 @@
     async def _send_crashing(self) -> None:
         """Send a request that ends upstreams at all entry VMs for a while."""
         self._crashing += 1
-        kind = self._chance.choice(tuple(layout.KINDS_BY_NAME.values()))
+        kind = self._rng.choice(tuple(layout.KINDS_BY_NAME.values()))
         made = [
             await self._world.add_caller(
                 kind, target, crashing=f"request-{self._crashing}"
--- a/packages/soak/src/lagoonrun_soak/fleet.py
+++ b/packages/soak/src/lagoonrun_soak/fleet.py
@@ -39,7 +39,7 @@
         Number of entry VMs.
     folder
         Where settings and logs go.
-    chance
+    rng
         Source of choices.
     planted
         Fault that is planted into the entry VMs; empty for none.
@@ -51,12 +51,12 @@
         network: layout.Network,
         vms: int,
         folder: pathlib.Path,
-        chance: random.Random,
+        rng: random.Random,
         planted: str = "",
     ) -> None:
         self.seen = record.Record()
         self.network = network
-        self.chance = chance
+        self.rng = rng
         store = network.store
         self.store = standin_store.StandInStore(
             host=store.host, port=store.port
@@ -71,7 +71,7 @@
         ]
         self.store_links = [
             link.FaultyLink(
-                listen=network.store_link(index), target=store, chance=chance
+                listen=network.store_link(index), target=store, rng=rng
             )
             for index in range(vms)
         ]
@@ -137,7 +137,7 @@
             kind=kind,
             target=target,
             seen=self.seen,
-            chance=random.Random(self.chance.random()),
+            rng=random.Random(self.rng.random()),
             crashing=crashing,
         )
         self._callers.append(made)
@@ -185,7 +185,7 @@
         self.upstream_links[registration.id] = link.FaultyLink(
             listen=self.network.upstream_link(index),
             target=self.network.upstream(index),
-            chance=self.chance,
+            rng=self.rng,
         )
         await made.start()
         await self.upstream_links[registration.id].start()
--- a/packages/soak/src/lagoonrun_soak/link.py
+++ b/packages/soak/src/lagoonrun_soak/link.py
@@ -34,7 +34,7 @@
     ----------
     listen, target
         Where it accepts connections, and where they go.
-    chance
+    rng
         Source of the delays.
     """
 
@@ -43,11 +43,11 @@
         *,
         listen: settings.Address,
         target: settings.Address,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._listen = listen
         self._target = target
-        self._chance = chance
+        self._rng = rng
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
         self.state = LinkState.SOUND
@@ -101,7 +101,7 @@
     async def delay(self) -> None:
         """Wait for as long as the link's state asks for."""
         if self.state is LinkState.DELAYED:
-            await asyncio.sleep(_LONGEST_DELAY_SECONDS * self._chance.random())
+            await asyncio.sleep(_LONGEST_DELAY_SECONDS * self._rng.random())
 
 
 _Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/packages/soak/src/lagoonrun_soak/soak.py
+++ b/packages/soak/src/lagoonrun_soak/soak.py
@@ -57,17 +57,15 @@
 
 async def run(plan: Plan, *, folder: pathlib.Path) -> Outcome:
     """Run one soak; its logs and settings are left in `folder`."""
-    chance = random.Random(plan.seed)
+    rng = random.Random(plan.seed)
     world = fleet.Fleet(
         network=layout.Network.of_process(),
         vms=plan.vms,
         folder=folder,
-        chance=chance,
+        rng=rng,
         planted=plan.planted,
     )
-    injector = faults.FaultInjector(
-        world=world, chance=chance, kinds=plan.kinds
-    )
+    injector = faults.FaultInjector(world=world, rng=rng, kinds=plan.kinds)
     try:
         await world.start()
         await asyncio.sleep(_CALM_SECONDS)
--- a/packages/soak/tests/test_link.py
+++ b/packages/soak/tests/test_link.py
@@ -26,7 +26,7 @@
     made = FaultyLink(
         listen=settings.Address(host=HOST, port=ports[0]),
         target=settings.Address(host=HOST, port=ports[1]),
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
     await made.start()
     made.port = ports[0]
--- a/packages/standins/src/lagoonrun_standins/bench_claims.py
+++ b/packages/standins/src/lagoonrun_standins/bench_claims.py
@@ -133,7 +133,7 @@
         store = etcd_gateway.EtcdGateway(
             addresses=[platform.address()],
             clock=clock_module.SystemClock(),
-            chance=random.Random(1),
+            rng=random.Random(1),
             calls_per_second=_GATEWAY_CALLS_PER_SECOND,
             burst=_GATEWAY_CALLS_PER_SECOND,
         )
--- a/packages/standins/src/lagoonrun_standins/bench_configuration.py
+++ b/packages/standins/src/lagoonrun_standins/bench_configuration.py
@@ -217,13 +217,13 @@
     gateway = etcd_gateway.EtcdGateway(
         addresses=[platform],
         clock=clock.SystemClock(),
-        chance=random.Random(0),
+        rng=random.Random(0),
     )
     bench = RolloutBench(
         deployed=deployed,
         entry_vms=entry_vms,
         store=configuration_store.ConfigurationStore(
-            store=gateway, chance=random.Random(0)
+            store=gateway, rng=random.Random(0)
         ),
     )
     await http_client.fetch_json(
--- a/packages/standins/src/lagoonrun_standins/deployment.py
+++ b/packages/standins/src/lagoonrun_standins/deployment.py
@@ -274,10 +274,10 @@
     gateway = etcd_gateway.EtcdGateway(
         addresses=[platform],
         clock=clock.SystemClock(),
-        chance=random.Random(0),
+        rng=random.Random(0),
     )
     store = configuration_store.ConfigurationStore(
-        store=gateway, chance=random.Random(0)
+        store=gateway, rng=random.Random(0)
     )
     try:
         outcome = await store.apply(
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -209,7 +209,7 @@
                 views=lambda: (pool(self.clock.monotonic()),),
                 time=time,
                 clock=clock,
-                chance=random.Random(self.starts),
+                rng=random.Random(self.starts),
                 sleep=sleep,
             )
 
