--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -99,7 +99,9 @@
         unspared = {
             id: one
             for id, one in open_by_id.items()
-            if not self._rests.is_spared(running_requests.started(one), now=now)
+            if not self._rests.is_spared(
+                running_requests.instance_of(one), now=now
+            )
         }
         return Available(
             open_by_id=unspared or open_by_id, closed=tuple(closed)
@@ -107,13 +109,13 @@
 
     def rests(self, upstream: upstreams.Registration, *, now: float) -> bool:
         """Return whether an upstream has asked this entry VM for rest."""
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         return self._rests.rest_seconds(at, now=now) > 0.0
 
     def _closed(
         self, upstream: upstreams.Registration, tier: types.Tier, now: float
     ) -> ClosedUpstream | None:
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         rest_seconds = self._rests.rest_seconds(at, now=now)
         limited_seconds = self._limited.closed_seconds(upstream, tier, now=now)
         if not rest_seconds and not limited_seconds:
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -107,7 +107,7 @@
     ) -> running_requests.Run:
         """Note that a request is about to be written to an upstream."""
         return self._running.begin(
-            digest, route=route, at=running_requests.started(upstream)
+            digest, route=route, at=running_requests.instance_of(upstream)
         )
 
     def end(
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -132,14 +132,14 @@
 
     def is_limited(self, upstream: upstreams.Registration) -> bool:
         """Return whether a request needs a place at an upstream."""
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         return self._limits.limit_of(at) is not None
 
     def closed_seconds(
         self, upstream: upstreams.Registration, tier: types.Tier, *, now: float
     ) -> float:
         """Return for how long no place is to be had there; 0 where one may be."""
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         closed = self._closed_by_start.get(at)
         if closed is None or now >= closed.until or tier < closed.tier:
             return 0.0
@@ -160,7 +160,7 @@
         request_id: types.RequestId,
     ) -> place_bucket.Verdict:
         """Take a place at an upstream, where it has named a limit."""
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         limit = self._limits.limit_of(at)
         if limit is None:
             return place_bucket.Granted()
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -35,7 +35,7 @@
     start: types.UpstreamStart
 
 
-def started(upstream: upstreams.Registration) -> UpstreamInstance:
+def instance_of(upstream: upstreams.Registration) -> UpstreamInstance:
     """Return the start of an upstream that a registration is of."""
     return UpstreamInstance(upstream=upstream.id, start=upstream.start)
 
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -116,7 +116,7 @@
             Reading of the clock when the request was written.
         """
         now = self._clock.monotonic()
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         if notice.unreadable:
             logs.emit(
                 events.LogEvent.UPSTREAM_NOTICE_REJECTED,
@@ -168,6 +168,6 @@
 
     def forget_start(self, upstream: upstreams.Registration) -> None:
         """Forget what an upstream said before it started again."""
-        at = running_requests.started(upstream)
+        at = running_requests.instance_of(upstream)
         self.limits.forget_start(at)
         self.rests.forget_start(at)
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -24,7 +24,7 @@
 WINDOW_SECONDS = 4.0
 STEP_SECONDS = 0.02
 UPSTREAM = make_registration("u-1", domain="domain-0", start=3)
-AT = running_requests.started(UPSTREAM)
+AT = running_requests.instance_of(UPSTREAM)
 
 
 @dataclasses.dataclass
