--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -86,7 +86,7 @@
         self._told_at = now
         return self._own.take_rows()
 
-    def beat(self, *, now: float, leads: bool) -> None:
+    def tick(self, *, now: float, leads: bool) -> None:
         """Send the domain's sums to the holder, as the relay; called often."""
         holder = self.holder(now=now)
         if self._held_at is None or holder != types.NO_ENTRY_VM:
--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -67,4 +67,4 @@
     def keep_house(self) -> None:
         """Forget what is old and write what waits; called once a second."""
         self.watch.forget_old()
-        self.crashing.beat()
+        self.crashing.tick()
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -92,7 +92,7 @@
         """Whether this entry VM is the relay of its failure domain."""
         return self._spreader.leads
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard, every few calls."""
         self._beats += 1
         if self._beats % _NEWS_BEATS:
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -192,7 +192,7 @@
                     request, now + _TOLD_KEEP_SECONDS
                 )
 
-    def beat(self) -> None:
+    def tick(self) -> None:
         """Write what nobody has written, and forget what is old."""
         now = self._clock.monotonic()
         self._evidence.forget_old(now=now)
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -129,7 +129,7 @@
         self._relays_by_domain: dict[types.FailureDomain, _Relay] = {}
         self._latest_by_sender: dict[types.EntryVmId, tuple[int, int]] = {}
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Tell the other failure domains, every few calls."""
         self._beats += 1
         if self._beats < self._wanted_beats:
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -114,7 +114,7 @@
         else:
             self._readers_by_id.pop(state.entry_vm, None)
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Tell whoever relies on this entry VM, every few calls."""
         self._beats += 1
         if self._beats < _BEATS or not self._readers_by_id:
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -78,7 +78,7 @@
         if new:
             self._spreader.hand_on(self._message(new, now), origin=news.domain)
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard, every few calls."""
         self._beats += 1
         if self._beats % _NEWS_BEATS:
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -249,15 +249,15 @@
     def _beat(self) -> None:
         now = self._clock.monotonic()
         self._look_for_lost(now)
-        state = self._teller.beat(now=now)
+        state = self._teller.tick(now=now)
         if state is not None:
             self._tell(state, now)
-        self._fleet_news.beat(now=now)
-        self._domain_news.beat(now=now)
-        self._crash_news.beat(now=now)
-        self.notices.beat(now=now)
+        self._fleet_news.tick(now=now)
+        self._domain_news.tick(now=now)
+        self._crash_news.tick(now=now)
+        self.notices.tick(now=now)
         if self._usage is not None:
-            self._usage.beat(now=now, leads=self._relays.leads(now=now))
+            self._usage.tick(now=now, leads=self._relays.leads(now=now))
         self._greet(now)
 
     def _look_for_lost(self, now: float) -> None:
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -98,7 +98,7 @@
         the store, or that this entry VM is about to end."""
         self.stopping = False
 
-    def beat(self, *, now: float) -> router_messages.RouterState | None:
+    def tick(self, *, now: float) -> router_messages.RouterState | None:
         """Return the state that is to be told now; None for none."""
         self._beats_since_told += 1
         placements = self._homes.take_own()
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -151,9 +151,9 @@
             return False
         return True
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard; called several times a second."""
-        self._limit_news.beat(now=now)
+        self._limit_news.tick(now=now)
 
     def may_write(
         self, upstream: upstreams.Registration, *, has_place: bool, now: float
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -93,7 +93,7 @@
     """The first datagrams are lost; the next reach all within a second or two."""
     evidence.take(record(1), now=NOW)
     for _ in range(3 * BEATS_A_SECOND):
-        news.beat(now=NOW + 1.0)
+        news.tick(now=NOW + 1.0)
     reached = {one for _, to in sent for one in to}
     assert reached == {*NEAR.values(), FAR}
     assert all(len(to) == 2 for _, to in sent)
@@ -106,7 +106,7 @@
     for number in range(100):
         evidence.take(record(number, seen_at=old), now=NOW)
     for _ in range(12 * BEATS_A_SECOND):
-        news.beat(now=NOW)
+        news.tick(now=NOW)
     told = {one.request for message, _ in sent for one in message.runs}
     assert len(told) == 100
     assert len(sent) <= 12
@@ -116,14 +116,14 @@
     for number in range(1000):
         evidence.take(record(number), now=NOW)
     for _ in range(BEATS_A_SECOND):
-        news.beat(now=NOW)
+        news.tick(now=NOW)
     assert len(sent) <= 4
     assert all(len(router_codec.encode(one)) < 4096 for one, _ in sent)
 
 
 def test_nothing_is_said_without_a_crash(news, sent):
     for _ in range(10 * BEATS_A_SECOND):
-        news.beat(now=NOW)
+        news.tick(now=NOW)
     assert sent == []
 
 
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -126,11 +126,11 @@
     crash_thrice(crashing)
     assert blocked(crashing) == ["one"]
     assert len(news.told) == 3
-    crashing.beat()
+    crashing.tick()
     assert keeper.kept == []
     clock.advance(1.0)
-    crashing.beat()
-    crashing.beat()
+    crashing.tick()
+    crashing.tick()
     assert keeper.kept == ["one"]
 
 
@@ -148,7 +148,7 @@
     news.leads = leads
     crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
     clock.advance(LONG_SECONDS)
-    crashing.beat()
+    crashing.tick()
     assert keeper.kept == (["one"] if leads else [])
 
 
@@ -158,7 +158,7 @@
     (block,) = crashing.blocks()
     crashing.take_stored("one", block_record.encode(block))
     clock.advance(LONG_SECONDS)
-    crashing.beat()
+    crashing.tick()
     assert keeper.kept == []
 
 
@@ -243,7 +243,7 @@
     crashing.take_stored("one", _stored_block())
     crashing.take_store_restored()
     clock.advance(LONG_SECONDS)
-    crashing.beat()
+    crashing.tick()
     assert keeper.kept == (["one"] if leads else [])
     assert blocked(crashing) == ["one"]
 
@@ -256,7 +256,7 @@
     crashing.take_store_restored()
     crashing.take_stored("one", _stored_block())
     clock.advance(LONG_SECONDS)
-    crashing.beat()
+    crashing.tick()
     assert keeper.kept == []
 
 
@@ -277,12 +277,12 @@
 ):
     crash_thrice(crashing)
     clock.advance(crash_evidence.BLOCK_SECONDS)
-    crashing.beat()
+    crashing.tick()
     assert blocked(crashing) == []
     keeper.kept.clear()
     crashing.take_crash(started(3), frozenset({ONE}))
     clock.advance(1.0)
-    crashing.beat()
+    crashing.tick()
     assert blocked(crashing) == ["one"]
     assert keeper.kept == ["one"]
 
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -69,10 +69,10 @@
     gathered: gathered_work.GatheredWork
     sent: list
 
-    def beat(self, now):
+    def tick(self, now):
         """Let a tenth of a second pass."""
-        self.exchange.beat(now=now)
-        self.exchange.beat(now=now)
+        self.exchange.tick(now=now)
+        self.exchange.tick(now=now)
 
     def hear_of(self, name, now, sequence=1, **more):
         """Take in another one's state."""
@@ -156,7 +156,7 @@
         {"u-1": loads.Load(waiting_by_tier=(4000.0,), running=1)},
         now=0.0,
     )
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     news, addresses = relay.sent[-1]
     assert address_of(far_relay.name) in addresses
     assert peer_loads.from_rows(news.loads)["u-1"].running == 2
@@ -169,7 +169,7 @@
 
 
 def test_relay_tells_what_its_domain_knows_of_the_store(relay, far_relay):
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     news, _ = relay.sent[-1]
     assert (news.revision, news.store_revision, news.read_revision) == (3, 8, 9)
     assert news.reads_store
@@ -180,7 +180,7 @@
 
 
 def test_news_that_were_handed_on_go_no_further(vm_of, relay, far_relay):
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     news, _ = relay.sent[-1]
     other = vm_of(neighbour_of(far_relay))
     other.exchange.take(news, host=address_of(far_relay.name).host, now=0.1)
@@ -189,19 +189,19 @@
 
 def test_far_work_is_not_told_back(relay, far_relay):
     begin(far_relay, 3000.0, now=0.0)
-    far_relay.beat(now=0.1)
+    far_relay.tick(now=0.1)
     relay.exchange.take(
         far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
     )
-    relay.beat(now=0.2)
+    relay.tick(now=0.2)
     assert relay.sent[-1][0].loads.upstreams == ""
 
 
 def test_news_that_come_twice_or_late_change_nothing(relay, far_relay):
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     first = relay.sent[-1][0]
     begin(relay, 3000.0, now=0.2)
-    relay.beat(now=0.2)
+    relay.tick(now=0.2)
     second = relay.sent[-1][0]
     host = address_of(relay.name).host
     for news in (second, first, second):
@@ -216,29 +216,29 @@
     nothing of the work here, if no other took its place.
     """
     other = vm_of(neighbour_of(relay))
-    other.beat(now=0.1)
+    other.tick(now=0.1)
     assert other.sent == []
-    other.beat(now=0.1 + roster.SILENT_SECONDS)
+    other.tick(now=0.1 + roster.SILENT_SECONDS)
     assert len(other.sent) == 1
     other.hear_of(relay.name, 3.0, sequence=2)
-    other.beat(now=3.0)
+    other.tick(now=3.0)
     assert len(other.sent) == 1
     other.hear_of(relay.name, 3.1, sequence=3, stopping=True)
-    other.beat(now=3.1)
+    other.tick(now=3.1)
     assert len(other.sent) == 2
 
 
 def test_relay_that_is_heard_gets_the_news_alone(relay, far_relay):
     """Until it is, the first two of its domain get them."""
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     assert len(relay.sent[-1][1]) == 2
-    far_relay.beat(now=0.1)
+    far_relay.tick(now=0.1)
     relay.exchange.take(
         far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
     )
-    relay.beat(now=0.2)
+    relay.tick(now=0.2)
     assert relay.sent[-1][1] == (address_of(far_relay.name),)
-    relay.beat(now=2.0)
+    relay.tick(now=2.0)
     assert len(relay.sent[-1][1]) == 2
 
 
@@ -246,7 +246,7 @@
     relay.homes.place("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         relay.pressed.note("pool", 1, now=0.0)
-    relay.beat(now=0.1)
+    relay.tick(now=0.1)
     far_relay.exchange.take(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -76,11 +76,11 @@
         self.ledger.begin(work, now=now)
         return work
 
-    def beat(self, now):
+    def tick(self, now):
         """Let a tenth of a second pass; return the news that were sent."""
         before = len(self.sent)
-        self.exchange.beat(now=now)
-        self.exchange.beat(now=now)
+        self.exchange.tick(now=now)
+        self.exchange.tick(now=now)
         return [news for news, _ in self.sent[before:]]
 
 
@@ -138,7 +138,7 @@
     other.begin(tokens=4000.0)
     for vm in (member, other):
         relay.exchange.take_state(vm.state(RELAY), now=0.1)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     for vm in (member, other):
         vm.exchange.take(news, now=0.1)
         known = vm.ledger.load_of("u-1", now=0.1)
@@ -148,7 +148,7 @@
 def test_own_work_that_has_ended_since_counts_no_more(relay, member):
     work = member.begin()
     relay.exchange.take_state(member.state(RELAY), now=0.1)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     member.ledger.end(work)
     member.exchange.take(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
@@ -162,7 +162,7 @@
     member.begin(tokens=500.0)
     member.state(RELAY)
     relay.exchange.take_state(heard, now=0.1)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (2, 3500.0)
@@ -172,15 +172,15 @@
     """The second in order hears all states and keeps silent meanwhile."""
     relay.exchange.take_state(member.state(RELAY), now=0.0)
     relay.exchange.take_state(other.state(SECOND), now=0.0)
-    relay.beat(0.1)
+    relay.tick(0.1)
     assert relay.sent[-1][1] == (address_of(MEMBER),)
     relay.exchange.take_state(member.state(SECOND), now=0.2)
-    assert relay.beat(0.2) == []
+    assert relay.tick(0.2) == []
 
 
 def test_relay_tells_nobody_who_has_fallen_silent(relay, member):
     relay.exchange.take_state(member.state(RELAY), now=0.0)
-    assert relay.beat(gathered_work.TELLER_SECONDS) == []
+    assert relay.tick(gathered_work.TELLER_SECONDS) == []
 
 
 def test_second_in_order_takes_over_with_all_that_it_has_heard(
@@ -193,9 +193,9 @@
         state = vm.state(RELAY)
         relay.exchange.take_state(state, now=0.0)
         second.exchange.take_state(state, now=0.0)
-    assert second.beat(0.1) == []
+    assert second.tick(0.1) == []
     second.exchange.take_state(member.state(SECOND), now=0.5)
-    (news,) = second.beat(0.5)
+    (news,) = second.tick(0.5)
     member.exchange.take(news, now=0.5)
     assert member.ledger.load_of("u-1", now=0.5).running == 1
 
@@ -206,7 +206,7 @@
     own = relay.begin()
     relay.exchange.take_state(relay.state(RELAY), now=0.0)
     relay.exchange.take_state(other.state(RELAY), now=0.0)
-    relay.beat(0.1)
+    relay.tick(0.1)
     assert relay.ledger.load_of("u-1", now=0.1).running == 2
     relay.ledger.end(own)
     assert relay.ledger.load_of("u-1", now=0.1).running == 1
@@ -216,7 +216,7 @@
     other.begin()
     for vm in (member, other):
         relay.exchange.take_state(vm.state(RELAY), now=0.0)
-    (news,) = relay.beat(0.0)
+    (news,) = relay.tick(0.0)
     member.exchange.take(news, now=0.0)
     assert member.ledger.load_of("u-1", now=1.0).running == 1
     old = load_ledger.PEER_LOAD_SECONDS
@@ -225,10 +225,10 @@
 
 def test_overtaken_news_change_nothing(relay, member, other):
     relay.exchange.take_state(member.state(RELAY), now=0.0)
-    (first,) = relay.beat(0.0)
+    (first,) = relay.tick(0.0)
     other.begin()
     relay.exchange.take_state(other.state(RELAY), now=0.1)
-    (second,) = relay.beat(0.1)
+    (second,) = relay.tick(0.1)
     member.exchange.take(second, now=0.1)
     member.exchange.take(first, now=0.1)
     assert member.ledger.load_of("u-1", now=0.1).running == 1
@@ -247,7 +247,7 @@
         now=0.0,
     )
     relay.domains.hear("south", now=0.0)
-    (news,) = relay.beat(0.3)
+    (news,) = relay.tick(0.3)
     member.exchange.take(news, now=0.3)
     assert member.ledger.load_of("u-2", now=0.3).running == 5
     assert not member.domains.is_silent("south", now=0.9)
@@ -263,7 +263,7 @@
     relay.exchange.take_state(member.state(RELAY), now=0.0)
     other.begin(tokens=9000.0)
     relay.exchange.take_state(other.state(RELAY), now=0.0)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     assert member.homes.has("part", "u-1", now=0.1)
     assert member.pressed.keeps_out(POOL, 2, now=0.1)
@@ -274,11 +274,11 @@
     """A member tells the relay only; the others know of it all the same."""
     for vm in (member, other):
         relay.exchange.take_state(vm.state(RELAY), now=0.0)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     assert OTHER in member.table.neighbours()
     relay.exchange.take_state(other.state(RELAY, stopping=True), now=0.2)
-    (news,) = relay.beat(0.2)
+    (news,) = relay.tick(0.2)
     assert gathered_work.short_hash(OTHER) not in news.tellers
 
 
@@ -286,7 +286,7 @@
     relay.directory.take_entry(make_registration("u-1", port=1), now=0.0)
     relay.directory.take_leaving("u-1", start=0, source="store")
     relay.exchange.take_state(member.state(RELAY), now=0.0)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     assert [one.upstream for one in news.leaving_starts] == ["u-1"]
 
 
@@ -294,7 +294,7 @@
     other.begin()
     for vm in (member, other):
         relay.exchange.take_state(vm.state(RELAY), now=0.0)
-    (news,) = relay.beat(0.1)
+    (news,) = relay.tick(0.1)
     broken = dataclasses.replace(news, prefill_rates=b"")
     with pytest.raises(format_error.FormatError):
         member.exchange.take(broken, now=0.1)
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -78,7 +78,7 @@
         ),
         rng=random.Random(1),
     )
-    made.beat(now=0.0)
+    made.tick(now=0.0)
     return made
 
 
@@ -86,7 +86,7 @@
     beats = 0
     while True:
         beats += 1
-        if teller.beat(now=beats * 0.05) is not None:
+        if teller.tick(now=beats * 0.05) is not None:
             return beats
 
 
@@ -115,7 +115,7 @@
     after the change that they should have had.
     """
     known.take_changes((), 5)
-    teller.beat(now=0.1)
+    teller.tick(now=0.1)
     assert teller.was_reader
     known.take_store_doubtful()
     assert beats_until_told(teller) == 1
