--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -211,7 +211,7 @@
             higher_turned_away=self._parts.pressed.keeps_out(
                 call.pool.name, call.tier, now=now
             ),
-            floor_due=self._parts.let_in.is_due(profile, now=now),
+            floor_due=self._parts.admission_floor.is_due(profile, now=now),
         )
         return admission.admit(standing, ranked)
 
--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/parts.py
@@ -45,7 +45,7 @@
     directory: upstreams.UpstreamDirectory
     ledger: load_ledger.LoadLedger
     peers: peer_table.PeerTable
-    let_in: admission_floor.AdmissionFloor
+    admission_floor: admission_floor.AdmissionFloor
     pressed: pressure.Pressure
     homes: prompt_homes.PromptHomes
     domains: reach.DomainReach
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -247,7 +247,7 @@
                 directory=self.directory,
                 ledger=self._ledger,
                 peers=self._table,
-                let_in=self._let_in,
+                admission_floor=self._let_in,
                 pressed=self._pressed,
                 homes=self._homes,
                 domains=self._domains,
