--- a/packages/daemon/src/lagoonrun_daemon/shard_search.py
+++ b/packages/daemon/src/lagoonrun_daemon/shard_search.py
@@ -139,7 +139,7 @@
                 tier=self._call.resolved.profile.tier,
                 remaining_seconds=self._call.limit_at - now,
                 remaining_target_seconds=self._call.target_at - now,
-                most=_MAXIMUM_SHARDS_ASKED - self._asked,
+                max_shards=_MAXIMUM_SHARDS_ASKED - self._asked,
             )
         )
 
--- a/packages/policy/src/lagoonrun_policy/shards.py
+++ b/packages/policy/src/lagoonrun_policy/shards.py
@@ -94,7 +94,7 @@
     tier: types.Tier,
     remaining_seconds: float,
     remaining_target_seconds: float | None = None,
-    most: int | None = None,
+    max_shards: int | None = None,
 ) -> tuple[types.ShardId, ...]:
     """Return the shards to ask, in order.
 
@@ -137,7 +137,9 @@
         ),
         target_seconds=target,
     )
-    chosen = _choose(own, others, len(candidates) if most is None else most)
+    chosen = _choose(
+        own, others, len(candidates) if max_shards is None else max_shards
+    )
     return tuple(one.view.shard for one in chosen)
 
 
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shards.py
@@ -148,7 +148,7 @@
     asked = {"tier": tier, "remaining_seconds": remaining}
     asked["remaining_target_seconds"] = target
     order = shards.rank_shards(views, **asked)
-    few = shards.rank_shards(views, **asked, most=most)
+    few = shards.rank_shards(views, **asked, max_shards=most)
     assert len(few) == min(most, len(order))
     assert list(few) == [s for s in order if s in few]
     by_shard = {v.shard: v for v in views}
