--- a/packages/config/tests/test_follower.py
+++ b/packages/config/tests/test_follower.py
@@ -438,7 +438,7 @@
     rng = random.Random(2)
     upstreams = {}
     for index in range(3_000):
-        name = f"runner-{index}-{chance.getrandbits(32):x}"
+        name = f"runner-{index}-{rng.getrandbits(32):x}"
         upstreams[name] = dataclasses.replace(
             small_draft.upstreams_by_id["portal-1"],
             id=name,
--- a/packages/config/tests/test_snapshot.py
+++ b/packages/config/tests/test_snapshot.py
@@ -147,7 +147,7 @@
     rng = random.Random(5)
     fleet = {}
     for index in range(count):
-        name = types.UpstreamId(f"runner-{index:05d}-{chance.getrandbits(24)}")
+        name = types.UpstreamId(f"runner-{index:05d}-{rng.getrandbits(24)}")
         fleet[name] = model.Upstream(
             id=name,
             pool=types.PoolName(f"pool-{index % 40}"),
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -75,7 +75,7 @@
     def _second(self, now):
         running_by_place = [self._new_ones() for _ in range(self._pool)]
         self._admit_again(running_by_place, now)
-        cause = f"cause-{self._chance.randrange(self._causes)}"
+        cause = f"cause-{self._rng.randrange(self._causes)}"
         place = None
         if self._evidence.block_of(cause, now=now) is None:
             place = self._rng.randrange(self._pool)
--- a/packages/soak/src/lagoonrun_soak/faults.py
+++ b/packages/soak/src/lagoonrun_soak/faults.py
@@ -211,7 +211,7 @@
 
     async def _write_settings(self) -> None:
         taken = self._rng.choice(self._world.vms)
-        taken.write_settings(f"changed {self._chance.random()}")
+        taken.write_settings(f"changed {self._rng.random()}")
         if self._rng.random() < 0.5:
             taken.send(signal.SIGHUP)
 
