--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -33,7 +33,7 @@
     def __call__(
         self,
         at: running_requests.UpstreamInstance,
-        requests: frozenset[running_requests.RanRequest],
+        requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
         """Take in which requests of this entry VM ran there; maybe none."""
 
@@ -139,7 +139,7 @@
 
     def ran_at(
         self, at: running_requests.UpstreamInstance
-    ) -> frozenset[running_requests.RanRequest]:
+    ) -> frozenset[running_requests.SuspectRequest]:
         """Return the requests of this entry VM that ran at a crashed upstream.
 
         Another entry VM has noticed the crash; here callers may have left
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -113,7 +113,7 @@
     def take_crash(
         self,
         at: running_requests.UpstreamInstance,
-        requests: frozenset[running_requests.RanRequest],
+        requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
         """Hold a crash against the requests that ran there."""
         now = self._clock.monotonic()
@@ -304,7 +304,7 @@
 
 def _records(
     at: running_requests.UpstreamInstance,
-    requests: frozenset[running_requests.RanRequest],
+    requests: frozenset[running_requests.SuspectRequest],
     *,
     seen_at: float,
 ) -> tuple[crash_evidence.CrashRecord, ...]:
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RanRequest:
+class SuspectRequest:
     """A request as those who look into a crash know it.
 
     Parameters
@@ -106,12 +106,14 @@
 
     def ran_at(
         self, at: UpstreamInstance, *, now: float
-    ) -> frozenset[RanRequest]:
+    ) -> frozenset[SuspectRequest]:
         """Return the requests that ran at an upstream a moment ago."""
         self._forget_old(at, now)
         runs = self._runs_by_upstream.get(at, ())
         return frozenset(
-            RanRequest(digest=run.digest, route=run.route, silent=run.silent)
+            SuspectRequest(
+                digest=run.digest, route=run.route, silent=run.silent
+            )
             for run in runs
         )
 
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -12,8 +12,8 @@
     running_requests,
 )
 
-ONE = running_requests.RanRequest(digest="one", route="lookups")
-TWO = running_requests.RanRequest(digest="two", route="lookups")
+ONE = running_requests.SuspectRequest(digest="one", route="lookups")
+TWO = running_requests.SuspectRequest(digest="two", route="lookups")
 LONG_SECONDS = 10.0
 
 
