--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -76,7 +76,7 @@
         for news in self._messages(records, now):
             self._spreader.tell_all(news)
 
-    def hand_on(
+    def forward(
         self,
         told: router_messages.CrashNews,
         new: tuple[crash_evidence.CrashRecord, ...],
@@ -85,7 +85,7 @@
     ) -> None:
         """Hand on, as the relay, what was new from another failure domain."""
         for news in self._messages(new, now):
-            self._spreader.hand_on(news, origin=told.domain)
+            self._spreader.forward(news, origin=told.domain)
 
     @property
     def leads(self) -> bool:
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -47,7 +47,7 @@
     ) -> None:
         """Tell the whole fleet."""
 
-    def hand_on(
+    def forward(
         self,
         told: router_messages.CrashNews,
         new: tuple[crash_evidence.CrashRecord, ...],
@@ -146,7 +146,7 @@
         own = self._own_records(told, now)
         self._tell(own, now)
         if self.news is not None:
-            self.news.hand_on(news, new, now=now)
+            self.news.forward(news, new, now=now)
         for one in self._note_blocked((*new, *own), source=news.entry_vm):
             stored = one.request in self._stored
             if self.news is not None and self.news.leads and not stored:
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -76,7 +76,7 @@
         ]
         new = tuple(one for one in changed if one is not None)
         if new:
-            self._spreader.hand_on(self._message(new, now), origin=news.domain)
+            self._spreader.forward(self._message(new, now), origin=news.domain)
 
     def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard, every few calls."""
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -71,7 +71,7 @@
         self._send(message, self._table.near_addresses())
         self._send(message, self._fleet.far_addresses())
 
-    def hand_on(
+    def forward(
         self,
         message: router_messages.RouterMessage,
         *,
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -63,7 +63,7 @@
             until=now + news.left_milliseconds / 1000.0,
         )
         if self._rests.take_told(rest, source=news.entry_vm, now=now):
-            self._spreader.hand_on(news, origin=news.domain)
+            self._spreader.forward(news, origin=news.domain)
 
     def _forget_told(self, now: float) -> None:
         for at, told_at in tuple(self._told_at_by_start.items()):
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -132,11 +132,11 @@
     message = sent[0][0]
     far = type(message)(entry_vm="far-1", domain="south", runs=message.runs)
     sent.clear()
-    news.hand_on(far, (record(1),), now=NOW)
+    news.forward(far, (record(1),), now=NOW)
     assert sent == []
     fleet.leading = True
-    news.hand_on(far, (), now=NOW)
-    news.hand_on(message, (record(1),), now=NOW)
+    news.forward(far, (), now=NOW)
+    news.forward(message, (record(1),), now=NOW)
     assert sent == []
-    news.hand_on(far, (record(1),), now=NOW)
+    news.forward(far, (record(1),), now=NOW)
     assert [to for _, to in sent] == [tuple(NEAR.values())]
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -56,7 +56,7 @@
         del now
         self.told.extend(records)
 
-    def hand_on(self, told, new, *, now):
+    def forward(self, told, new, *, now):
         """Hand on nothing."""
 
 
