--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -208,7 +208,7 @@
             tier=call.tier,
             tiers=call.pool_tiers,
             patience_seconds=call.patience_seconds,
-            higher_turned_away=self._parts.pressed.keeps_out(
+            higher_turned_away=self._parts.pressed.higher_tier_pressed(
                 call.pool.name, call.tier, now=now
             ),
             floor_due=self._parts.admission_floor.is_due(profile, now=now),
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -85,7 +85,7 @@
         self._told_by_peer.clear()
         self._fleet = _Told(pressed=pressed, at=now)
 
-    def keeps_out(
+    def higher_tier_pressed(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> bool:
         """Return whether a higher tier of the pool cannot be served."""
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -251,7 +251,7 @@
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
     assert far_relay.homes.has("part", "u-1", now=0.1)
-    assert far_relay.pressed.keeps_out("pool", 2, now=0.1)
+    assert far_relay.pressed.higher_tier_pressed("pool", 2, now=0.1)
 
 
 async def test_loads_reach_entry_vms_of_another_domain(world_of):
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -266,7 +266,7 @@
     (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     assert member.homes.has("part", "u-1", now=0.1)
-    assert member.pressed.keeps_out(POOL, 2, now=0.1)
+    assert member.pressed.higher_tier_pressed(POOL, 2, now=0.1)
     assert member.ledger.recent_prefill("u-1", now=0.1) > 1000.0
 
 
