--- a/packages/daemon/src/lagoonrun_daemon/execution.py
+++ b/packages/daemon/src/lagoonrun_daemon/execution.py
@@ -228,9 +228,9 @@
             self._note("retry-denied", decided.reason.value)
             return False
         remaining = self._call.limit_at - self._services.clock.monotonic()
-        if decided.pause_seconds >= remaining:
+        if decided.delay_seconds >= remaining:
             return False
-        await asyncio.sleep(decided.pause_seconds)
+        await asyncio.sleep(decided.delay_seconds)
         return True
 
     def _may_repeat(self) -> bool:
--- a/packages/policy/src/lagoonrun_policy/retries.py
+++ b/packages/policy/src/lagoonrun_policy/retries.py
@@ -37,7 +37,7 @@
 class RetryGranted:
     """Try again after the pause."""
 
-    pause_seconds: float
+    delay_seconds: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -124,7 +124,7 @@
             return RetryDenied(reason=outcomes.Reason.RETRY_BUDGET)
         self._saved_by_name[profile] = saved - cost
         return RetryGranted(
-            pause_seconds=backoff_seconds(
+            delay_seconds=backoff_seconds(
                 request_id=request_id, attempts=attempts
             )
         )
@@ -143,7 +143,7 @@
     if attempts >= _UNREACHED_UPSTREAMS:
         return RetryDenied(reason=outcomes.Reason.UPSTREAM_CONNECT)
     return RetryGranted(
-        pause_seconds=backoff_seconds(request_id=request_id, attempts=attempts)
+        delay_seconds=backoff_seconds(request_id=request_id, attempts=attempts)
     )
 
 
