--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -231,10 +231,10 @@
         if self._table.has_relay:
             self._gathered.take_domain(news, now=now)
             return from_relay
-        self._ledger.take_told(
+        self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
-        self._pressed.take_told(
+        self._pressed.apply_report(
             news.domain, peer_loads.pressed_of(news.pressed), now=now
         )
         if from_relay:
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -108,7 +108,9 @@
         """
         self._gathered.take_state(state, now=now)
         for placement in state.placements:
-            self._homes.take_told(placement.part, placement.upstream, now=now)
+            self._homes.apply_report(
+                placement.part, placement.upstream, now=now
+            )
         if state.relay == self._entry_vm and not state.stopping:
             self._readers_by_id[state.entry_vm] = now
         else:
--- a/packages/router/src/lagoonrun_router/gathered_work.py
+++ b/packages/router/src/lagoonrun_router/gathered_work.py
@@ -53,10 +53,10 @@
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
         """Replace what is known of a neighbour, or of this entry VM."""
-        self._ledger.take_told(
+        self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
-        self._pressed.take_told(
+        self._pressed.apply_report(
             state.entry_vm, peer_loads.pressed_of(state.pressed), now=now
         )
         if state.stopping:
@@ -74,10 +74,10 @@
     ) -> None:
         """Replace what is known of another failure domain."""
         self._domains.add(news.domain)
-        self._ledger.take_told(
+        self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
-        self._pressed.take_told(
+        self._pressed.apply_report(
             news.domain, peer_loads.pressed_of(news.pressed), now=now
         )
 
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -69,7 +69,7 @@
     def take(self, news: router_messages.LimitNews, *, now: float) -> None:
         """Take in what a peer knows, and hand on what is new."""
         changed = [
-            self._limits.take_told(
+            self._limits.apply_report(
                 statement_of(one, now=now), source=news.entry_vm, now=now
             )
             for one in news.limits
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -123,7 +123,7 @@
 
     # What peers tell.
 
-    def take_told(
+    def apply_report(
         self,
         peer: types.LoadTeller,
         loads_by_upstream: Mapping[types.UpstreamId, loads.Load],
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -462,11 +462,13 @@
             if state.relay == own or own in self._relays.on_duty(now=now):
                 self._fleet_news.take_state(state, now=now)
             return
-        self._ledger.take_told(
+        self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
-        self._pressed.take_told(
+        self._pressed.apply_report(
             state.entry_vm, peer_loads.pressed_of(state.pressed), now=now
         )
         for placement in state.placements:
-            self._homes.take_told(placement.part, placement.upstream, now=now)
+            self._homes.apply_report(
+                placement.part, placement.upstream, now=now
+            )
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -278,7 +278,7 @@
     def take_question(self, asked: router_messages.PlaceRequest) -> None:
         """Answer a question, or pass it on as the relay of who asks."""
         now = self._clock.monotonic()
-        self._limits.take_told(
+        self._limits.apply_report(
             limit_news.statement_of(asked.limit, now=now),
             source=asked.entry_vm,
             now=now,
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -70,7 +70,7 @@
         self._own_by_place.setdefault(place, []).append(now)
         self.changed = True
 
-    def take_told(
+    def apply_report(
         self,
         peer: types.LoadTeller,
         pressed: tuple[Pressed, ...],
--- a/packages/router/src/lagoonrun_router/prompt_homes.py
+++ b/packages/router/src/lagoonrun_router/prompt_homes.py
@@ -77,10 +77,10 @@
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record an own placement, which others are to be told."""
-        self.take_told(part, upstream, now=now)
+        self.apply_report(part, upstream, now=now)
         self._own.add(part, upstream)
 
-    def take_told(
+    def apply_report(
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record a placement of the own failure domain."""
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -62,7 +62,7 @@
             ),
             until=now + news.left_milliseconds / 1000.0,
         )
-        if self._rests.take_told(rest, source=news.entry_vm, now=now):
+        if self._rests.apply_report(rest, source=news.entry_vm, now=now):
             self._spreader.forward(news, origin=news.domain)
 
     def _forget_told(self, now: float) -> None:
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -131,7 +131,7 @@
             now=now,
         )
 
-    def take_told(
+    def apply_report(
         self, statement: LimitStatement, *, source: str, now: float
     ) -> LimitStatement | None:
         """Take in what a peer was told; return it where that is news."""
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -110,7 +110,7 @@
         )
         return Rest(at=at, until=now + seconds)
 
-    def take_told(self, rest: Rest, *, source: str, now: float) -> bool:
+    def apply_report(self, rest: Rest, *, source: str, now: float) -> bool:
         """Take in what a peer was asked for; return whether it is news."""
         until = min(rest.until, now + LONGEST_REST_SECONDS)
         # What is left of a rest is told without the time on the way, so that
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -151,7 +151,7 @@
     An entry VM of another domain has to know of both, and of nothing twice.
     """
     begin(relay, 3000.0, now=0.0)
-    relay.ledger.take_told(
+    relay.ledger.apply_report(
         neighbour_of(relay),
         {"u-1": loads.Load(waiting_by_tier=(4000.0,), running=1)},
         now=0.0,
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -41,15 +41,15 @@
 
 def test_what_peers_told_is_added_until_it_is_old(ledger):
     told = {"u-1": loads.Load(waiting_by_tier=(500.0,), running=2)}
-    ledger.take_told("vm-2", told, now=10.0)
-    ledger.take_told("vm-3", told, now=10.0)
+    ledger.apply_report("vm-2", told, now=10.0)
+    ledger.apply_report("vm-3", told, now=10.0)
     assert ledger.load_of("u-1", now=10.1).running == 4
     old = 10.0 + load_ledger.PEER_LOAD_SECONDS
     assert ledger.load_of("u-1", now=old).running == 0
 
 
 def test_lost_peer_counts_no_more(ledger):
-    ledger.take_told("vm-2", {"u-1": loads.Load(running=2)}, now=10.0)
+    ledger.apply_report("vm-2", {"u-1": loads.Load(running=2)}, now=10.0)
     ledger.forget_peer("vm-2")
     assert ledger.load_of("u-1", now=10.0).running == 0
 
@@ -72,9 +72,9 @@
 
 def test_told_prompts_count_as_recent_once(ledger):
     told = {"u-1": loads.Load(waiting_by_tier=(1000.0,), running=1)}
-    ledger.take_told("vm-2", told, now=0.0)
+    ledger.apply_report("vm-2", told, now=0.0)
     once = ledger.recent_prefill("u-1", now=0.0)
-    ledger.take_told("vm-2", told, now=0.0)
+    ledger.apply_report("vm-2", told, now=0.0)
     assert ledger.recent_prefill("u-1", now=0.0) == pytest.approx(once)
 
 
@@ -116,7 +116,7 @@
     ledger.begin(lost, now=0.0)
     ledger.add_failure("u-1", now=0.0)
     told = {"u-1": loads.Load(running=2), "u-2": loads.Load(running=3)}
-    ledger.take_told("vm-2", told, now=0.0)
+    ledger.apply_report("vm-2", told, now=0.0)
     ledger.forget_start("u-1")
     assert ledger.load_of("u-1", now=0.0) == loads.NO_LOAD
     assert ledger.failures("u-1", now=0.0) == 0.0
@@ -153,7 +153,7 @@
     now = 0.0
     for teller, told, pause in steps:
         now += pause
-        ledger.take_told(teller, told, now=now)
+        ledger.apply_report(teller, told, now=now)
         latest[teller] = (now, told)
         for upstream in ("u-1", "u-2", "u-3"):
             known = [
--- a/packages/router/tests/test_pressure.py
+++ b/packages/router/tests/test_pressure.py
@@ -34,26 +34,26 @@
     half, with half of the runners free.
     """
     note(pressed, 1)
-    pressed.take_told("vm-2", told(1), now=0.0)
+    pressed.apply_report("vm-2", told(1), now=0.0)
     assert not pressed.higher_tier_pressed("p", 3, now=0.1)
 
 
 def test_failures_at_all_entry_vms_count_together(pressed):
     note(pressed, 1)
-    pressed.take_told("vm-2", told(1), now=0.0)
-    pressed.take_told("vm-3", told(1), now=0.0)
+    pressed.apply_report("vm-2", told(1), now=0.0)
+    pressed.apply_report("vm-3", told(1), now=0.0)
     assert pressed.higher_tier_pressed("p", 3, now=0.1)
 
 
 def test_peer_that_tells_again_is_not_counted_twice(pressed):
     for now in (0.0, 0.1, 0.2):
-        pressed.take_told("vm-2", told(1), now=now)
+        pressed.apply_report("vm-2", told(1), now=now)
     assert not pressed.higher_tier_pressed("p", 3, now=0.3)
 
 
 def test_pressure_ends_by_itself(pressed):
     note(pressed, 5)
-    pressed.take_told("vm-2", told(5), now=0.0)
+    pressed.apply_report("vm-2", told(5), now=0.0)
     later = pressure.PRESSURE_SECONDS
     assert not pressed.higher_tier_pressed("p", 3, now=later)
     assert pressed.recent(now=later) == ()
@@ -75,6 +75,6 @@
 
 
 def test_sum_of_the_fleet_replaces_what_single_peers_told(pressed):
-    pressed.take_told("vm-2", told(3), now=0.0)
+    pressed.apply_report("vm-2", told(3), now=0.0)
     pressed.take_fleet((), now=0.1)
     assert not pressed.higher_tier_pressed("p", 3, now=0.1)
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -20,7 +20,7 @@
 
 
 def test_recent_use_anywhere_is_seen(homes):
-    homes.take_told("p", "u-2", now=0.0)
+    homes.apply_report("p", "u-2", now=0.0)
     assert homes.used_lately("p", now=REUSE_SECONDS - 0.1)
     assert not homes.used_lately("p", now=REUSE_SECONDS)
     assert not homes.used_lately("q", now=0.0)
@@ -28,7 +28,7 @@
 
 def test_own_placements_are_told_once_and_told_ones_are_not_passed_on(homes):
     homes.place("p", "u-1", now=0.0)
-    homes.take_told("q", "u-2", now=0.0)
+    homes.apply_report("q", "u-2", now=0.0)
     assert homes.take_own() == {"p": "u-1"}
     assert homes.take_own() == {}
 
@@ -45,7 +45,7 @@
 
 def test_number_of_parts_is_bounded(homes):
     for number in range(9000):
-        homes.take_told(f"p-{number}", "u-1", now=0.0)
+        homes.apply_report(f"p-{number}", "u-1", now=0.0)
     assert not homes.has("p-0", "u-1", now=0.0)
     assert homes.has("p-8999", "u-1", now=0.0)
 
@@ -73,7 +73,7 @@
     Other domains are told of this one only: they hear from each domain itself.
     """
     homes.place("own", "u-1", now=0.0)
-    homes.take_told("near", "u-2", now=0.0)
+    homes.apply_report("near", "u-2", now=0.0)
     homes.take_far("far", "u-3", now=0.0)
     homes.take_relayed("known", "u-4", now=0.0)
     assert homes.take_for_other_domains() == {"own": "u-1", "near": "u-2"}
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -30,7 +30,7 @@
     statement = upstream_limits.LimitStatement(
         at=AT, requests_per_second=per_second, heard_at=heard_at
     )
-    return limits.take_told(statement, source="vm-2", now=now)
+    return limits.apply_report(statement, source="vm-2", now=now)
 
 
 def test_limit_holds_until_an_answer_names_none(limits):
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -54,10 +54,10 @@
 
 def test_told_rest_spares_and_does_not_close(rests):
     rest = upstream_rests.Rest(at=AT, until=NOW + 2.0)
-    assert rests.take_told(rest, source="vm-2", now=NOW)
-    assert not rests.take_told(rest, source="vm-3", now=NOW)
+    assert rests.apply_report(rest, source="vm-2", now=NOW)
+    assert not rests.apply_report(rest, source="vm-3", now=NOW)
     late = upstream_rests.Rest(at=AT, until=NOW + 2.01)
-    assert not rests.take_told(late, source="vm-3", now=NOW + 0.01)
+    assert not rests.apply_report(late, source="vm-3", now=NOW + 0.01)
     assert rests.rest_seconds(AT, now=NOW) == 0.0
     assert rests.is_spared(AT, now=NOW + 1.9)
     assert not rests.is_spared(AT, now=NOW + 2.0)
