--- a/packages/router/src/lagoonrun_router/gathered_work.py
+++ b/packages/router/src/lagoonrun_router/gathered_work.py
@@ -113,11 +113,11 @@
         """Return the prompt tokens a second sent to `upstream` lately."""
         return self._ledger.recent_prefill(upstream, now=now)
 
-    def domain_pressed(self, *, now: float) -> tuple[pressure.Pressed, ...]:
+    def domain_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
         """Return what requests of the own failure domain met."""
         return self._pressed.recent_with(self._tellers_by_id, now=now)
 
-    def fleet_pressed(self, *, now: float) -> tuple[pressure.Pressed, ...]:
+    def fleet_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
         """Return what requests of the whole fleet met."""
         tellers = (*self._tellers_by_id, *self._domains)
         return self._pressed.recent_with(tellers, now=now)
--- a/packages/router/src/lagoonrun_router/peer_loads.py
+++ b/packages/router/src/lagoonrun_router/peer_loads.py
@@ -131,7 +131,7 @@
 
 
 def pressed(
-    tiers: Iterable[pressures.Pressed],
+    tiers: Iterable[pressures.PressedTier],
 ) -> tuple[router_messages.PressedTier, ...]:
     """Return what is told of tiers that could not be served."""
     return tuple(
@@ -144,9 +144,11 @@
 
 def pressed_of(
     told: Iterable[router_messages.PressedTier],
-) -> tuple[pressures.Pressed, ...]:
+) -> tuple[pressures.PressedTier, ...]:
     """Return the tiers that could not be served by what was told."""
     return tuple(
-        pressures.Pressed(pool=one.pool, tier=one.tier, requests=one.requests)
+        pressures.PressedTier(
+            pool=one.pool, tier=one.tier, requests=one.requests
+        )
         for one in told
     )
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Pressed:
+class PressedTier:
     """A tier of a pool that could not be served.
 
     Parameters
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Told:
-    pressed: tuple[Pressed, ...]
+    pressed: tuple[PressedTier, ...]
     at: float
 
 
@@ -73,14 +73,16 @@
     def apply_report(
         self,
         peer: types.LoadTeller,
-        pressed: tuple[Pressed, ...],
+        pressed: tuple[PressedTier, ...],
         *,
         now: float,
     ) -> None:
         """Replace what a peer told of its own requests."""
         self._told_by_peer[peer] = _Told(pressed=pressed, at=now)
 
-    def take_fleet(self, pressed: tuple[Pressed, ...], *, now: float) -> None:
+    def take_fleet(
+        self, pressed: tuple[PressedTier, ...], *, now: float
+    ) -> None:
         """Replace what was told of all entry VMs, this one included."""
         self._told_by_peer.clear()
         self._fleet = _Told(pressed=pressed, at=now)
@@ -102,7 +104,7 @@
 
     def recent_with(
         self, peers: Iterable[types.LoadTeller], *, now: float
-    ) -> tuple[Pressed, ...]:
+    ) -> tuple[PressedTier, ...]:
         """Return what own requests met and those of `peers`, together."""
         known = [*self.recent(now=now)]
         for peer in peers:
@@ -114,11 +116,11 @@
             place = _Place(pool=one.pool, tier=one.tier)
             requests_by_place[place] += one.requests
         return tuple(
-            Pressed(pool=place.pool, tier=place.tier, requests=requests)
+            PressedTier(pool=place.pool, tier=place.tier, requests=requests)
             for place, requests in requests_by_place.items()
         )
 
-    def recent(self, *, now: float) -> tuple[Pressed, ...]:
+    def recent(self, *, now: float) -> tuple[PressedTier, ...]:
         """Return what own requests met, for the other entry VMs."""
         for place, times in list(self._own_by_place.items()):
             kept = [at for at in times if now - at < PRESSURE_SECONDS]
@@ -127,13 +129,13 @@
             else:
                 del self._own_by_place[place]
         return tuple(
-            Pressed(pool=place.pool, tier=place.tier, requests=len(times))
+            PressedTier(pool=place.pool, tier=place.tier, requests=len(times))
             for place, times in self._own_by_place.items()
         )
 
 
 def _failed_before(
-    pressed: Iterable[Pressed], pool: types.PoolName, tier: types.Tier
+    pressed: Iterable[PressedTier], pool: types.PoolName, tier: types.Tier
 ) -> int:
     """Return how many requests of tiers above `tier` could not be served."""
     return sum(
--- a/packages/router/tests/test_pressure.py
+++ b/packages/router/tests/test_pressure.py
@@ -16,7 +16,7 @@
 
 
 def told(count, tier=1):
-    return (pressure.Pressed(pool="p", tier=tier, requests=count),)
+    return (pressure.PressedTier(pool="p", tier=tier, requests=count),)
 
 
 def test_only_lower_tiers_of_the_pool_are_kept_out(pressed):
