--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -145,7 +145,7 @@
         Another entry VM has noticed the crash; here callers may have left
         before.
         """
-        return self._running.ran_at(at, now=self._clock.monotonic())
+        return self._running.suspects_at(at, now=self._clock.monotonic())
 
     # Parts.
 
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -104,7 +104,7 @@
             self._remove(run)
         self._forget_old(run.at, now)
 
-    def ran_at(
+    def suspects_at(
         self, at: UpstreamInstance, *, now: float
     ) -> frozenset[SuspectRequest]:
         """Return the requests that ran at an upstream a moment ago."""
