--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -14,11 +14,11 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import standing_task, ticks, types
 from lagoonrun_duties import (
+    filtered_clock,
     platform_calls,
     runner_model,
     runner_orders,
     runner_plan,
-    true_time,
     usage_exchange,
     usage_reporter,
 )
@@ -93,7 +93,7 @@
         rank: Callable[[float], int | None],
         is_complete: Callable[[], bool],
         views: Callable[[], Sequence[runner_model.PoolView]],
-        time: true_time.TrueTime,
+        time: filtered_clock.TrueTime,
         clock: clocks.Clock,
         rng: random.Random,
         eras: store_eras.StoreEras | None = None,
--- a/packages/duties/src/lagoonrun_duties/usage_reporter.py
+++ b/packages/duties/src/lagoonrun_duties/usage_reporter.py
@@ -6,8 +6,8 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import errors, events, logs, types
 from lagoonrun_duties import (
+    filtered_clock,
     platform_calls,
-    true_time,
     usage_record,
 )
 from lagoonrun_orders import tenure as tenures
@@ -58,7 +58,7 @@
         ],
         is_complete: Callable[[], bool],
         eras: store_eras.StoreEras,
-        time: true_time.TrueTime,
+        time: filtered_clock.TrueTime,
         clock: clocks.Clock,
     ) -> None:
         self._configured = configured
--- a/packages/duties/tests/test_true_time.py
+++ b/packages/duties/tests/test_true_time.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lagoonrun_duties import true_time
+from lagoonrun_duties import filtered_clock
 
 
 class _JumpingClock:
@@ -28,7 +28,7 @@
     The clock of the holder jumps forwards by seconds and back again a moment
     later, as a wrong time server would make it.
     """
-    time = true_time.TrueTime(clock=jumping)
+    time = filtered_clock.TrueTime(clock=jumping)
     for _ in range(50):
         jumping.steady += 1.0
         jumping.ahead = 4.0
@@ -40,15 +40,15 @@
 
 def test_jump_that_lasts_is_believed(jumping):
     """The clock was wrong at the start and is set right later."""
-    time = true_time.TrueTime(clock=jumping)
+    time = filtered_clock.TrueTime(clock=jumping)
     jumping.ahead = -4.0
     time.now()
-    jumping.steady += true_time.LASTING_SECONDS
+    jumping.steady += filtered_clock.LASTING_SECONDS
     assert time.now() == pytest.approx(1_000_000.0 + jumping.steady - 4.0)
 
 
 def test_drift_is_followed_at_once(jumping):
-    time = true_time.TrueTime(clock=jumping)
+    time = filtered_clock.TrueTime(clock=jumping)
     for _ in range(20):
         jumping.steady += 1.0
         jumping.ahead += 0.1
--- a/packages/duties/tests/test_usage_reporter.py
+++ b/packages/duties/tests/test_usage_reporter.py
@@ -4,8 +4,8 @@
 
 from lagoonrun_core import types
 from lagoonrun_duties import (
+    filtered_clock,
     platform_calls,
-    true_time,
     usage_record,
     usage_reporter,
 )
@@ -45,7 +45,7 @@
             counts_of=lambda window: {"house": self.count},
             is_complete=lambda: self.complete,
             eras=self.eras,
-            time=true_time.TrueTime(clock=clock),
+            time=filtered_clock.TrueTime(clock=clock),
             clock=clock,
         )
 
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -8,9 +8,9 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import types
 from lagoonrun_duties import (
+    filtered_clock,
     platform_calls,
     runner_model,
-    true_time,
     usage_exchange,
 )
 from lagoonrun_platform import store as store_module
@@ -59,7 +59,7 @@
     def __init__(
         self, *, configured: settings.RouterSettings, clock: clocks.Clock
     ) -> None:
-        self.time = true_time.TrueTime(clock=clock)
+        self.time = filtered_clock.TrueTime(clock=clock)
         self.send: Callable[
             [router_messages.UsageNews, types.EntryVmId], None
         ] = _send_nowhere
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -18,9 +18,9 @@
 from lagoonrun_core import types
 from lagoonrun_duties import (
     duties,
+    filtered_clock,
     platform_calls,
     runner_model,
-    true_time,
     usage_exchange,
     usage_reporter,
 )
@@ -37,7 +37,7 @@
     return_seconds=3.0,
 )
 STEP_SECONDS = 0.25
-WRONG_SECONDS = true_time.LASTING_SECONDS / 2
+WRONG_SECONDS = filtered_clock.LASTING_SECONDS / 2
 
 
 def pool(now):
@@ -184,7 +184,7 @@
         clock = _VmClock(self.clock)
         store = _VmStore(self.memory)
         platform = _VmPlatform(self.judge, self.clock, name)
-        time = true_time.TrueTime(clock=clock)
+        time = filtered_clock.TrueTime(clock=clock)
         exchange = usage_exchange.UsageExchange(
             entry_vm=name,
             domain="north",
