--- a/packages/daemon/src/lagoonrun_daemon/execution.py
+++ b/packages/daemon/src/lagoonrun_daemon/execution.py
@@ -70,7 +70,7 @@
 
     async def run(self) -> outcomes.Ending:
         """Return how the call ended, after the caller has been answered."""
-        self._services.budget.note_first_attempt(
+        self._services.budget.record_first_attempt(
             self._call.resolved.profile.name
         )
         outcome = outcomes.Outcome.UNKNOWN
--- a/packages/policy/src/lagoonrun_policy/retries.py
+++ b/packages/policy/src/lagoonrun_policy/retries.py
@@ -75,7 +75,7 @@
             if name in classes_by_name
         }
 
-    def note_first_attempt(self, profile: types.ProfileName) -> None:
+    def record_first_attempt(self, profile: types.ProfileName) -> None:
         """Earn the class its fraction of a retry."""
         policy = self._classes_by_name.get(profile)
         if policy is None:
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -19,7 +19,7 @@
 
     def decide(profile="lookup", first=True, **changes):
         if first:
-            budget.note_first_attempt(types.ProfileName(profile))
+            budget.record_first_attempt(types.ProfileName(profile))
         fields = {
             "profile": types.ProfileName(profile),
             "request_id": types.RequestId("q1"),
