--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -193,7 +193,7 @@
         sequence_by_teller = dict(
             zip(news.tellers, news.teller_sequences, strict=False)
         )
-        self._ledger.take_fleet(
+        self._ledger.apply_fleet_report(
             fleet_loads.FleetLoads(
                 told=news.loads,
                 prefill_rates=news.prefill_rates,
@@ -201,7 +201,9 @@
             ),
             now=now,
         )
-        self._pressed.take_fleet(peer_loads.pressed_of(news.pressed), now=now)
+        self._pressed.apply_fleet_report(
+            peer_loads.pressed_of(news.pressed), now=now
+        )
         for placement in news.placements:
             self._homes.take_relayed(
                 placement.part, placement.upstream, now=now
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -143,7 +143,9 @@
         """Drop what a lost peer told."""
         self._take_back(peer)
 
-    def take_fleet(self, told: fleet_loads.FleetLoads, *, now: float) -> None:
+    def apply_fleet_report(
+        self, told: fleet_loads.FleetLoads, *, now: float
+    ) -> None:
         """Replace all that was told by the sum that a relay tells."""
         for peer in tuple(self._told_by_peer):
             self._take_back(peer)
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -80,7 +80,7 @@
         """Replace what a peer told of its own requests."""
         self._told_by_peer[peer] = _Told(pressed=pressed, at=now)
 
-    def take_fleet(
+    def apply_fleet_report(
         self, pressed: tuple[PressedTier, ...], *, now: float
     ) -> None:
         """Replace what was told of all entry VMs, this one included."""
--- a/packages/router/tests/test_pressure.py
+++ b/packages/router/tests/test_pressure.py
@@ -65,9 +65,9 @@
     Two of its own must not become the three that keep lower tiers out.
     """
     note(pressed, 2)
-    pressed.take_fleet(told(2), now=0.0)
+    pressed.apply_fleet_report(told(2), now=0.0)
     assert not pressed.higher_tier_pressed("p", 3, now=0.1)
-    pressed.take_fleet(told(3), now=0.1)
+    pressed.apply_fleet_report(told(3), now=0.1)
     assert pressed.higher_tier_pressed("p", 3, now=0.1)
     assert not pressed.higher_tier_pressed(
         "p", 3, now=0.1 + pressure.PRESSURE_SECONDS
@@ -76,5 +76,5 @@
 
 def test_sum_of_the_fleet_replaces_what_single_peers_told(pressed):
     pressed.apply_report("vm-2", told(3), now=0.0)
-    pressed.take_fleet((), now=0.1)
+    pressed.apply_fleet_report((), now=0.1)
     assert not pressed.higher_tier_pressed("p", 3, now=0.1)
