--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/parts.py
@@ -16,7 +16,7 @@
     metrics,
     peer_table,
     pressure,
-    prompt_homes,
+    prompt_locations,
     reach,
     retry_budget,
     upstream_notices,
@@ -47,7 +47,7 @@
     peers: peer_table.PeerTable
     admission_floor: admission_floor.AdmissionFloor
     pressed: pressure.Pressure
-    homes: prompt_homes.PromptHomes
+    homes: prompt_locations.PromptHomes
     domains: reach.DomainReach
     budget: retry_budget.RetryBudget
     client: http_upstream.UpstreamClient
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -33,7 +33,7 @@
     peer_table,
     peers,
     pressure,
-    prompt_homes,
+    prompt_locations,
     reach,
     retry_budget,
     route_table,
@@ -119,7 +119,7 @@
         self.metrics = metrics.RouterMetrics()
         self.directory = upstreams.UpstreamDirectory()
         self._ledger = load_ledger.LoadLedger()
-        self._homes = prompt_homes.PromptHomes(
+        self._homes = prompt_locations.PromptHomes(
             reuse_seconds=configured.reuse_seconds
         )
         self._domains = reach.DomainReach()
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -2,21 +2,21 @@
 
 import pytest
 
-from lagoonrun_router import prompt_homes
+from lagoonrun_router import prompt_locations
 
 REUSE_SECONDS = 7.0
 
 
 @pytest.fixture
 def homes():
-    return prompt_homes.PromptHomes(reuse_seconds=REUSE_SECONDS)
+    return prompt_locations.PromptHomes(reuse_seconds=REUSE_SECONDS)
 
 
 def test_part_is_at_its_upstream_until_it_is_old(homes):
     homes.place("p", "u-1", now=0.0)
     assert homes.has("p", "u-1", now=1.0)
     assert not homes.has("p", "u-2", now=1.0)
-    assert not homes.has("p", "u-1", now=prompt_homes.KEPT_SECONDS)
+    assert not homes.has("p", "u-1", now=prompt_locations.KEPT_SECONDS)
 
 
 def test_recent_use_anywhere_is_seen(homes):
