--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -137,7 +137,7 @@
 
     # What others tell.
 
-    def ran_at(
+    def suspects_at(
         self, at: running_requests.UpstreamInstance
     ) -> frozenset[running_requests.SuspectRequest]:
         """Return the requests of this entry VM that ran at a crashed upstream.
@@ -177,7 +177,7 @@
         at: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
-        requests = self.ran_at(at)
+        requests = self.suspects_at(at)
         self._remember(at)
         self._metrics.upstream_crashes.labels(upstream.pool).inc()
         logs.emit(
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -227,7 +227,7 @@
         }
         found: list[crash_evidence.CrashRecord] = []
         for at in news:
-            records = _records(at, self._watch.ran_at(at), seen_at=now)
+            records = _records(at, self._watch.suspects_at(at), seen_at=now)
             found.extend(self._take(records, now))
         return tuple(found)
 
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.ran_by_upstream = {}
 
-    def ran_at(self, at):
+    def suspects_at(self, at):
         """Return what the test put there."""
         return self.ran_by_upstream.get(at, frozenset())
 
--- a/packages/router/tests/test_running_requests.py
+++ b/packages/router/tests/test_running_requests.py
@@ -17,14 +17,14 @@
 
 def ran(running, now):
     """Return the digests of what ran at `AT` a moment before `now`."""
-    return {one.digest for one in running.ran_at(AT, now=now)}
+    return {one.digest for one in running.suspects_at(AT, now=now)}
 
 
 def test_requests_under_way_ran_there(running):
     running.begin("one", route="r", at=AT)
     running.begin("two", route="r", at=AT)
     assert ran(running, LONG_AFTER) == {"one", "two"}
-    assert running.ran_at(RESTARTED, now=NOW) == frozenset()
+    assert running.suspects_at(RESTARTED, now=NOW) == frozenset()
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,9 @@
 def test_request_whose_answer_has_begun_is_told_apart(running):
     running.begin("one", route="r", at=AT)
     running.begin("two", route="r", at=AT).silent = False
-    silent = {one.digest for one in running.ran_at(AT, now=NOW) if one.silent}
+    silent = {
+        one.digest for one in running.suspects_at(AT, now=NOW) if one.silent
+    }
     assert silent == {"one"}
 
 
