--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -93,7 +93,7 @@
         rank: Callable[[float], int | None],
         is_complete: Callable[[], bool],
         views: Callable[[], Sequence[runner_model.PoolView]],
-        time: filtered_clock.TrueTime,
+        time: filtered_clock.FilteredClock,
         clock: clocks.Clock,
         rng: random.Random,
         eras: store_eras.StoreEras | None = None,
--- a/packages/duties/src/lagoonrun_duties/filtered_clock.py
+++ b/packages/duties/src/lagoonrun_duties/filtered_clock.py
@@ -20,7 +20,7 @@
 a minute; until then a window would be off by the jump."""
 
 
-class TrueTime:
+class FilteredClock:
     """Readings of the wall clock without its short jumps.
 
     Parameters
--- a/packages/duties/src/lagoonrun_duties/usage_reporter.py
+++ b/packages/duties/src/lagoonrun_duties/usage_reporter.py
@@ -58,7 +58,7 @@
         ],
         is_complete: Callable[[], bool],
         eras: store_eras.StoreEras,
-        time: filtered_clock.TrueTime,
+        time: filtered_clock.FilteredClock,
         clock: clocks.Clock,
     ) -> None:
         self._configured = configured
--- a/packages/duties/tests/test_true_time.py
+++ b/packages/duties/tests/test_true_time.py
@@ -28,7 +28,7 @@
     The clock of the holder jumps forwards by seconds and back again a moment
     later, as a wrong time server would make it.
     """
-    time = filtered_clock.TrueTime(clock=jumping)
+    time = filtered_clock.FilteredClock(clock=jumping)
     for _ in range(50):
         jumping.steady += 1.0
         jumping.ahead = 4.0
@@ -40,7 +40,7 @@
 
 def test_jump_that_lasts_is_believed(jumping):
     """The clock was wrong at the start and is set right later."""
-    time = filtered_clock.TrueTime(clock=jumping)
+    time = filtered_clock.FilteredClock(clock=jumping)
     jumping.ahead = -4.0
     time.now()
     jumping.steady += filtered_clock.LASTING_SECONDS
@@ -48,7 +48,7 @@
 
 
 def test_drift_is_followed_at_once(jumping):
-    time = filtered_clock.TrueTime(clock=jumping)
+    time = filtered_clock.FilteredClock(clock=jumping)
     for _ in range(20):
         jumping.steady += 1.0
         jumping.ahead += 0.1
--- a/packages/duties/tests/test_usage_reporter.py
+++ b/packages/duties/tests/test_usage_reporter.py
@@ -45,7 +45,7 @@
             counts_of=lambda window: {"house": self.count},
             is_complete=lambda: self.complete,
             eras=self.eras,
-            time=filtered_clock.TrueTime(clock=clock),
+            time=filtered_clock.FilteredClock(clock=clock),
             clock=clock,
         )
 
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -59,7 +59,7 @@
     def __init__(
         self, *, configured: settings.RouterSettings, clock: clocks.Clock
     ) -> None:
-        self.time = filtered_clock.TrueTime(clock=clock)
+        self.time = filtered_clock.FilteredClock(clock=clock)
         self.send: Callable[
             [router_messages.UsageNews, types.EntryVmId], None
         ] = _send_nowhere
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -184,7 +184,7 @@
         clock = _VmClock(self.clock)
         store = _VmStore(self.memory)
         platform = _VmPlatform(self.judge, self.clock, name)
-        time = filtered_clock.TrueTime(clock=clock)
+        time = filtered_clock.FilteredClock(clock=clock)
         exchange = usage_exchange.UsageExchange(
             entry_vm=name,
             domain="north",
