--- a/packages/daemon/src/lagoonrun_daemon/dispatcher.py
+++ b/packages/daemon/src/lagoonrun_daemon/dispatcher.py
@@ -23,7 +23,7 @@
 )
 from lagoonrun_policy import features, scheduler
 from lagoonrun_policy import messages as policy_messages
-from lagoonrun_policy import shards as policy_shards
+from lagoonrun_policy import shard_ranking as policy_shards
 from lagoonrun_protocol import messages
 
 _LONGEST_SLEEP_SECONDS = 1.0
--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -10,7 +10,7 @@
 from lagoonrun_core import types
 from lagoonrun_daemon import shards
 from lagoonrun_membership import membership, ranking
-from lagoonrun_policy import shards as policy_shards
+from lagoonrun_policy import shard_ranking as policy_shards
 from lagoonrun_protocol import messages
 
 _OWN_SHARDS_ASKED = 2
--- a/packages/daemon/src/lagoonrun_daemon/shard_search.py
+++ b/packages/daemon/src/lagoonrun_daemon/shard_search.py
@@ -7,7 +7,7 @@
 from lagoonrun_daemon import permit_types
 from lagoonrun_daemon import services as daemon_services
 from lagoonrun_membership import shards as membership_shards
-from lagoonrun_policy import shards as policy_shards
+from lagoonrun_policy import shard_ranking as policy_shards
 
 _MAXIMUM_SHARDS_ASKED = 5
 
--- a/packages/daemon/src/lagoonrun_daemon/summaries.py
+++ b/packages/daemon/src/lagoonrun_daemon/summaries.py
@@ -6,7 +6,7 @@
 
 from lagoonrun_core import types
 from lagoonrun_daemon import dispatcher as dispatchers
-from lagoonrun_policy import shards as policy_shards
+from lagoonrun_policy import shard_ranking as policy_shards
 from lagoonrun_protocol import messages
 
 SUMMARY_PERIOD_SECONDS = 0.5
--- a/packages/policy/src/lagoonrun_policy/scheduler.py
+++ b/packages/policy/src/lagoonrun_policy/scheduler.py
@@ -15,8 +15,8 @@
     messages,
     records,
     shard,
+    shard_ranking,
     shard_status,
-    shards,
     slots,
     summaries,
 )
@@ -136,7 +136,7 @@
         queued = self._slots.permits.queued_by_key.values()
         return [one.waiting.request for one in queued]
 
-    def summary(self, *, now: float) -> shards.ShardView:
+    def summary(self, *, now: float) -> shard_ranking.ShardView:
         """Return what other failure domains need to know of the shard."""
         return summaries.summarise(self._shard, now=now)
 
--- a/packages/policy/src/lagoonrun_policy/summaries.py
+++ b/packages/policy/src/lagoonrun_policy/summaries.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 
 from lagoonrun_core import types
-from lagoonrun_policy import class_state, shard, shards
+from lagoonrun_policy import class_state, shard, shard_ranking
 
 
-def summarise(shared: shard.Shard, *, now: float) -> shards.ShardView:
+def summarise(shared: shard.Shard, *, now: float) -> shard_ranking.ShardView:
     """Return the shard's room, lowest tiers and expected wait."""
     free = sum(
         int(shared.pool.limit(r)) - r.in_flight
@@ -17,7 +17,7 @@
     if free == 0 and shared.classes:
         lowest = shared.classes[-1]
         wait = shared.drain_seconds(lowest, lowest.queue.length, now)
-    return shards.ShardView(
+    return shard_ranking.ShardView(
         shard=shared.policy.shard,
         same_domain=True,
         free=free,
@@ -30,4 +30,4 @@
 
 
 def _lowest(classes: Iterable[class_state.ClassState]) -> types.Tier:
-    return max((c.policy.tier for c in classes), default=shards.NO_TIER)
+    return max((c.policy.tier for c in classes), default=shard_ranking.NO_TIER)
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shards.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies
 
 from lagoonrun_core import types
-from lagoonrun_policy import shards
+from lagoonrun_policy import shard_ranking
 
 from .conftest import class_policy
 
 _VIEWS = strategies.lists(
     strategies.builds(
-        shards.ShardView,
+        shard_ranking.ShardView,
         shard=strategies.integers(0, 1000).map(str),
         own=strategies.booleans(),
         reachable=strategies.booleans(),
@@ -36,7 +36,9 @@
     remaining=strategies.floats(0, 100),
 )
 def test_every_shard_that_admits_lower_tiers_is_asked(views, tier, remaining):
-    order = shards.rank_shards(views, tier=tier, remaining_seconds=remaining)
+    order = shard_ranking.rank_shards(
+        views, tier=tier, remaining_seconds=remaining
+    )
     by_shard = {v.shard: v for v in views}
     assert all(by_shard[s].reachable for s in order)
     owns = [by_shard[s].own for s in order]
@@ -95,7 +97,7 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(**_REQUEST)
 def test_each_region_keeps_the_naive_order(views, tier, remaining, target):
-    order = shards.rank_shards(
+    order = shard_ranking.rank_shards(
         reversed(views),
         tier=tier,
         remaining_seconds=remaining,
@@ -115,7 +117,7 @@
 def test_far_shard_goes_first_only_where_the_near_one_is_late(
     views, tier, remaining, target
 ):
-    order = shards.rank_shards(
+    order = shard_ranking.rank_shards(
         views,
         tier=tier,
         remaining_seconds=remaining,
@@ -147,8 +149,8 @@
 ):
     asked = {"tier": tier, "remaining_seconds": remaining}
     asked["remaining_target_seconds"] = target
-    order = shards.rank_shards(views, **asked)
-    few = shards.rank_shards(views, **asked, max_shards=most)
+    order = shard_ranking.rank_shards(views, **asked)
+    few = shard_ranking.rank_shards(views, **asked, max_shards=most)
     assert len(few) == min(most, len(order))
     assert list(few) == [s for s in order if s in few]
     by_shard = {v.shard: v for v in views}
@@ -170,15 +172,17 @@
     ],
 )
 def test_far_free_shard_against_near_queue(target, wait, distance, far_first):
-    near = shards.ShardView(shard="near", same_domain=False, wait_seconds=wait)
-    far = shards.ShardView(
+    near = shard_ranking.ShardView(
+        shard="near", same_domain=False, wait_seconds=wait
+    )
+    far = shard_ranking.ShardView(
         shard="far",
         same_domain=False,
         same_region=False,
         distance_seconds=distance,
         free=1,
     )
-    order = shards.rank_shards(
+    order = shard_ranking.rank_shards(
         [near, far],
         tier=types.Tier(1),
         remaining_seconds=30.0,
