--- a/packages/router/src/lagoonrun_router/gathered_work.py
+++ b/packages/router/src/lagoonrun_router/gathered_work.py
@@ -81,9 +81,9 @@
             news.domain, peer_loads.pressed_of(news.pressed), now=now
         )
 
-    def forget_start(self, upstream: types.UpstreamId) -> None:
+    def forget_instance(self, upstream: types.UpstreamId) -> None:
         """Drop what is known of an upstream that has started again."""
-        self._ledger.forget_start(upstream)
+        self._ledger.forget_instance(upstream)
 
     def forget_upstreams(self, known: Iterable[types.UpstreamId]) -> None:
         """Drop what is kept of upstreams that are not in `known`."""
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -268,7 +268,7 @@
                 sums[upstream] = sums.get(upstream, loads.NO_LOAD).plus(load)
         return sums
 
-    def forget_start(self, upstream: types.UpstreamId) -> None:
+    def forget_instance(self, upstream: types.UpstreamId) -> None:
         """Drop what is known of an upstream that has started again.
 
         Requests that ran there are lost, and count no more also where their
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -414,10 +414,10 @@
     def _on_upstreams(self) -> None:
         for restarted in self.directory.take_restarted():
             before = restarted.before
-            self._ledger.forget_start(before.id)
-            self._gathered.forget_start(before.id)
+            self._ledger.forget_instance(before.id)
+            self._gathered.forget_instance(before.id)
             self._homes.forget_upstream(before.id)
-            self.exchange.notices.forget_start(before)
+            self.exchange.notices.forget_instance(before)
             self._client.lose(
                 before.host, before.port, opened_until=restarted.heard_at
             )
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -148,7 +148,7 @@
             return None
         return self._take(bounded, source=source, now=now)
 
-    def forget_start(self, at: running_requests.UpstreamInstance) -> None:
+    def forget_instance(self, at: running_requests.UpstreamInstance) -> None:
         """Forget what an upstream said before it started again."""
         self._by_start.pop(at, None)
 
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -166,8 +166,8 @@
             return False
         return not self.availability.rests(upstream, now=now)
 
-    def forget_start(self, upstream: upstreams.Registration) -> None:
+    def forget_instance(self, upstream: upstreams.Registration) -> None:
         """Forget what an upstream said before it started again."""
         at = running_requests.instance_of(upstream)
-        self.limits.forget_start(at)
-        self.rests.forget_start(at)
+        self.limits.forget_instance(at)
+        self.rests.forget_instance(at)
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -128,7 +128,7 @@
         )
         return True
 
-    def forget_start(self, at: running_requests.UpstreamInstance) -> None:
+    def forget_instance(self, at: running_requests.UpstreamInstance) -> None:
         """Forget what an upstream asked for before it started again."""
         self._own_until.pop(at, None)
         self._told_until.pop(at, None)
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -117,7 +117,7 @@
     ledger.add_failure("u-1", now=0.0)
     told = {"u-1": loads.Load(running=2), "u-2": loads.Load(running=3)}
     ledger.apply_report("vm-2", told, now=0.0)
-    ledger.forget_start("u-1")
+    ledger.forget_instance("u-1")
     assert ledger.load_of("u-1", now=0.0) == loads.NO_LOAD
     assert ledger.failures("u-1", now=0.0) == 0.0
     assert ledger.recent_prefill("u-1", now=0.0) == 0.0
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -62,7 +62,7 @@
     answer(limits, 1.5)
     other = running_requests.UpstreamInstance(upstream="u-1", start=8)
     assert limits.limit_of(other) is None
-    limits.forget_start(AT)
+    limits.forget_instance(AT)
     assert limits.limit_of(AT) is None
 
 
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -48,7 +48,7 @@
     ask(rests, AT, 3.0, now=NOW)
     other = running_requests.UpstreamInstance(upstream="u-1", start=8)
     assert rests.rest_seconds(other, now=NOW) == 0.0
-    rests.forget_start(AT)
+    rests.forget_instance(AT)
     assert not rests.has_any(now=NOW)
 
 
