--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -104,7 +104,7 @@
         relays: roster.Roster,
         gathered: gathered_work.GatheredWork,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptHomes,
+        homes: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
         domains: reach.DomainReach,
         usage: usage_exchange.UsageExchange | None = None,
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -73,7 +73,7 @@
         table: peer_table.PeerTable,
         ledger: load_ledger.LoadLedger,
         pressed: pressure.Pressure,
-        homes: prompt_locations.PromptHomes,
+        homes: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         directory: upstreams.UpstreamDirectory,
         send: Sender,
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -98,7 +98,7 @@
         known: beliefs.Beliefs,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptHomes,
+        homes: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         pressed: pressure.Pressure,
         gathered: gathered_work.GatheredWork,
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -53,7 +53,7 @@
                 del self._by_part[part]
 
 
-class PromptHomes:
+class PromptLocations:
     """Where shared parts were read, by own and by others' placements.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -119,7 +119,7 @@
         self.metrics = metrics.RouterMetrics()
         self.directory = upstreams.UpstreamDirectory()
         self._ledger = load_ledger.LoadLedger()
-        self._homes = prompt_locations.PromptHomes(
+        self._homes = prompt_locations.PromptLocations(
             reuse_seconds=configured.reuse_seconds
         )
         self._domains = reach.DomainReach()
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -68,7 +68,7 @@
         known: beliefs.Beliefs,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptHomes,
+        homes: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
         relays: roster.Roster,
         usage: usage_exchange.UsageExchange | None = None,
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -62,7 +62,7 @@
     name: str
     exchange: domain_news.DomainNewsExchange
     ledger: load_ledger.LoadLedger
-    homes: prompt_locations.PromptHomes
+    homes: prompt_locations.PromptLocations
     pressed: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
@@ -97,7 +97,7 @@
         table = peer_table.PeerTable(entry_vm=name, domain=DOMAIN_OF[name])
         shared = {
             "ledger": load_ledger.LoadLedger(),
-            "homes": prompt_locations.PromptHomes(reuse_seconds=10.0),
+            "homes": prompt_locations.PromptLocations(reuse_seconds=10.0),
             "pressed": pressure.Pressure(),
             "table": table,
             "relays": relays_of(name, table),
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -43,7 +43,7 @@
     exchange: fleet_news.FleetNewsExchange
     gathered: gathered_work.GatheredWork
     ledger: load_ledger.LoadLedger
-    homes: prompt_locations.PromptHomes
+    homes: prompt_locations.PromptLocations
     pressed: pressure.Pressure
     domains: reach.DomainReach
     directory: upstreams.UpstreamDirectory
@@ -96,7 +96,7 @@
         shared = {
             "gathered": gathered_work.GatheredWork(),
             "ledger": load_ledger.LoadLedger(),
-            "homes": prompt_locations.PromptHomes(reuse_seconds=10.0),
+            "homes": prompt_locations.PromptLocations(reuse_seconds=10.0),
             "pressed": pressure.Pressure(),
             "domains": reach.DomainReach(),
             "directory": upstreams.UpstreamDirectory(),
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def homes():
-    return prompt_locations.PromptHomes(reuse_seconds=REUSE_SECONDS)
+    return prompt_locations.PromptLocations(reuse_seconds=REUSE_SECONDS)
 
 
 def test_part_is_at_its_upstream_until_it_is_old(homes):
