--- a/packages/router/src/lagoonrun_router/call.py
+++ b/packages/router/src/lagoonrun_router/call.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CallFeatures:
+class CallAttributes:
     """What a caller says of its request.
 
     Parameters
@@ -75,7 +75,7 @@
         The same for each copy of the request that its caller sends.
     """
 
-    features: CallFeatures
+    features: CallAttributes
     head: http_messages.RequestHead
     body: bytes
     route: declarations.Route
--- a/packages/router/src/lagoonrun_router/dialect.py
+++ b/packages/router/src/lagoonrun_router/dialect.py
@@ -15,7 +15,7 @@
 
     def read_features(
         self, head: http_messages.RequestHead
-    ) -> calls.CallFeatures:
+    ) -> calls.CallAttributes:
         """Return what a caller says; raises `FormatError`."""
 
     def upstream_head(
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -119,7 +119,7 @@
     async def _resolve(
         self,
         exchange: exchanges.Exchange,
-        features: calls.CallFeatures,
+        features: calls.CallAttributes,
         body: bytes,
         arrived_at: float,
     ) -> calls.Call | None:
@@ -215,7 +215,7 @@
         )
 
     async def _refuse_unconfigured(
-        self, exchange: exchanges.Exchange, features: calls.CallFeatures
+        self, exchange: exchanges.Exchange, features: calls.CallAttributes
     ) -> None:
         ending = outcomes.Ending(
             outcome=outcomes.Outcome.NOT_RUN,
@@ -262,7 +262,7 @@
     table: route_table.RouteTable,
     route: declarations.Route,
     organisation: declarations.RankedOrganisation | None,
-    features: calls.CallFeatures,
+    features: calls.CallAttributes,
     exchange: exchanges.Exchange,
     body: bytes,
     arrived_at: float,
--- a/packages/standins/src/lagoonrun_standins/router_samples.py
+++ b/packages/standins/src/lagoonrun_standins/router_samples.py
@@ -86,7 +86,7 @@
 def make_call(**changes) -> call.Call:
     """Return a resolved call; the route's and features' fields by `call`."""
     values = {
-        "features": call.CallFeatures(request_id="r-1", host="portal.test"),
+        "features": call.CallAttributes(request_id="r-1", host="portal.test"),
         "head": http_messages.RequestHead(method="GET", target="/lookups/1"),
         "body": b"",
         "route": make_route(),
--- a/packages/standins/src/lagoonrun_standins/router_words.py
+++ b/packages/standins/src/lagoonrun_standins/router_words.py
@@ -19,7 +19,7 @@
             )
         patience = head.headers.get("Patience")
         key = head.headers.get("Authorization")
-        return call.CallFeatures(
+        return call.CallAttributes(
             request_id=id,
             host=head.headers.get("Host") or "",
             key=key.removeprefix("Bearer ") if key else None,
