--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -68,7 +68,7 @@
 
     # Counting.
 
-    def note_begun(self, organisation: types.OrganisationId) -> None:
+    def record_started(self, organisation: types.OrganisationId) -> None:
         """Count a request that an upstream has begun to run."""
         self._own.add(self._window_now(), organisation)
 
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -71,7 +71,7 @@
 
 def count_all(fleet):
     for one in fleet.by_id.values():
-        one.note_begun("house")
+        one.record_started("house")
 
 
 def test_holder_knows_all_counts_of_all_domains(fleet):
@@ -133,7 +133,7 @@
     one = fleet.by_id["north-3"]
     told = 0
     for step in range(100):
-        one.note_begun("house")
+        one.record_started("house")
         told += bool(one.rows_for_relay("north-1", now=step * 0.05).windows)
     assert told <= 13
 
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -221,7 +221,7 @@
         """Count the request as one that an upstream has begun to run."""
         organisation = self._call.organisation
         if self._parts.usage is not None and organisation is not None:
-            self._parts.usage.note_begun(organisation.id)
+            self._parts.usage.record_started(organisation.id)
 
     def _note_pause(self, pause: float) -> None:
         if pause <= self._longest_pause_seconds:
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -245,7 +245,7 @@
         for name in awake:
             # Each hears of some requests that the others have not heard of.
             for _ in range(self.names.index(name) + 1):
-                self.by_name[name].exchange.note_begun("house")
+                self.by_name[name].exchange.record_started("house")
             for state in told:
                 self.by_name[name].exchange.take_state(state, now=now)
             self._run(self.by_name[name].duties.step())
