--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -74,7 +74,7 @@
     ) -> None:
         """Tell the whole fleet what this entry VM has just learned itself."""
         for news in self._messages(records, now):
-            self._spreader.tell_all(news)
+            self._spreader.broadcast(news)
 
     def forward(
         self,
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -64,7 +64,7 @@
         told_at = self._told_at_by_start.get(statement.at, float("-inf"))
         if now - told_at >= _TELL_SECONDS:
             self._told_at_by_start[statement.at] = now
-            self._spreader.tell_all(self._message((statement,), now))
+            self._spreader.broadcast(self._message((statement,), now))
 
     def take(self, news: router_messages.LimitNews, *, now: float) -> None:
         """Take in what a peer knows, and hand on what is new."""
@@ -100,7 +100,7 @@
         """Repeat, as the relay, what holds on, for those that start meanwhile."""
         part = self._some_old()
         if part and self._spreader.leads:
-            self._spreader.tell_all(self._message(part, now))
+            self._spreader.broadcast(self._message(part, now))
 
     def _some_old(self) -> tuple[upstream_limits.LimitStatement, ...]:
         """Return the next part of what is in force."""
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -66,7 +66,7 @@
         """Whether this entry VM is the relay of its failure domain."""
         return self._fleet.leads()
 
-    def tell_all(self, message: router_messages.RouterMessage) -> None:
+    def broadcast(self, message: router_messages.RouterMessage) -> None:
         """Send a message to the neighbours and to the other domains' relays."""
         self._send(message, self._table.near_addresses())
         self._send(message, self._fleet.far_addresses())
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -52,7 +52,7 @@
         if rest.at in self._told_at_by_start:
             return
         self._told_at_by_start[rest.at] = now
-        self._spreader.tell_all(self._message(rest, now))
+        self._spreader.broadcast(self._message(rest, now))
 
     def take(self, news: router_messages.RestNews, *, now: float) -> None:
         """Take in a rest that a peer was asked for, and hand it on."""
