--- a/packages/router/src/lagoonrun_router/reach.py
+++ b/packages/router/src/lagoonrun_router/reach.py
@@ -78,7 +78,9 @@
             for domain, heard_at in self._heard_at_by_domain.items()
         }
 
-    def is_quiet(self, domain: types.FailureDomain, *, now: float) -> bool:
+    def may_have_dead_connections(
+        self, domain: types.FailureDomain, *, now: float
+    ) -> bool:
         """Return whether open connections to `domain` may be dead."""
         return self._is_silent_for(domain, FRESH_SECONDS, now)
 
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -120,7 +120,7 @@
                     ),
                     address=upstream.host,
                     port=upstream.port,
-                    fresh=self._parts.domains.is_quiet(
+                    fresh=self._parts.domains.may_have_dead_connections(
                         upstream.domain, now=now
                     ),
                     may_write=self._may_write,
