--- a/packages/daemon/src/lagoonrun_daemon/dispatcher.py
+++ b/packages/daemon/src/lagoonrun_daemon/dispatcher.py
@@ -21,9 +21,8 @@
     shards,
     transport,
 )
-from lagoonrun_policy import features, scheduler
+from lagoonrun_policy import features, scheduler, shard_ranking
 from lagoonrun_policy import messages as policy_messages
-from lagoonrun_policy import shard_ranking as policy_shards
 from lagoonrun_protocol import messages
 
 _LONGEST_SLEEP_SECONDS = 1.0
@@ -111,7 +110,7 @@
             for owned in self._owned_by_id.values()
         )
 
-    def summaries(self) -> Sequence[policy_shards.ShardView]:
+    def summaries(self) -> Sequence[shard_ranking.ShardView]:
         """Return what other domains need to know of the owned shards."""
         now = self._clock.monotonic()
         return [
--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -10,7 +10,7 @@
 from lagoonrun_core import types
 from lagoonrun_daemon import shards
 from lagoonrun_membership import membership, ranking
-from lagoonrun_policy import shard_ranking as policy_shards
+from lagoonrun_policy import shard_ranking
 from lagoonrun_protocol import messages
 
 _OWN_SHARDS_ASKED = 2
@@ -156,7 +156,7 @@
 
     def own_shard_views(
         self, pool: types.PoolName, *, spread_by: int | str
-    ) -> Sequence[policy_shards.ShardView]:
+    ) -> Sequence[shard_ranking.ShardView]:
         """Return what is known of the shards of `pool` in the own domain.
 
         Parameters
@@ -178,7 +178,7 @@
 
     def other_shard_views(
         self, pool: types.PoolName
-    ) -> Sequence[policy_shards.ShardView]:
+    ) -> Sequence[shard_ranking.ShardView]:
         """Return what is known of the shards of `pool` in other domains."""
         places_by_domain: dict[types.FailureDomain, _Place] = {}
         views = []
@@ -240,9 +240,9 @@
 
 def _view(
     shard: types.ShardId, summary: messages.ShardSummary | None, place: _Place
-) -> policy_shards.ShardView:
+) -> shard_ranking.ShardView:
     if summary is None:
-        return policy_shards.ShardView(
+        return shard_ranking.ShardView(
             shard=shard,
             same_domain=place.own,
             same_region=place.near,
@@ -250,7 +250,7 @@
             reachable=place.reachable,
             age_seconds=math.inf,
         )
-    return policy_shards.ShardView(
+    return shard_ranking.ShardView(
         shard=shard,
         same_domain=place.own,
         same_region=place.near,
--- a/packages/daemon/src/lagoonrun_daemon/shard_search.py
+++ b/packages/daemon/src/lagoonrun_daemon/shard_search.py
@@ -7,7 +7,7 @@
 from lagoonrun_daemon import permit_types
 from lagoonrun_daemon import services as daemon_services
 from lagoonrun_membership import shards as membership_shards
-from lagoonrun_policy import shard_ranking as policy_shards
+from lagoonrun_policy import shard_ranking
 
 _MAXIMUM_SHARDS_ASKED = 5
 
@@ -130,11 +130,11 @@
         return self._rank([v for v in views if self._may_ask(v.shard)])
 
     def _rank(
-        self, views: Sequence[policy_shards.ShardView]
+        self, views: Sequence[shard_ranking.ShardView]
     ) -> list[types.ShardId]:
         now = self._services.clock.monotonic()
         return list(
-            policy_shards.rank_shards(
+            shard_ranking.rank_shards(
                 views,
                 tier=self._call.resolved.profile.tier,
                 remaining_seconds=self._call.limit_at - now,
--- a/packages/daemon/src/lagoonrun_daemon/summaries.py
+++ b/packages/daemon/src/lagoonrun_daemon/summaries.py
@@ -6,7 +6,7 @@
 
 from lagoonrun_core import types
 from lagoonrun_daemon import dispatcher as dispatchers
-from lagoonrun_policy import shard_ranking as policy_shards
+from lagoonrun_policy import shard_ranking
 from lagoonrun_protocol import messages
 
 SUMMARY_PERIOD_SECONDS = 0.5
@@ -63,7 +63,7 @@
                 self._message(view) for view in self._dispatcher.summaries()
             )
 
-    def _message(self, view: policy_shards.ShardView) -> messages.ShardSummary:
+    def _message(self, view: shard_ranking.ShardView) -> messages.ShardSummary:
         return messages.ShardSummary(
             shard=view.shard,
             dispatcher=self._entry_vm,
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shards.py
@@ -15,9 +15,9 @@
     strategies.builds(
         shard_ranking.ShardView,
         shard=strategies.integers(0, 1000).map(str),
-        own=strategies.booleans(),
+        same_domain=strategies.booleans(),
         reachable=strategies.booleans(),
-        near=strategies.booleans(),
+        same_region=strategies.booleans(),
         distance_seconds=strategies.sampled_from([0.0, 0.001, 0.05, 0.2]),
         free=strategies.integers(0, 2),
         lowest_waiting_tier=strategies.integers(0, 6),
@@ -41,13 +41,13 @@
     )
     by_shard = {v.shard: v for v in views}
     assert all(by_shard[s].reachable for s in order)
-    owns = [by_shard[s].own for s in order]
+    owns = [by_shard[s].same_domain for s in order]
     assert owns == sorted(owns, reverse=True)
     for view in views:
         lower = max(view.lowest_waiting_tier, view.lowest_running_tier) > tier
         in_reach = 3 * view.distance_seconds <= remaining
         if view.reachable and (
-            view.own or (in_reach and (view.free > 0 or lower))
+            view.same_domain or (in_reach and (view.free > 0 or lower))
         ):
             assert view.shard in order
 
@@ -73,7 +73,7 @@
         v
         for v in views
         if v.reachable
-        and not v.own
+        and not v.same_domain
         and (
             _delay(v) < remaining
             if _naive_class(v, tier) == 3
@@ -104,11 +104,11 @@
         remaining_target_seconds=target,
     )
     by_shard = {v.shard: v for v in views}
-    others = [by_shard[s] for s in order if not by_shard[s].own]
+    others = [by_shard[s] for s in order if not by_shard[s].same_domain]
     naive = _naive(views, tier, remaining)
     for near in (True, False):
-        assert [v for v in others if v.near is near] == [
-            v for v in naive if v.near is near
+        assert [v for v in others if v.same_region is near] == [
+            v for v in naive if v.same_region is near
         ]
 
 
@@ -124,17 +124,17 @@
         remaining_target_seconds=target,
     )
     by_shard = {v.shard: v for v in views}
-    others = [by_shard[s] for s in order if not by_shard[s].own]
+    others = [by_shard[s] for s in order if not by_shard[s].same_domain]
     fresh = [v for v in others if v.age_seconds <= 5.0]
     in_time = [v for v in fresh if _delay(v) <= target]
-    near_in_time = [v for v in in_time if v.near]
+    near_in_time = [v for v in in_time if v.same_region]
     if near_in_time:
         first_in_time = others.index(near_in_time[0])
         assert all(
-            _delay(v) <= target or v.near for v in others[:first_in_time]
+            _delay(v) <= target or v.same_region for v in others[:first_in_time]
         )
     for far, near in itertools.pairwise(others):
-        if far.near or not near.near:
+        if far.same_region or not near.same_region:
             continue
         assert far.age_seconds <= 5.0
         assert near.age_seconds > 5.0 or (
@@ -154,7 +154,7 @@
     assert len(few) == min(most, len(order))
     assert list(few) == [s for s in order if s in few]
     by_shard = {v.shard: v for v in views}
-    others = [s for s in few if not by_shard[s].own]
+    others = [s for s in few if not by_shard[s].same_domain]
     if not others:
         return
     left_out = [by_shard[s] for s in order if s not in few]
