--- a/packages/router/src/lagoonrun_router/call.py
+++ b/packages/router/src/lagoonrun_router/call.py
@@ -75,7 +75,7 @@
         The same for each copy of the request that its caller sends.
     """
 
-    features: CallAttributes
+    attributes: CallAttributes
     head: http_messages.RequestHead
     body: bytes
     route: declarations.Route
@@ -93,7 +93,7 @@
     @property
     def request_id(self) -> types.RequestId:
         """Id of the request, chosen by the caller."""
-        return self.features.request_id
+        return self.attributes.request_id
 
     @property
     def tier(self) -> types.Tier:
@@ -121,7 +121,7 @@
     @property
     def shared_tokens(self) -> int:
         """Tokens of the parts that other requests may share."""
-        return sum(part.tokens for part in self.features.prompt[:-1])
+        return sum(part.tokens for part in self.attributes.prompt[:-1])
 
     @property
     def home_part(self) -> PromptPart | None:
@@ -129,7 +129,7 @@
 
         The largest shared one: reading it again costs most.
         """
-        shared = self.features.prompt[:-1]
+        shared = self.attributes.prompt[:-1]
         if not shared:
             return None
         return max(shared, key=lambda part: part.tokens)
--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -264,7 +264,7 @@
             pool=call.pool.name,
             revision=call.revision,
             digest=call.digest,
-            prompt_tokens=call.features.prompt_tokens,
+            prompt_tokens=call.attributes.prompt_tokens,
             shared_tokens=call.shared_tokens,
             reread_tokens=reread_tokens,
             stands_back=ranking.stands_back,
@@ -324,7 +324,7 @@
     return placement.Request(
         affinity=home.id if home else call.request_id,
         tier=call.tier,
-        prompt_tokens=call.features.prompt_tokens,
+        prompt_tokens=call.attributes.prompt_tokens,
         shared_tokens=call.shared_tokens,
         target_seconds=call.route.profile.target_seconds,
         sensitivity=sensitivity_of(call),
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -273,7 +273,7 @@
         limit_seconds = min(limit_seconds, features.patience_seconds)
     tiers = table.tiers_of(pool_name)
     return calls.Call(
-        features=features,
+        attributes=features,
         head=exchange.head,
         body=body,
         route=route,
--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -52,7 +52,7 @@
         self._clock = clock
         self._last_event_at: float | None = None
         self._last_event_here_at: float | None = None
-        self.resume_after = call.features.resumes_after
+        self.resume_after = call.attributes.resumes_after
         self.events = 0
         self.first_event_at: float | None = None
         self.longest_pause_seconds = 0.0
