--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -143,7 +143,7 @@
         """Take in the sums of another failure domain, or of the own relay."""
         self._fleet.take_in(news.domain, 0, news.rows)
 
-    def note_far_holder(
+    def record_remote_holder(
         self,
         domain: types.FailureDomain,
         holder: types.EntryVmId,
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -57,7 +57,7 @@
         for domain, other in (("north", "south"), ("south", "north")):
             near = [one for one in self.by_id if one.startswith(domain)]
             named = self.by_id[f"{domain}-1"].near_holder(near, now=self.now)
-            self.by_id[f"{other}-1"].note_far_holder(
+            self.by_id[f"{other}-1"].record_remote_holder(
                 domain, named, now=self.now
             )
         for name, one in self.by_id.items():
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -215,7 +215,7 @@
         self._domains.hear(news.domain, now=now)
         self._domains.note_reading(news.domain, news.reads_store)
         if self._usage is not None:
-            self._usage.note_far_holder(
+            self._usage.record_remote_holder(
                 news.domain, news.duties_holder, now=now
             )
         for placement in news.placements:
