--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -103,7 +103,7 @@
         if not told:
             return
         for news in self._messages(told[:_MOST_TOLD], now):
-            self._spreader.tell_some(news)
+            self._spreader.send_to_sample(news)
 
     def _some_old(
         self, records: tuple[crash_evidence.CrashRecord, ...]
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -86,7 +86,7 @@
         changes = self._limits.own_changes(since=now - _NEWS_SECONDS)
         if changes:
             newest = changes[-_MOST_TOLD:]
-            self._spreader.tell_some(self._message(newest, now))
+            self._spreader.send_to_sample(self._message(newest, now))
         if self._beats % _OLD_BEATS == 0:
             self._forget_told(now)
             self._repeat_old(now)
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -81,7 +81,7 @@
         if origin != self._domain and self.leads:
             self._send(message, self._table.near_addresses())
 
-    def tell_some(self, message: router_messages.RouterMessage) -> None:
+    def send_to_sample(self, message: router_messages.RouterMessage) -> None:
         """Send a message to a neighbour and to a peer of another domain."""
         near = self._table.near_addresses()
         near_one = self._rng.sample(near, min(1, len(near)))
