--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 
 from lagoonrun_core import types
-from lagoonrun_router import fading, fleet_loads, loads, told_sum
+from lagoonrun_router import decaying_sum, fleet_loads, loads, told_sum
 
 PEER_LOAD_SECONDS = 1.5
 """Age from which what a peer told of its load is not used any more.
@@ -59,9 +59,11 @@
             types.UpstreamId, told_sum.ToldSum
         ] = {}
         self._failures_by_upstream: dict[
-            types.UpstreamId, fading.FadingSum
+            types.UpstreamId, decaying_sum.FadingSum
+        ] = {}
+        self._prefill_by_upstream: dict[
+            types.UpstreamId, decaying_sum.FadingSum
         ] = {}
-        self._prefill_by_upstream: dict[types.UpstreamId, fading.FadingSum] = {}
         self._fleet: _Fleet | None = None
         self.changed = False
         self.urgent_change = False
@@ -303,12 +305,13 @@
 
     @staticmethod
     def _decaying(
-        by_upstream: dict[types.UpstreamId, fading.FadingSum],
+        by_upstream: dict[types.UpstreamId, decaying_sum.FadingSum],
         upstream: types.UpstreamId,
         half_life_seconds: float,
-    ) -> fading.FadingSum:
+    ) -> decaying_sum.FadingSum:
         return by_upstream.setdefault(
-            upstream, fading.FadingSum(half_life_seconds=half_life_seconds)
+            upstream,
+            decaying_sum.FadingSum(half_life_seconds=half_life_seconds),
         )
 
 
