--- a/packages/router/src/lagoonrun_router/dialect.py
+++ b/packages/router/src/lagoonrun_router/dialect.py
@@ -13,7 +13,7 @@
 class Dialect(Protocol):
     """Requests and answers as callers and upstreams write them."""
 
-    def read_features(
+    def read_attributes(
         self, head: http_messages.RequestHead
     ) -> calls.CallAttributes:
         """Return what a caller says; raises `FormatError`."""
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -93,7 +93,7 @@
         """Answer one request; never raises for what a caller does."""
         arrived_at = self._parts.clock.monotonic()
         try:
-            features = self._parts.dialect.read_features(exchange.head)
+            features = self._parts.dialect.read_attributes(exchange.head)
         except format_error.FormatError as error:
             await self._reject(exchange, _Fault.MALFORMED, error.detail)
             return
