--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -182,7 +182,7 @@
             return 0.0
         return now - self._held_at
 
-    def near_holder(
+    def holder_in_domain(
         self, neighbours: Iterable[types.EntryVmId], *, now: float
     ) -> types.EntryVmId:
         """Return the holder if it is of the own failure domain.
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -56,7 +56,9 @@
                     heard.take_state(state, now=self.now)
         for domain, other in (("north", "south"), ("south", "north")):
             near = [one for one in self.by_id if one.startswith(domain)]
-            named = self.by_id[f"{domain}-1"].near_holder(near, now=self.now)
+            named = self.by_id[f"{domain}-1"].holder_in_domain(
+                near, now=self.now
+            )
             self.by_id[f"{other}-1"].record_remote_holder(
                 domain, named, now=self.now
             )
