--- a/packages/core/src/lagoonrun_core/types.py
+++ b/packages/core/src/lagoonrun_core/types.py
@@ -36,7 +36,7 @@
 FailureDomain = NewType("FailureDomain", str)
 UNKNOWN_DOMAIN = FailureDomain("")
 
-LoadTeller = EntryVmId | FailureDomain
+LoadReporter = EntryVmId | FailureDomain
 """Who tells of work: an entry VM of its own, or one for a whole domain."""
 DutyName = NewType("DutyName", str)
 """Names what one entry VM at a time does for all others."""
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self._own_by_upstream: dict[types.UpstreamId, list[loads.Work]] = {}
         # The one that told longest ago comes first.
-        self._told_by_peer: dict[types.LoadTeller, _Told] = {}
+        self._told_by_peer: dict[types.LoadReporter, _Told] = {}
         self._told_sum_by_upstream: dict[
             types.UpstreamId, told_sum.ToldSum
         ] = {}
@@ -127,7 +127,7 @@
 
     def apply_report(
         self,
-        peer: types.LoadTeller,
+        peer: types.LoadReporter,
         loads_by_upstream: Mapping[types.UpstreamId, loads.Load],
         *,
         now: float,
@@ -158,7 +158,7 @@
         fleet = self._fleet
         return fleet is not None and now - fleet.at < PEER_LOAD_SECONDS
 
-    def _tell(self, peer: types.LoadTeller, told: _Told) -> None:
+    def _tell(self, peer: types.LoadReporter, told: _Told) -> None:
         self._told_by_peer[peer] = told
         for upstream, load in told.loads_by_upstream.items():
             known = self._told_sum_by_upstream.get(upstream)
@@ -169,7 +169,7 @@
             known.add(load)
 
     def _take_back(
-        self, peer: types.LoadTeller
+        self, peer: types.LoadReporter
     ) -> Mapping[types.UpstreamId, loads.Load]:
         """Leave out what `peer` told last, and return it."""
         told = self._told_by_peer.pop(peer, None)
@@ -257,7 +257,7 @@
         }
 
     def loads_of(
-        self, peers: Iterable[types.LoadTeller], *, now: float
+        self, peers: Iterable[types.LoadReporter], *, now: float
     ) -> dict[types.UpstreamId, loads.Load]:
         """Return the own work and that of `peers` together, by upstream."""
         self._drop_old(now)
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self._own_by_place: dict[_Place, list[float]] = {}
-        self._told_by_peer: dict[types.LoadTeller, _Told] = {}
+        self._told_by_peer: dict[types.LoadReporter, _Told] = {}
         self._fleet = _Told(pressed=(), at=float("-inf"))
         self.changed = False
 
@@ -72,7 +72,7 @@
 
     def apply_report(
         self,
-        peer: types.LoadTeller,
+        peer: types.LoadReporter,
         pressed: tuple[PressedTier, ...],
         *,
         now: float,
@@ -103,7 +103,7 @@
         return failed >= LEAST_REQUESTS
 
     def recent_with(
-        self, peers: Iterable[types.LoadTeller], *, now: float
+        self, peers: Iterable[types.LoadReporter], *, now: float
     ) -> tuple[PressedTier, ...]:
         """Return what own requests met and those of `peers`, together."""
         known = [*self.recent(now=now)]
