--- a/packages/router/src/lagoonrun_router/decaying_sum.py
+++ b/packages/router/src/lagoonrun_router/decaying_sum.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class FadingSum:
+class DecayingSum:
     """A sum in which an amount counts half after each half-life.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -59,10 +59,10 @@
             types.UpstreamId, told_sum.ToldSum
         ] = {}
         self._failures_by_upstream: dict[
-            types.UpstreamId, decaying_sum.FadingSum
+            types.UpstreamId, decaying_sum.DecayingSum
         ] = {}
         self._prefill_by_upstream: dict[
-            types.UpstreamId, decaying_sum.FadingSum
+            types.UpstreamId, decaying_sum.DecayingSum
         ] = {}
         self._fleet: _Fleet | None = None
         self.changed = False
@@ -305,13 +305,13 @@
 
     @staticmethod
     def _decaying(
-        by_upstream: dict[types.UpstreamId, decaying_sum.FadingSum],
+        by_upstream: dict[types.UpstreamId, decaying_sum.DecayingSum],
         upstream: types.UpstreamId,
         half_life_seconds: float,
-    ) -> decaying_sum.FadingSum:
+    ) -> decaying_sum.DecayingSum:
         return by_upstream.setdefault(
             upstream,
-            decaying_sum.FadingSum(half_life_seconds=half_life_seconds),
+            decaying_sum.DecayingSum(half_life_seconds=half_life_seconds),
         )
 
 
