--- a/packages/router/src/lagoonrun_router/call.py
+++ b/packages/router/src/lagoonrun_router/call.py
@@ -101,7 +101,7 @@
         return self.route.profile.tier
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether the request may run more than once."""
         return self.route.profile.idempotent
 
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -371,7 +371,7 @@
     def _may_repeat_elsewhere(self) -> bool:
         """Return whether another upstream may have the request after this."""
         most = self._call.route.profile.maximum_attempts
-        return self._call.repeatable and most - self._sends.reached > 1
+        return self._call.idempotent and most - self._sends.reached > 1
 
     # The end without an upstream's answer.
 
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -165,7 +165,7 @@
             await asyncio.wait(
                 {work, left}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not work.done() and (call.repeatable or call.streamed):
+            if not work.done() and (call.idempotent or call.streamed):
                 # Nobody reads the answer, and the upstream stops when its
                 # connection ends. What may run once only and is short goes
                 # on to its end.
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -99,5 +99,5 @@
         return Verdict.PAID
     if lost.ran is outcomes.Outcome.PARTIAL:
         return Verdict.PAID if call.route.resumable else Verdict.END
-    repeatable = call.repeatable or call.route.resumable
+    repeatable = call.idempotent or call.route.resumable
     return Verdict.PAID if repeatable else Verdict.END
