--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -74,7 +74,7 @@
 
     # Telling.
 
-    def rows_for_relay(
+    def pending_rows(
         self, relay: types.EntryVmId, *, now: float
     ) -> router_messages.UsageRows:
         """Return what the next state tells; most states tell nothing."""
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -47,7 +47,7 @@
                 sequence=1,
                 port=1,
                 revision=1,
-                usage=one.rows_for_relay(f"{domain}-1", now=self.now),
+                usage=one.pending_rows(f"{domain}-1", now=self.now),
                 holds_duties=one.holds,
             )
             for number in (1, 2):
@@ -136,7 +136,7 @@
     told = 0
     for step in range(100):
         one.record_started("house")
-        told += bool(one.rows_for_relay("north-1", now=step * 0.05).windows)
+        told += bool(one.pending_rows("north-1", now=step * 0.05).windows)
     assert told <= 13
 
 
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -171,7 +171,7 @@
         usage = router_messages.NO_USAGE
         relay = self._relay(now)
         if with_work and self._usage is not None:
-            usage = self._usage.rows_for_relay(relay, now=now)
+            usage = self._usage.pending_rows(relay, now=now)
         if with_work:
             loads = peer_loads.to_rows(self._ledger.own_loads(now=now))
             pressed = peer_loads.pressed(self._pressed.recent(now=now))
