--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -135,7 +135,7 @@
         if self._beats < self._wanted_beats:
             return
         self._beats = 0
-        if self._relays.leads(now=now):
+        if self._relays.is_first(now=now):
             self._sequence += 1
             self._send(self._news(now), self.far_addresses(now=now))
 
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -154,7 +154,7 @@
             self._behind_with = known
             self._behind_since = now
         late = now - self._behind_since >= _BEHIND_SECONDS
-        return late or self._relays.leads(now=now)
+        return late or self._relays.is_first(now=now)
 
     def _should_fetch_upstreams(self, state: TellsKnowledge) -> bool:
         """Return whether a peer knows more of the upstreams.
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -257,7 +257,7 @@
         self._crash_news.tick(now=now)
         self.notices.tick(now=now)
         if self._usage is not None:
-            self._usage.tick(now=now, leads=self._relays.leads(now=now))
+            self._usage.tick(now=now, leads=self._relays.is_first(now=now))
         self._greet(now)
 
     def _look_for_lost(self, now: float) -> None:
@@ -312,7 +312,7 @@
         neighbours.
         """
         now = self._clock.monotonic()
-        if not self._relays.leads(now=now):
+        if not self._relays.is_first(now=now):
             return
         if changes.domain == self._settings.domain:
             self._socket.send(changes, self._domain_news.far_addresses(now=now))
@@ -338,7 +338,7 @@
 
     def leads(self) -> bool:
         """Return whether this entry VM is the relay of its failure domain."""
-        return self._relays.leads(now=self._clock.monotonic())
+        return self._relays.is_first(now=self._clock.monotonic())
 
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -142,7 +142,7 @@
             return True
         return self._fills(one, since=since, first=first)
 
-    def leads(self, *, now: float) -> bool:
+    def is_first(self, *, now: float) -> bool:
         """Return whether the own member comes first."""
         return self.on_duty(now=now)[:1] == (self._own,)
 
