--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -283,13 +283,13 @@
         self._note_loss(lost, now)
         verdict = retrying.decide(self._call, lost, self._sends, now=now)
         pool = self._call.pool.name
-        if verdict is retrying.Verdict.PAID:
+        if verdict is retrying.RetryDecision.PAID:
             if self._parts.budget.spend(pool, now=now):
                 self._parts.metrics.repeats.labels(pool).inc()
             else:
                 self._parts.metrics.denied_repeats.labels(pool).inc()
-                verdict = retrying.Verdict.END
-        if verdict is retrying.Verdict.END:
+                verdict = retrying.RetryDecision.END
+        if verdict is retrying.RetryDecision.END:
             if lost.reason is outcomes.Reason.UPSTREAM_REFUSED:
                 self._note_failed_in_overload()
             return await self._end_lost(lost)
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -24,7 +24,7 @@
 """Part of the target below which another attempt can't succeed any more."""
 
 
-class Verdict(enum.Enum):
+class RetryDecision(enum.Enum):
     """What becomes of a lost request."""
 
     FREE = "free"
@@ -76,7 +76,7 @@
     sends: Sends,
     *,
     now: float,
-) -> Verdict:
+) -> RetryDecision:
     """Return whether `call` may go to another upstream.
 
     Parameters
@@ -86,18 +86,18 @@
     """
     target = call.route.profile.target_seconds
     if call.limit_at - now < _LEAST_PART_OF_TARGET * min(target, 1.0):
-        return Verdict.END
+        return RetryDecision.END
     if not lost.sent or lost.elsewhere:
         if sends.unreached >= MOST_UNREACHED or sends.refused >= MOST_REFUSED:
-            return Verdict.END
+            return RetryDecision.END
         # A request at an address that another process has by now counts as
         # an arrival there, although that process does not run it.
-        return Verdict.PAID if lost.elsewhere else Verdict.FREE
+        return RetryDecision.PAID if lost.elsewhere else RetryDecision.FREE
     if sends.reached >= call.route.profile.maximum_attempts:
-        return Verdict.END
+        return RetryDecision.END
     if lost.ran is outcomes.Outcome.NOT_RUN:
-        return Verdict.PAID
+        return RetryDecision.PAID
     if lost.ran is outcomes.Outcome.PARTIAL:
-        return Verdict.PAID if call.route.resumable else Verdict.END
+        return RetryDecision.PAID if call.route.resumable else RetryDecision.END
     repeatable = call.idempotent or call.route.resumable
-    return Verdict.PAID if repeatable else Verdict.END
+    return RetryDecision.PAID if repeatable else RetryDecision.END
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -11,7 +11,7 @@
 )
 
 Outcome = outcomes.Outcome
-Verdict = retrying.Verdict
+Verdict = retrying.RetryDecision
 
 UNREACHED = retrying.Sends(unreached=1)
 ONCE = retrying.Sends(reached=1)
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -56,8 +56,8 @@
     def decide(call, lost, sends, *, now):
         del call, lost, now
         if sends.reached > 2:
-            return retrying.Verdict.END
-        return retrying.Verdict.FREE
+            return retrying.RetryDecision.END
+        return retrying.RetryDecision.FREE
 
     retrying.decide = decide
 
