--- a/packages/standins/src/lagoonrun_standins/router_words.py
+++ b/packages/standins/src/lagoonrun_standins/router_words.py
@@ -10,7 +10,7 @@
 class PlainDialect:
     """A dialect with few words, for tests."""
 
-    def read_features(self, head):
+    def read_attributes(self, head):
         """Read the id, the host, the key and the patience."""
         id = head.headers.get("X-Request-Id")
         if not id:
--- a/tests/users_platform/test_wire.py
+++ b/tests/users_platform/test_wire.py
@@ -29,7 +29,7 @@
 
 
 def test_features_are_read():
-    features = DIALECT.read_features(
+    features = DIALECT.read_attributes(
         head(
             ("Authorization", "Bearer abc"),
             ("X-Deadline-Ms", "8000"),
@@ -48,7 +48,7 @@
 
 
 def test_plain_request_has_no_prompt():
-    features = DIALECT.read_features(head())
+    features = DIALECT.read_attributes(head())
     assert (features.prompt, features.prompt_tokens) == ((), 0)
     assert features.key is None
     assert features.patience_seconds is None
@@ -65,12 +65,12 @@
 )
 def test_request_needs_one_id_and_one_host(base):
     with pytest.raises(format_error.FormatError):
-        DIALECT.read_features(head(base=base))
+        DIALECT.read_attributes(head(base=base))
 
 
 @given(st.text(max_size=60))
 def test_strange_prompt_headers_never_fail(text):
-    features = DIALECT.read_features(
+    features = DIALECT.read_attributes(
         head(("X-Prompt-Prefix", text), ("X-Token-Usage", text))
     )
     assert features.prompt_tokens >= 0
