--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -86,12 +86,12 @@
         self._told_at = now
         return self._own.take_rows()
 
-    def tick(self, *, now: float, leads: bool) -> None:
+    def tick(self, *, now: float, is_relay: bool) -> None:
         """Send the domain's sums to the holder, as the relay; called often."""
         holder = self.holder(now=now)
         if self._held_at is None or holder != types.NO_ENTRY_VM:
             self._held_at = now
-        if not leads or self.holds or holder == types.NO_ENTRY_VM:
+        if not is_relay or self.holds or holder == types.NO_ENTRY_VM:
             return
         if holder != self._sent_to:
             self._sent_to = holder
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -63,7 +63,7 @@
                 domain, named, now=self.now
             )
         for name, one in self.by_id.items():
-            one.tick(now=self.now, leads=name.endswith("-1"))
+            one.tick(now=self.now, is_relay=name.endswith("-1"))
 
 
 @pytest.fixture
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -88,9 +88,9 @@
             self._spreader.forward(news, origin=told.domain)
 
     @property
-    def leads(self) -> bool:
+    def is_relay(self) -> bool:
         """Whether this entry VM is the relay of its failure domain."""
-        return self._spreader.leads
+        return self._spreader.is_relay
 
     def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard, every few calls."""
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -39,7 +39,7 @@
     """Tells the other entry VMs."""
 
     @property
-    def leads(self) -> bool:
+    def is_relay(self) -> bool:
         """Whether this entry VM is the relay of its failure domain."""
 
     def tell(
@@ -149,7 +149,7 @@
             self.news.forward(news, new, now=now)
         for one in self._note_blocked((*new, *own), source=news.entry_vm):
             stored = one.request in self._stored
-            if self.news is not None and self.news.leads and not stored:
+            if self.news is not None and self.news.is_relay and not stored:
                 self._keep_at_by_request.setdefault(
                     one.request, now + _TOLD_KEEP_SECONDS
                 )
@@ -184,7 +184,7 @@
         """Have the relays write again what the store may have lost."""
         now = self._clock.monotonic()
         lost, self._stored = self._stored, set()
-        if self.news is None or not self.news.leads:
+        if self.news is None or not self.news.is_relay:
             return
         for request in lost:
             if self.block_of(request) is not None:
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -99,7 +99,7 @@
     def _repeat_old(self, now: float) -> None:
         """Repeat, as the relay, what holds on, for those that start meanwhile."""
         part = self._some_old()
-        if part and self._spreader.leads:
+        if part and self._spreader.is_relay:
             self._spreader.broadcast(self._message(part, now))
 
     def _some_old(self) -> tuple[upstream_limits.LimitStatement, ...]:
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -25,7 +25,7 @@
     def far_addresses(self) -> Iterable[settings.Address]:
         """Return the relays of the other failure domains."""
 
-    def leads(self) -> bool:
+    def is_relay(self) -> bool:
         """Return whether this entry VM is the relay of its failure domain."""
 
 
@@ -62,9 +62,9 @@
         self._rng = rng
 
     @property
-    def leads(self) -> bool:
+    def is_relay(self) -> bool:
         """Whether this entry VM is the relay of its failure domain."""
-        return self._fleet.leads()
+        return self._fleet.is_relay()
 
     def broadcast(self, message: router_messages.RouterMessage) -> None:
         """Send a message to the neighbours and to the other domains' relays."""
@@ -78,7 +78,7 @@
         origin: types.FailureDomain,
     ) -> None:
         """Send, as the relay, what came from another domain to the neighbours."""
-        if origin != self._domain and self.leads:
+        if origin != self._domain and self.is_relay:
             self._send(message, self._table.near_addresses())
 
     def send_to_sample(self, message: router_messages.RouterMessage) -> None:
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -257,7 +257,7 @@
         self._crash_news.tick(now=now)
         self.notices.tick(now=now)
         if self._usage is not None:
-            self._usage.tick(now=now, leads=self._relays.is_first(now=now))
+            self._usage.tick(now=now, is_relay=self._relays.is_first(now=now))
         self._greet(now)
 
     def _look_for_lost(self, now: float) -> None:
@@ -336,7 +336,7 @@
         now = self._clock.monotonic()
         return tuple(self._domain_news.far_addresses(now=now))
 
-    def leads(self) -> bool:
+    def is_relay(self) -> bool:
         """Return whether this entry VM is the relay of its failure domain."""
         return self._relays.is_first(now=self._clock.monotonic())
 
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -31,7 +31,7 @@
         """Return one relay."""
         return (RELAY,)
 
-    def leads(self):
+    def is_relay(self):
         """Return what the test says."""
         return self.leading
 
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -48,7 +48,7 @@
     """What was told to the fleet."""
 
     def __init__(self):
-        self.leads = False
+        self.is_relay = False
         self.told = []
 
     def tell(self, records, *, now):
@@ -142,18 +142,18 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_only_relays_keep_what_they_were_told(
-    crashing, news, keeper, clock, leads
+    crashing, news, keeper, clock, is_relay
 ):
     """Whoever saw the crash may have ended; all others at once would storm."""
-    news.leads = leads
+    news.is_relay = is_relay
     crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == (["one"] if leads else [])
+    assert keeper.kept == (["one"] if is_relay else [])
 
 
 def test_relay_does_not_keep_what_the_store_has(crashing, news, keeper, clock):
-    news.leads = True
+    news.is_relay = True
     crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
     (block,) = crashing.blocks()
     crashing.take_stored("one", block_record.encode(block))
@@ -237,21 +237,21 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_relay_writes_a_block_again_that_a_restored_store_may_lack(
-    crashing, news, keeper, clock, leads
+    crashing, news, keeper, clock, is_relay
 ):
-    news.leads = leads
+    news.is_relay = is_relay
     crashing.take_stored("one", _stored_block())
     crashing.take_store_restored()
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == (["one"] if leads else [])
+    assert keeper.kept == (["one"] if is_relay else [])
     assert blocked(crashing) == ["one"]
 
 
 def test_block_that_a_restored_store_has_is_not_written_again(
     crashing, news, keeper, clock
 ):
-    news.leads = True
+    news.is_relay = True
     crashing.take_stored("one", _stored_block())
     crashing.take_store_restored()
     crashing.take_stored("one", _stored_block())
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -28,7 +28,7 @@
         """Return nobody: the other domain is not of interest."""
         return ()
 
-    def leads(self):
+    def is_relay(self):
         """Return what each believes."""
         return True
 
--- a/packages/router/tests/test_relays.py
+++ b/packages/router/tests/test_relays.py
@@ -28,4 +28,4 @@
 
 def relays(world):
     """Return whether an entry VM is the relay of its failure domain."""
-    return world.router.exchange.leads()
+    return world.router.exchange.is_relay()
