--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -66,7 +66,7 @@
             call=call, exchange=exchange, clock=parts.clock
         )
         self._tried: set[types.UpstreamId] = set()
-        self._sends = retrying.Sends()
+        self._sends = retrying.SendCounts()
         self._earlier_may_have_run = False
         self._sending: sending.Sending | None = None
         self._sent_at = call.arrived_at
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Sends:
+class SendCounts:
     """Sends of one request so far.
 
     Parameters
@@ -55,7 +55,7 @@
     unreached: int = 0
     refused: int = 0
 
-    def with_lost(self, lost: attempt.Lost, *, seconds: float) -> "Sends":
+    def with_lost(self, lost: attempt.Lost, *, seconds: float) -> "SendCounts":
         """Return the count with one more lost attempt.
 
         Parameters
@@ -73,7 +73,7 @@
 def decide(
     call: calls.Call,
     lost: attempt.Lost,
-    sends: Sends,
+    sends: SendCounts,
     *,
     now: float,
 ) -> RetryDecision:
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -13,9 +13,9 @@
 Outcome = outcomes.Outcome
 Verdict = retrying.RetryDecision
 
-UNREACHED = retrying.Sends(unreached=1)
-ONCE = retrying.Sends(reached=1)
-TWICE = retrying.Sends(reached=2)
+UNREACHED = retrying.SendCounts(unreached=1)
+ONCE = retrying.SendCounts(reached=1)
+TWICE = retrying.SendCounts(reached=2)
 
 
 def lost(ran=Outcome.UNKNOWN, **changes):
@@ -57,7 +57,7 @@
         (
             SAFE,
             lost(Outcome.NOT_RUN, sent=False),
-            retrying.Sends(unreached=3),
+            retrying.SendCounts(unreached=3),
             Verdict.END,
         ),
     ],
@@ -75,7 +75,7 @@
     """
     call = make_call(route=ONLY_ONCE)
     refused = lost(Outcome.NOT_RUN, sent=False)
-    sends = retrying.Sends()
+    sends = retrying.SendCounts()
     for _ in range(retrying.MOST_REFUSED):
         assert retrying.decide(call, refused, sends, now=1000.0) is Verdict.FREE
         sends = sends.with_lost(refused, seconds=0.002)
@@ -85,7 +85,7 @@
 def test_dark_upstreams_are_tried_three_times():
     """A request that is given up gets its answer at once, not after seconds."""
     dark = lost(Outcome.NOT_RUN, sent=False)
-    sends = retrying.Sends()
+    sends = retrying.SendCounts()
     for _ in range(retrying.MOST_UNREACHED):
         sends = sends.with_lost(dark, seconds=0.4)
     call = make_call(route=ONLY_ONCE)
@@ -99,7 +99,7 @@
 
 
 def test_sends_are_counted_by_whether_an_upstream_had_the_request():
-    sends = retrying.Sends().with_lost(lost(), seconds=0.4)
+    sends = retrying.SendCounts().with_lost(lost(), seconds=0.4)
     sends = sends.with_lost(lost(Outcome.NOT_RUN, sent=False), seconds=0.4)
     sends = sends.with_lost(lost(Outcome.NOT_RUN, elsewhere=True), seconds=0.4)
-    assert sends == retrying.Sends(reached=1, unreached=2)
+    assert sends == retrying.SendCounts(reached=1, unreached=2)
