--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -37,7 +37,7 @@
 """Silence after which a peer counts no more among those that share budgets."""
 
 
-def told_cores(processor_cores: float) -> float:
+def rounded_cores(processor_cores: float) -> float:
     """Return the size of an entry VM as messages tell it.
 
     Whoever compares its own size with those of others compares this one: rounded
@@ -130,7 +130,7 @@
         """
         if entry_vm == self._entry_vm:
             return
-        processor_cores = told_cores(processor_cores)
+        processor_cores = rounded_cores(processor_cores)
         peer = self._peers_by_id.setdefault(entry_vm, _Peer(address=address))
         peer.address = address
         peer.domain = domain or peer.domain
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -132,7 +132,7 @@
             duty="relay",
             places=_RELAYS,
             own=configured.entry_vm,
-            own_size=peer_table.told_cores(configured.processor_cores),
+            own_size=peer_table.rounded_cores(configured.processor_cores),
             others=table,
         )
         self._teller = state_telling.StateTeller(
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -109,7 +109,7 @@
             most=MOST_TRYING,
             fills=self._reads_or_may,
             own=entry_vm,
-            own_size=peer_table.told_cores(processor_cores),
+            own_size=peer_table.rounded_cores(processor_cores),
             others=table,
         )
         self._task = standing_task.StandingTask(
