--- a/packages/standins/src/lagoonrun_standins/router_samples.py
+++ b/packages/standins/src/lagoonrun_standins/router_samples.py
@@ -84,9 +84,9 @@
 
 
 def make_call(**changes) -> call.Call:
-    """Return a resolved call; the route's and features' fields by `call`."""
+    """Return a resolved call; the fields of its route and attributes by `call`."""
     values = {
-        "features": call.CallAttributes(request_id="r-1", host="portal.test"),
+        "attributes": call.CallAttributes(request_id="r-1", host="portal.test"),
         "head": http_messages.RequestHead(method="GET", target="/lookups/1"),
         "body": b"",
         "route": make_route(),
