--- a/packages/router/src/lagoonrun_router/place_bucket.py
+++ b/packages/router/src/lagoonrun_router/place_bucket.py
@@ -41,7 +41,7 @@
     wait_seconds: float
 
 
-Verdict = Granted | Refused
+PlaceDecision = Granted | Refused
 
 
 class PlaceBucket:
@@ -71,7 +71,7 @@
         self._fill(now)
         self._per_second = per_second
 
-    def take(self, tier: types.Tier, *, now: float) -> Verdict:
+    def take(self, tier: types.Tier, *, now: float) -> PlaceDecision:
         """Take a place for a request of a tier, if one is left for it."""
         self._fill(now)
         self._due_at_by_tier.setdefault(tier, now + FLOOR_SECONDS)
--- a/packages/router/src/lagoonrun_router/place_giver.py
+++ b/packages/router/src/lagoonrun_router/place_giver.py
@@ -39,7 +39,7 @@
         *,
         part: float,
         now: float,
-    ) -> place_bucket.Verdict:
+    ) -> place_bucket.PlaceDecision:
         """Take a place for a request of a tier.
 
         Parameters
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -158,7 +158,7 @@
         tier: types.Tier,
         *,
         request_id: types.RequestId,
-    ) -> place_bucket.Verdict:
+    ) -> place_bucket.PlaceDecision:
         """Take a place at an upstream, where it has named a limit."""
         at = running_requests.instance_of(upstream)
         limit = self._limits.limit_of(at)
@@ -207,7 +207,7 @@
         upstream: upstreams.Registration,
         at: running_requests.UpstreamInstance,
         tier: types.Tier,
-    ) -> tuple[Giver, place_bucket.Verdict]:
+    ) -> tuple[Giver, place_bucket.PlaceDecision]:
         now = self._clock.monotonic()
         relay = self._routing.own_relay(now=now)
         if relay is None and self._routing.gives(upstream.domain):
@@ -306,7 +306,7 @@
         self,
         asked: router_messages.PlaceRequest,
         giver: Giver,
-        verdict: place_bucket.Verdict,
+        verdict: place_bucket.PlaceDecision,
     ) -> None:
         refused = isinstance(verdict, place_bucket.Refused)
         wait_seconds = verdict.wait_seconds if refused else 0.0
@@ -327,7 +327,7 @@
         at: running_requests.UpstreamInstance,
         tier: types.Tier,
         now: float,
-    ) -> place_bucket.Verdict:
+    ) -> place_bucket.PlaceDecision:
         """Decide on a place here, for the fleet or a part of it."""
         if giver is Giver.SELF:
             self._begin_own_part(now)
@@ -343,7 +343,9 @@
         self._own_used_at = now
 
 
-def _verdict_of(answer: router_messages.PlaceAnswer) -> place_bucket.Verdict:
+def _verdict_of(
+    answer: router_messages.PlaceAnswer,
+) -> place_bucket.PlaceDecision:
     if answer.granted:
         return place_bucket.Granted()
     return place_bucket.Refused(wait_seconds=answer.wait_milliseconds / 1000.0)
