--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -178,7 +178,7 @@
     def far_addresses(self, *, now: float) -> list[settings.Address]:
         """Return whom to tell in each other failure domain."""
         addresses = []
-        for domain, cores_by_id in self._table.far_sizes_by_domain().items():
+        for domain, cores_by_id in self._table.remote_cores_by_domain().items():
             relay = self._relays_by_domain.get(domain)
             if relay and now - relay.heard_at < _RELAY_SECONDS:
                 addresses.append(relay.address)
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -297,7 +297,7 @@
         """Return the addresses of the own failure domain's peers."""
         return tuple(peer.address for peer in self._near_by_id.values())
 
-    def far_sizes_by_domain(
+    def remote_cores_by_domain(
         self,
     ) -> dict[types.FailureDomain, dict[types.EntryVmId, float]]:
         """Return the other failure domains' peers and their cores."""
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -80,7 +80,7 @@
         silent = near_known - near
         silent_by_domain = self._domains.silent_seconds(now=now)
         known = near_known
-        for domain, cores_by_id in self._table.far_sizes_by_domain().items():
+        for domain, cores_by_id in self._table.remote_cores_by_domain().items():
             known += len(cores_by_id)
             if silent_by_domain.get(domain, 0.0) > _SILENT_SECONDS:
                 silent += len(cores_by_id)
@@ -90,7 +90,7 @@
         self, upstream_domain: types.FailureDomain
     ) -> types.FailureDomain:
         """Return the upstream's domain, or another where no entry VM is there."""
-        others = self._table.far_sizes_by_domain().keys()
+        others = self._table.remote_cores_by_domain().keys()
         if upstream_domain == self._domain or upstream_domain in others:
             return upstream_domain
         return min((self._domain, *others), key=_hash_with(upstream_domain))
