--- a/packages/router/src/lagoonrun_router/call.py
+++ b/packages/router/src/lagoonrun_router/call.py
@@ -124,7 +124,7 @@
         return sum(part.tokens for part in self.attributes.prompt[:-1])
 
     @property
-    def home_part(self) -> PromptPart | None:
+    def affinity_part(self) -> PromptPart | None:
         """The part by which requests are brought together on an upstream.
 
         The largest shared one: reading it again costs most.
--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -149,7 +149,7 @@
         now: float,
     ) -> tuple[upstreams.Registration, ...]:
         """Return the upstreams that the call looks at."""
-        home = call.home_part
+        home = call.affinity_part
         if call.pool.engine is None or len(usable) <= considered.WHOLE_POOL:
             return usable
         wanted: set[types.UpstreamId] = set()
@@ -222,7 +222,7 @@
         now: float,
     ) -> placement.Candidate:
         parts = self._parts
-        home = call.home_part
+        home = call.affinity_part
         return placement.Candidate(
             upstream=upstream.id,
             slots=upstream.slots,
@@ -239,7 +239,7 @@
         )
 
     def _shared_lately(self, call: calls.Call) -> bool:
-        home = call.home_part
+        home = call.affinity_part
         if home is None:
             return False
         now = self._parts.clock.monotonic()
@@ -320,7 +320,7 @@
 
 
 def _request_of(call: calls.Call, *, shared_lately: bool) -> placement.Request:
-    home = call.home_part
+    home = call.affinity_part
     return placement.Request(
         affinity=home.id if home else call.request_id,
         tier=call.tier,
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -347,7 +347,7 @@
         parts.metrics.new_tokens.labels(self._call.pool.name).inc(
             choice.new_tokens
         )
-        home = self._call.home_part
+        home = self._call.affinity_part
         if home is not None:
             parts.homes.place(home.id, choice.upstream.id, now=now)
         self._sending = sending.Sending(
