--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -16,7 +16,7 @@
 )
 
 
-class Closed(enum.Enum):
+class ClosedReason(enum.Enum):
     """Why an upstream takes nothing."""
 
     LIMITED = "limited"
@@ -34,7 +34,7 @@
     """
 
     upstream: types.UpstreamId
-    why: Closed
+    why: ClosedReason
     wait_seconds: float
 
 
@@ -123,6 +123,6 @@
         rests = rest_seconds >= limited_seconds
         return ClosedUpstream(
             upstream=upstream.id,
-            why=Closed.RESTING if rests else Closed.LIMITED,
+            why=ClosedReason.RESTING if rests else ClosedReason.LIMITED,
             wait_seconds=max(rest_seconds, limited_seconds),
         )
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -30,8 +30,8 @@
 _LOGGED_UPSTREAMS = 4
 
 _REASON_BY_CLOSED = {
-    availability.Closed.LIMITED: outcomes.Reason.UPSTREAMS_LIMITED,
-    availability.Closed.RESTING: outcomes.Reason.UPSTREAMS_RESTING,
+    availability.ClosedReason.LIMITED: outcomes.Reason.UPSTREAMS_LIMITED,
+    availability.ClosedReason.RESTING: outcomes.Reason.UPSTREAMS_RESTING,
 }
 
 _OVERLOAD_PART = 0.25
@@ -140,7 +140,7 @@
                 return dataclasses.replace(choice, has_place=True)
         refused = availability.ClosedUpstream(
             upstream=choice.upstream.id,
-            why=availability.Closed.LIMITED,
+            why=availability.ClosedReason.LIMITED,
             wait_seconds=place.wait_seconds,
         )
         return choosing.AllClosed(closed=(refused,))
