--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -173,7 +173,9 @@
     def _duties_holder(self, now: float) -> types.EntryVmId:
         if self._usage is None:
             return types.NO_ENTRY_VM
-        return self._usage.holder_in_domain(self._table.near_ids(), now=now)
+        return self._usage.holder_in_domain(
+            self._table.neighbour_ids(), now=now
+        )
 
     def far_addresses(self, *, now: float) -> list[settings.Address]:
         """Return whom to tell in each other failure domain."""
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -224,7 +224,7 @@
         return self._own_by_sequence.get(sequence, {})
 
     def _note_alive(self, news: router_messages.FleetNews, now: float) -> None:
-        entry_vm_by_hash = _by_hash(self._table.near_ids())
+        entry_vm_by_hash = _by_hash(self._table.neighbour_ids())
         readers = frozenset(news.readers)
         for teller in news.tellers:
             entry_vm = entry_vm_by_hash.get(teller)
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -238,7 +238,7 @@
             if peer.alive
         )
 
-    def near_ids(self) -> tuple[types.EntryVmId, ...]:
+    def neighbour_ids(self) -> tuple[types.EntryVmId, ...]:
         """Return all peers of the own failure domain, silent ones included."""
         return tuple(self._near_by_id)
 
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -208,7 +208,7 @@
                 events.LogEvent.RELAY_CHANGED,
                 relay=relay,
                 previous=self._relied_on,
-                neighbours=len(self._table.near_ids()),
+                neighbours=len(self._table.neighbour_ids()),
             )
             self._relied_on = relay
         return relay
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -199,7 +199,7 @@
             following=[
                 one for one in on_duty if self._table.follows_store(one)
             ],
-            neighbours=len(self._table.near_ids()),
+            neighbours=len(self._table.neighbour_ids()),
             domain=self._domain,
         )
         self._follower.use(duty)
--- a/packages/router/tests/test_peer_table.py
+++ b/packages/router/tests/test_peer_table.py
@@ -105,7 +105,7 @@
     hear(table)
     changes = table.changes
     hear(table, sequence=2, domain="south")
-    assert table.near_ids() == ()
+    assert table.neighbour_ids() == ()
     assert table.changes > changes
 
 
