--- a/packages/router/src/lagoonrun_router/attempt.py
+++ b/packages/router/src/lagoonrun_router/attempt.py
@@ -38,7 +38,7 @@
     detail: str
     upstream: types.UpstreamId
     sent: bool = True
-    elsewhere: bool = False
+    misdirected: bool = False
     answer: "WholeAnswer | None" = None
 
 
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -310,7 +310,7 @@
         self._sending = None
         if lost.ran is not outcomes.Outcome.NOT_RUN:
             self._earlier_may_have_run = True
-        if lost.elsewhere:
+        if lost.misdirected:
             self._parts.directory.take_gone(lost.upstream, source="answer")
         else:
             self._parts.ledger.add_failure(
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -63,9 +63,9 @@
         seconds
             How long the attempt took.
         """
-        if lost.sent and not lost.elsewhere:
+        if lost.sent and not lost.misdirected:
             return dataclasses.replace(self, reached=self.reached + 1)
-        if not lost.elsewhere and seconds < REFUSED_SECONDS:
+        if not lost.misdirected and seconds < REFUSED_SECONDS:
             return dataclasses.replace(self, refused=self.refused + 1)
         return dataclasses.replace(self, unreached=self.unreached + 1)
 
@@ -87,12 +87,12 @@
     target = call.route.profile.target_seconds
     if call.limit_at - now < _LEAST_PART_OF_TARGET * min(target, 1.0):
         return RetryDecision.END
-    if not lost.sent or lost.elsewhere:
+    if not lost.sent or lost.misdirected:
         if sends.unreached >= MOST_UNREACHED or sends.refused >= MOST_REFUSED:
             return RetryDecision.END
         # A request at an address that another process has by now counts as
         # an arrival there, although that process does not run it.
-        return RetryDecision.PAID if lost.elsewhere else RetryDecision.FREE
+        return RetryDecision.PAID if lost.misdirected else RetryDecision.FREE
     if sends.reached >= call.route.profile.maximum_attempts:
         return RetryDecision.END
     if lost.ran is outcomes.Outcome.NOT_RUN:
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -245,7 +245,7 @@
             reason=outcomes.Reason.UPSTREAM_REFUSED,
             detail=f"the upstream answered {response.head.status}: not run",
             upstream=upstream,
-            elsewhere=self._parts.dialect.is_other_upstream(response.head),
+            misdirected=self._parts.dialect.is_other_upstream(response.head),
         )
 
     async def _take_whole(
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -50,7 +50,7 @@
         (RESUMABLE, lost(Outcome.PARTIAL), TWICE, Verdict.END),
         (
             ONLY_ONCE,
-            lost(Outcome.NOT_RUN, elsewhere=True),
+            lost(Outcome.NOT_RUN, misdirected=True),
             UNREACHED,
             Verdict.PAID,
         ),
@@ -101,5 +101,7 @@
 def test_sends_are_counted_by_whether_an_upstream_had_the_request():
     sends = retrying.SendCounts().with_lost(lost(), seconds=0.4)
     sends = sends.with_lost(lost(Outcome.NOT_RUN, sent=False), seconds=0.4)
-    sends = sends.with_lost(lost(Outcome.NOT_RUN, elsewhere=True), seconds=0.4)
+    sends = sends.with_lost(
+        lost(Outcome.NOT_RUN, misdirected=True), seconds=0.4
+    )
     assert sends == retrying.SendCounts(reached=1, unreached=2)
