--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -34,7 +34,7 @@
     """
 
     upstream: types.UpstreamId
-    why: ClosedReason
+    reason: ClosedReason
     wait_seconds: float
 
 
@@ -123,6 +123,6 @@
         rests = rest_seconds >= limited_seconds
         return ClosedUpstream(
             upstream=upstream.id,
-            why=ClosedReason.RESTING if rests else ClosedReason.LIMITED,
+            reason=ClosedReason.RESTING if rests else ClosedReason.LIMITED,
             wait_seconds=max(rest_seconds, limited_seconds),
         )
--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -269,7 +269,7 @@
             reread_tokens=reread_tokens,
             stands_back=ranking.stands_back,
             closed={
-                one.upstream: one.why.value
+                one.upstream: one.reason.value
                 for one in closed[:_LOGGED_CANDIDATES]
             },
             candidates=[
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -140,7 +140,7 @@
                 return dataclasses.replace(choice, has_place=True)
         refused = availability.ClosedUpstream(
             upstream=choice.upstream.id,
-            why=availability.ClosedReason.LIMITED,
+            reason=availability.ClosedReason.LIMITED,
             wait_seconds=place.wait_seconds,
         )
         return choosing.AllClosed(closed=(refused,))
@@ -167,7 +167,7 @@
         """
         self._note_pressure()
         return await self._end_refused(
-            reason=_REASON_BY_CLOSED[refusal.closed[0].why],
+            reason=_REASON_BY_CLOSED[refusal.closed[0].reason],
             detail="all upstreams of the pool are rate limited or asked for rest",
             retry_after_seconds=self._opening_seconds(refusal.closed),
             closed=refusal.closed[:_LOGGED_UPSTREAMS],
@@ -237,7 +237,7 @@
             tier=self._call.tier,
             patience_seconds=round(self._call.patience_seconds, 3),
             digest=self._call.digest,
-            closed={one.upstream: one.why.value for one in closed},
+            closed={one.upstream: one.reason.value for one in closed},
             upstreams=[one.upstream for one in crashes],
             retry_after=retry_after_seconds and round(retry_after_seconds, 3),
         )
