--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -249,7 +249,7 @@
             for entry_vm, peer in self._near_by_id.items()
         }
 
-    def near_sharers(self, *, now: float) -> int:
+    def neighbour_budget_sharers(self, *, now: float) -> int:
         """Return how many neighbours may be there, those cut off included."""
         return sum(
             now - peer.heard_at < _FORGOTTEN_SECONDS
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -75,7 +75,7 @@
 
     def view(self, *, now: float) -> fleet_parts.FleetView:
         """Return the fleet as it is heard here."""
-        near_known = self._table.near_sharers(now=now) + 1
+        near_known = self._table.neighbour_budget_sharers(now=now) + 1
         near = len(self._table.neighbours()) + 1
         silent = near_known - near
         silent_by_domain = self._domains.silent_seconds(now=now)
