--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -169,7 +169,7 @@
         except TimeoutError:
             clean = False
         await self._task.close()
-        self._exchange.holds = False
+        self._exchange.is_holder = False
         await self._leadership.close(clean=clean)
 
     async def close(self) -> None:
@@ -191,7 +191,7 @@
     async def _do_what_is_due(self) -> None:
         await self._seek()
         tenure = self._leadership.tenure
-        self._exchange.holds = tenure is not None
+        self._exchange.is_holder = tenure is not None
         if tenure is None or self._clock.monotonic() < tenure.first_order_at:
             return
         if self._orders_runners:
--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -62,7 +62,7 @@
         self._heard_in = domain
         self.holder_heard_at = _NEVER
         """When an entry VM that holds the duties was heard of last."""
-        self.holds = False
+        self.is_holder = False
         """Whether this entry VM holds the duties."""
         self._held_at: float | None = None
 
@@ -91,7 +91,7 @@
         holder = self.holder(now=now)
         if self._held_at is None or holder != types.NO_ENTRY_VM:
             self._held_at = now
-        if not is_relay or self.holds or holder == types.NO_ENTRY_VM:
+        if not is_relay or self.is_holder or holder == types.NO_ENTRY_VM:
             return
         if holder != self._sent_to:
             self._sent_to = holder
@@ -170,7 +170,7 @@
 
     def holder(self, *, now: float) -> types.EntryVmId:
         """Return who holds the duties, as far as was heard; empty for none."""
-        if self.holds:
+        if self.is_holder:
             return self._entry_vm
         if now - self.holder_heard_at < HOLDER_SECONDS:
             return self._heard_holder
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -150,7 +150,7 @@
 
     def show(self, into: metrics.RouterMetrics) -> None:
         """Set the gauges of the duties."""
-        into.holds_duties.set(self._exchange.holds)
+        into.holds_duties.set(self._exchange.is_holder)
         vacant_seconds = self._exchange.vacant_seconds(
             now=self._clock.monotonic()
         )
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -194,7 +194,7 @@
             processor_hundredths=round(self._configured.processor_cores * 100),
             relay=relay,
             usage=usage,
-            holds_duties=self._usage is not None and self._usage.holds,
+            holds_duties=self._usage is not None and self._usage.is_holder,
         )
 
     def _relay(self, now: float) -> types.EntryVmId:
