--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -107,7 +107,9 @@
             open_by_id=unspared or open_by_id, closed=tuple(closed)
         )
 
-    def rests(self, upstream: upstreams.Registration, *, now: float) -> bool:
+    def is_resting(
+        self, upstream: upstreams.Registration, *, now: float
+    ) -> bool:
         """Return whether an upstream has asked this entry VM for rest."""
         at = running_requests.instance_of(upstream)
         return self._rests.rest_seconds(at, now=now) > 0.0
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -164,7 +164,7 @@
         """
         if not has_place and self.places.is_limited(upstream):
             return False
-        return not self.availability.rests(upstream, now=now)
+        return not self.availability.is_resting(upstream, now=now)
 
     def forget_instance(self, upstream: upstreams.Registration) -> None:
         """Forget what an upstream said before it started again."""
