--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -137,7 +137,7 @@
         self._beats = 0
         if self._relays.is_first(now=now):
             self._sequence += 1
-            self._send(self._news(now), self.far_addresses(now=now))
+            self._send(self._news(now), self.remote_relay_addresses(now=now))
 
     @property
     def _wanted_beats(self) -> int:
@@ -177,7 +177,7 @@
             self._table.neighbour_ids(), now=now
         )
 
-    def far_addresses(self, *, now: float) -> list[settings.Address]:
+    def remote_relay_addresses(self, *, now: float) -> list[settings.Address]:
         """Return whom to tell in each other failure domain."""
         addresses = []
         for domain, cores_by_id in self._table.remote_cores_by_domain().items():
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -22,7 +22,7 @@
 class FleetAddresses(Protocol):
     """Whom to tell in other failure domains, and whether to hand news on."""
 
-    def far_addresses(self) -> Iterable[settings.Address]:
+    def remote_relay_addresses(self) -> Iterable[settings.Address]:
         """Return the relays of the other failure domains."""
 
     def is_relay(self) -> bool:
@@ -69,7 +69,7 @@
     def broadcast(self, message: router_messages.RouterMessage) -> None:
         """Send a message to the neighbours and to the other domains' relays."""
         self._send(message, self._table.near_addresses())
-        self._send(message, self._fleet.far_addresses())
+        self._send(message, self._fleet.remote_relay_addresses())
 
     def forward(
         self,
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -315,7 +315,9 @@
         if not self._relays.is_first(now=now):
             return
         if changes.domain == self._settings.domain:
-            self._socket.send(changes, self._domain_news.far_addresses(now=now))
+            self._socket.send(
+                changes, self._domain_news.remote_relay_addresses(now=now)
+            )
         else:
             self._socket.send(changes, self._table.near_addresses())
 
@@ -331,10 +333,10 @@
         """Send counts of the own failure domain to the holder of the duties."""
         self._socket.send(news, self._addresses_of((to,)))
 
-    def far_addresses(self) -> tuple[settings.Address, ...]:
+    def remote_relay_addresses(self) -> tuple[settings.Address, ...]:
         """Return the relays of the other failure domains."""
         now = self._clock.monotonic()
-        return tuple(self._domain_news.far_addresses(now=now))
+        return tuple(self._domain_news.remote_relay_addresses(now=now))
 
     def is_relay(self) -> bool:
         """Return whether this entry VM is the relay of its failure domain."""
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.leading = False
 
-    def far_addresses(self):
+    def remote_relay_addresses(self):
         """Return one relay."""
         return (RELAY,)
 
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -24,7 +24,7 @@
 class Leads:
     """Each entry VM takes itself for the relay."""
 
-    def far_addresses(self):
+    def remote_relay_addresses(self):
         """Return nobody: the other domain is not of interest."""
         return ()
 
