--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -42,12 +42,12 @@
         *,
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
-        window_now: Callable[[], platform_calls.UsageWindow],
+        current_window: Callable[[], platform_calls.UsageWindow],
         send: Callable[[router_messages.UsageNews, types.EntryVmId], None],
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
-        self._window_now = window_now
+        self._window_now = current_window
         self._send = send
         self._own = usage_counts.UsageCounts()
         self._neighbours = usage_counts.GatheredUsage()
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -26,7 +26,7 @@
         self.by_id[name] = usage_exchange.UsageExchange(
             entry_vm=name,
             domain=domain,
-            window_now=lambda: self.window,
+            current_window=lambda: self.window,
             send=self.send,
         )
         return self.by_id[name]
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -66,7 +66,7 @@
         self.exchange = usage_exchange.UsageExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
-            window_now=lambda: configured.duties.window_at(self.time.now()),
+            current_window=lambda: configured.duties.window_at(self.time.now()),
             send=lambda news, to: self.send(news, to),
         )
 
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -188,7 +188,7 @@
         exchange = usage_exchange.UsageExchange(
             entry_vm=name,
             domain="north",
-            window_now=lambda: CONFIGURED.window_at(time.now()),
+            current_window=lambda: CONFIGURED.window_at(time.now()),
             send=lambda news, to: None,
         )
 
