--- a/packages/router/src/lagoonrun_router/dialect.py
+++ b/packages/router/src/lagoonrun_router/dialect.py
@@ -42,7 +42,7 @@
     def says_not_run(self, head: http_messages.ResponseHead) -> bool:
         """Return whether the upstream promises that it ran nothing."""
 
-    def is_other_upstream(self, head: http_messages.ResponseHead) -> bool:
+    def is_misdirected(self, head: http_messages.ResponseHead) -> bool:
         """Return whether another process than the one meant has answered."""
 
     def is_genuine(self, head: http_messages.ResponseHead) -> bool:
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -143,7 +143,7 @@
     def _take_notice(self, head: http_messages.ResponseHead) -> None:
         """Take in what the upstream says of itself, whatever it answers."""
         dialect = self._parts.dialect
-        if dialect.is_other_upstream(head):
+        if dialect.is_misdirected(head):
             return
         self._parts.notices.take_answer(
             self._choice.upstream,
@@ -191,7 +191,7 @@
     ) -> attempt.Result:
         head = response.head
         dialect = self._parts.dialect
-        if dialect.is_other_upstream(head) or dialect.says_not_run(head):
+        if dialect.is_misdirected(head) or dialect.says_not_run(head):
             return await self._not_run(response, upstream)
         if head.status < _REJECTED_LOW and not dialect.is_genuine(head):
             return attempt.Lost(
@@ -245,7 +245,7 @@
             reason=outcomes.Reason.UPSTREAM_REFUSED,
             detail=f"the upstream answered {response.head.status}: not run",
             upstream=upstream,
-            misdirected=self._parts.dialect.is_other_upstream(response.head),
+            misdirected=self._parts.dialect.is_misdirected(response.head),
         )
 
     async def _take_whole(
--- a/packages/standins/src/lagoonrun_standins/router_words.py
+++ b/packages/standins/src/lagoonrun_standins/router_words.py
@@ -43,7 +43,7 @@
         """Return whether the answer has the word for it."""
         return "Not-Run" in head.headers
 
-    def is_other_upstream(self, head):
+    def is_misdirected(self, head):
         """Return whether the status says so."""
         return head.status == 421
 
--- a/tests/users_platform/test_wire.py
+++ b/tests/users_platform/test_wire.py
@@ -145,7 +145,7 @@
 def test_answers_are_told_apart():
     assert DIALECT.says_not_run(answer(503, X_Not_Executed="1"))
     assert not DIALECT.says_not_run(answer(503))
-    assert DIALECT.is_other_upstream(answer(421))
+    assert DIALECT.is_misdirected(answer(421))
     assert DIALECT.is_genuine(answer(X_Server_Signature="a.b"))
     assert not DIALECT.is_genuine(answer())
 
