--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -64,7 +64,7 @@
         await self.watch.close()
         await self._keeper.close()
 
-    def keep_house(self) -> None:
+    def run_housekeeping(self) -> None:
         """Forget what is old and write what waits; called once a second."""
         self.watch.forget_old()
         self.crashing.tick()
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -452,7 +452,7 @@
             sharers = self._table.sharers(now=now)
             self._budget.share_among(sharers)
             self._let_in.share_among(sharers)
-            self._crash_guard.keep_house()
+            self._crash_guard.run_housekeeping()
 
     def metrics_text(self) -> bytes:
         """Return all metrics in the text format."""
