--- a/packages/router/src/lagoonrun_router/fleet_parts.py
+++ b/packages/router/src/lagoonrun_router/fleet_parts.py
@@ -27,7 +27,7 @@
     silent: int
 
 
-def part_of_giver(view: FleetView) -> float:
+def giver_share(view: FleetView) -> float:
     """Return the part that falls to who gives out places for the fleet."""
     return max(1, view.known - view.silent) / max(1, view.known)
 
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -62,7 +62,7 @@
 
 
 _PART_OF = {
-    Giver.FLEET: fleet_parts.part_of_giver,
+    Giver.FLEET: fleet_parts.giver_share,
     Giver.DOMAIN: fleet_parts.part_of_domain,
     Giver.SELF: fleet_parts.part_of_one,
 }
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -309,7 +309,7 @@
     silent = lost_near + sum(
         size for size, one in zip(sizes, heard, strict=True) if not one
     )
-    total = fleet_parts.part_of_giver(
+    total = fleet_parts.giver_share(
         fleet_parts.FleetView(known=known, near=sizes[0], silent=silent)
     )
     for size, one in zip(sizes, heard, strict=True):
