--- a/packages/duties/src/lagoonrun_duties/platform_calls.py
+++ b/packages/duties/src/lagoonrun_duties/platform_calls.py
@@ -51,7 +51,7 @@
     duties: frozenset[Duty]
     window_seconds: float
     late_seconds: float
-    return_seconds: float
+    reacquire_delay_seconds: float
 
     def window_at(self, at: float) -> UsageWindow:
         """Return the window of an instant of true time."""
--- a/packages/duties/tests/conftest.py
+++ b/packages/duties/tests/conftest.py
@@ -23,5 +23,5 @@
         duties=frozenset(platform_calls.Duty),
         window_seconds=5.0,
         late_seconds=10.0,
-        return_seconds=3.0,
+        reacquire_delay_seconds=3.0,
     )
--- a/packages/router/tests/test_fleet_duties.py
+++ b/packages/router/tests/test_fleet_duties.py
@@ -12,7 +12,7 @@
     duties=frozenset(platform_calls.Duty),
     window_seconds=0.5,
     late_seconds=5.0,
-    return_seconds=0.1,
+    reacquire_delay_seconds=0.1,
 )
 
 
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -34,7 +34,7 @@
     duties=frozenset(platform_calls.Duty),
     window_seconds=5.0,
     late_seconds=10.0,
-    return_seconds=3.0,
+    reacquire_delay_seconds=3.0,
 )
 STEP_SECONDS = 0.25
 WRONG_SECONDS = filtered_clock.LASTING_SECONDS / 2
