--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -99,7 +99,7 @@
         unspared = {
             id: one
             for id, one in open_by_id.items()
-            if not self._rests.is_spared(
+            if not self._rests.is_avoided(
                 running_requests.instance_of(one), now=now
             )
         }
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -74,7 +74,7 @@
                     del until_by_start[at]
         return bool(self._own_until or self._told_until)
 
-    def is_spared(
+    def is_avoided(
         self, at: running_requests.UpstreamInstance, *, now: float
     ) -> bool:
         """Return whether others were asked to leave an upstream alone."""
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -59,8 +59,8 @@
     late = upstream_rests.Rest(at=AT, until=NOW + 2.01)
     assert not rests.apply_report(late, source="vm-3", now=NOW + 0.01)
     assert rests.rest_seconds(AT, now=NOW) == 0.0
-    assert rests.is_spared(AT, now=NOW + 1.9)
-    assert not rests.is_spared(AT, now=NOW + 2.0)
+    assert rests.is_avoided(AT, now=NOW + 1.9)
+    assert not rests.is_avoided(AT, now=NOW + 2.0)
 
 
 def test_ends_of_rests_asked_for_at_one_moment_differ(rests):
