--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -131,7 +131,7 @@
                 return choice
             if not self._parts.notices.places.is_limited(choice.upstream):
                 return choice
-            place = await self._parts.notices.places.take(
+            place = await self._parts.notices.places.acquire(
                 choice.upstream,
                 self._call.tier,
                 request_id=self._call.request_id,
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -152,7 +152,7 @@
                 del self._closed_by_start[at]
         return bool(self._closed_by_start)
 
-    async def take(
+    async def acquire(
         self,
         upstream: upstreams.Registration,
         tier: types.Tier,
