--- a/packages/router/src/lagoonrun_router/fleet_parts.py
+++ b/packages/router/src/lagoonrun_router/fleet_parts.py
@@ -32,7 +32,7 @@
     return max(1, view.known - view.silent) / max(1, view.known)
 
 
-def part_of_domain(view: FleetView) -> float:
+def domain_share(view: FleetView) -> float:
     """Return the part that falls to a failure domain that can't ask."""
     return max(1, view.near) / max(1, view.known)
 
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -63,7 +63,7 @@
 
 _PART_OF = {
     Giver.FLEET: fleet_parts.giver_share,
-    Giver.DOMAIN: fleet_parts.part_of_domain,
+    Giver.DOMAIN: fleet_parts.domain_share,
     Giver.SELF: fleet_parts.part_of_one,
 }
 
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -314,7 +314,7 @@
     )
     for size, one in zip(sizes, heard, strict=True):
         if not one:
-            total += fleet_parts.part_of_domain(
+            total += fleet_parts.domain_share(
                 fleet_parts.FleetView(
                     known=known, near=size, silent=known - size
                 )
