--- a/packages/duties/src/lagoonrun_duties/platform_calls.py
+++ b/packages/duties/src/lagoonrun_duties/platform_calls.py
@@ -50,7 +50,7 @@
 
     duties: frozenset[Duty]
     window_seconds: float
-    late_seconds: float
+    report_deadline_seconds: float
     reacquire_delay_seconds: float
 
     def window_at(self, at: float) -> UsageWindow:
--- a/packages/duties/src/lagoonrun_duties/usage_reporter.py
+++ b/packages/duties/src/lagoonrun_duties/usage_reporter.py
@@ -209,7 +209,7 @@
 
     def _is_too_late(self, window: platform_calls.UsageWindow) -> bool:
         end = (window + 1) * self._configured.window_seconds
-        if self._time.now() > end + self._configured.late_seconds:
+        if self._time.now() > end + self._configured.report_deadline_seconds:
             return True
         return self._may_be_forgotten(window, end)
 
--- a/packages/duties/tests/conftest.py
+++ b/packages/duties/tests/conftest.py
@@ -22,6 +22,6 @@
     return platform_calls.DutySettings(
         duties=frozenset(platform_calls.Duty),
         window_seconds=5.0,
-        late_seconds=10.0,
+        report_deadline_seconds=10.0,
         reacquire_delay_seconds=3.0,
     )
--- a/packages/router/tests/test_fleet_duties.py
+++ b/packages/router/tests/test_fleet_duties.py
@@ -11,7 +11,7 @@
 SHORT_WINDOWS = platform_calls.DutySettings(
     duties=frozenset(platform_calls.Duty),
     window_seconds=0.5,
-    late_seconds=5.0,
+    report_deadline_seconds=5.0,
     reacquire_delay_seconds=0.1,
 )
 
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -33,7 +33,7 @@
 CONFIGURED = platform_calls.DutySettings(
     duties=frozenset(platform_calls.Duty),
     window_seconds=5.0,
-    late_seconds=10.0,
+    report_deadline_seconds=10.0,
     reacquire_delay_seconds=3.0,
 )
 STEP_SECONDS = 0.25
