--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -390,7 +390,7 @@
         elif isinstance(message, router_messages.UsageNews):
             if self._usage is not None:
                 self._usage.take_news(message)
-        elif not self.notices.take_message(message, now=now):
+        elif not self.notices.receive_message(message, now=now):
             raise errors.LagoonrunError(
                 step=errors.Step.PEER_FRAME,
                 peer=host,
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -135,7 +135,7 @@
         if rest is not None:
             self._rest_news.tell(rest, now=now)
 
-    def take_message(
+    def receive_message(
         self, message: router_messages.RouterMessage, *, now: float
     ) -> bool:
         """Take in a message of a peer; return whether it was of this kind."""
