--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -25,7 +25,7 @@
         self._at_by_profile: dict[types.ProfileName, float] = {}
         self._entry_vms = 1
 
-    def share_among(self, entry_vms: int) -> None:
+    def set_entry_vm_count(self, entry_vms: int) -> None:
         """Set the number of entry VMs, this one included."""
         self._entry_vms = max(1, entry_vms)
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -451,7 +451,7 @@
             now = self._clock.monotonic()
             sharers = self._table.sharers(now=now)
             self._budget.share_among(sharers)
-            self._let_in.share_among(sharers)
+            self._let_in.set_entry_vm_count(sharers)
             self._crash_guard.run_housekeeping()
 
     def metrics_text(self) -> bytes:
