--- a/packages/router/src/lagoonrun_router/fleet_parts.py
+++ b/packages/router/src/lagoonrun_router/fleet_parts.py
@@ -37,6 +37,6 @@
     return max(1, view.near) / max(1, view.known)
 
 
-def part_of_one(view: FleetView) -> float:
+def single_share(view: FleetView) -> float:
     """Return the part that falls to one entry VM that can't ask."""
     return 1.0 / max(1, view.known)
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -64,7 +64,7 @@
 _PART_OF = {
     Giver.FLEET: fleet_parts.giver_share,
     Giver.DOMAIN: fleet_parts.domain_share,
-    Giver.SELF: fleet_parts.part_of_one,
+    Giver.SELF: fleet_parts.single_share,
 }
 
 
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -319,7 +319,7 @@
                     known=known, near=size, silent=known - size
                 )
             )
-    total += lost_near * fleet_parts.part_of_one(
+    total += lost_near * fleet_parts.single_share(
         fleet_parts.FleetView(known=known, near=1, silent=known - 1)
     )
     assert total <= 1.0 + 1e-9
