--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from lagoonrun_core import clock as clock_module
-from lagoonrun_platform import call_budget, gateway_format, http_calls, store
+from lagoonrun_platform import call_budget, gateway_format, http_client, store
 from lagoonrun_platform import vm_list as vm_list_module
 
 _CONNECT_TIMEOUT_SECONDS = 1.0
@@ -18,8 +18,8 @@
 _SERVER_ERROR = 500
 _BAD_REQUEST = 400
 _UNANSWERED = (
-    http_calls.NotSentError,
-    http_calls.ReplyLostError,
+    http_client.NotSentError,
+    http_client.ReplyLostError,
     gateway_format.FormatError,
 )
 
@@ -57,7 +57,7 @@
     def __init__(
         self,
         *,
-        addresses: Sequence[http_calls.NetworkAddress],
+        addresses: Sequence[http_client.NetworkAddress],
         clock: clock_module.Clock,
         rng: random.Random,
         call_timeout_seconds: float = _CALL_TIMEOUT_SECONDS,
@@ -66,7 +66,7 @@
     ) -> None:
         self._call_timeout_seconds = call_timeout_seconds
         self._pools = collections.deque(
-            http_calls.ConnectionPool(
+            http_client.ConnectionPool(
                 address=address,
                 connect_timeout_seconds=_CONNECT_TIMEOUT_SECONDS,
                 clock=clock,
@@ -81,7 +81,7 @@
             clock=clock,
             rng=rng,
         )
-        self._watches: set[http_calls.GatewayConnection] = set()
+        self._watches: set[http_client.GatewayConnection] = set()
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.failures_by_kind: collections.Counter[str] = collections.Counter()
 
@@ -179,7 +179,7 @@
         request = gateway_format.watch_request(
             key, prefix=prefix, from_revision=from_revision
         )
-        call = http_calls.Call(
+        call = http_client.Call(
             method="POST",
             path="/v3/watch",
             body=gateway_format.encode(request),
@@ -199,8 +199,8 @@
             connection.close()
 
     async def _open_watch(
-        self, call: http_calls.Call
-    ) -> http_calls.GatewayConnection | store.Unreachable:
+        self, call: http_client.Call
+    ) -> http_client.GatewayConnection | store.Unreachable:
         denied = await self._admit("watch")
         if denied is not None:
             return denied
@@ -209,13 +209,13 @@
             self.calls_by_kind["watch"] += 1
             try:
                 connection = await pool.connect()
-            except http_calls.NotSentError as error:
+            except http_client.NotSentError as error:
                 detail = self._next_pool(pool, error)
                 continue
             try:
                 async with asyncio.timeout(self._call_timeout_seconds):
                     status = await connection.open_stream(call)
-            except (TimeoutError, http_calls.ReplyLostError) as error:
+            except (TimeoutError, http_client.ReplyLostError) as error:
                 connection.close()
                 detail = self._next_pool(pool, error)
                 continue
@@ -230,7 +230,7 @@
         return self._fail("watch", detail)
 
     async def _messages(
-        self, connection: http_calls.GatewayConnection
+        self, connection: http_client.GatewayConnection
     ) -> AsyncIterator[store.WatchMessage]:
         waiting = b""
         try:
@@ -241,13 +241,16 @@
                     for line in filter(None, lines):
                         fields = gateway_format.decode(line)
                         yield gateway_format.watch_message(fields)
-        except (http_calls.ReplyLostError, gateway_format.FormatError) as error:
+        except (
+            http_client.ReplyLostError,
+            gateway_format.FormatError,
+        ) as error:
             yield store.Unreachable(detail=f"watch lost: {error}")
             return
         yield store.Unreachable(detail="watch ended by the store")
 
     async def _read(
-        self, kind: str, call: http_calls.Call, *, parse: Callable[[dict], _T]
+        self, kind: str, call: http_client.Call, *, parse: Callable[[dict], _T]
     ) -> _T | store.Unreachable:
         """Send a call that changes nothing, to each address if need be."""
         denied = await self._admit(kind)
@@ -266,7 +269,7 @@
         return self._fail(kind, detail)
 
     async def _write(
-        self, kind: str, call: http_calls.Call, *, parse: Callable[[dict], _T]
+        self, kind: str, call: http_client.Call, *, parse: Callable[[dict], _T]
     ) -> _T | store.Unknown | store.Unreachable:
         """Send a call that may change something, once."""
         denied = await self._admit(kind)
@@ -280,7 +283,7 @@
                     call, timeout_seconds=self._call_timeout_seconds
                 )
                 return self._answered(reply, parse)
-            except http_calls.NotSentError as error:
+            except http_client.NotSentError as error:
                 detail = self._next_pool(pool, error)
             except _UNANSWERED as error:
                 # It may have been applied: another try could apply it twice
@@ -300,7 +303,7 @@
         return None
 
     def _answered(
-        self, reply: http_calls.Reply, parse: Callable[[dict], _T]
+        self, reply: http_client.Reply, parse: Callable[[dict], _T]
     ) -> _T | store.Unreachable:
         """Return the outcome that an answer tells.
 
@@ -312,7 +315,7 @@
         if reply.status >= _SERVER_ERROR:
             # "Request timed out" comes as a server error, and such a
             # request may still be applied.
-            raise http_calls.ReplyLostError(f"status {reply.status}")
+            raise http_client.ReplyLostError(f"status {reply.status}")
         fields = gateway_format.decode(reply.body)
         self._budget.succeeded()
         if reply.status >= _BAD_REQUEST and not gateway_format.is_not_found(
@@ -327,7 +330,7 @@
         return parse(fields)
 
     def _next_pool(
-        self, failed: http_calls.ConnectionPool, error: Exception | str
+        self, failed: http_client.ConnectionPool, error: Exception | str
     ) -> str:
         """Put the failed address last; return what is to be reported."""
         if len(self._pools) > 1 and self._pools[0] is failed:
@@ -346,9 +349,9 @@
         return store.Unknown(detail=detail)
 
 
-def _call(path: str, request: gateway_format.Json | None) -> http_calls.Call:
+def _call(path: str, request: gateway_format.Json | None) -> http_client.Call:
     if request is None:
-        return http_calls.Call(method="GET", path=path)
-    return http_calls.Call(
+        return http_client.Call(method="GET", path=path)
+    return http_client.Call(
         method="POST", path=path, body=gateway_format.encode(request)
     )
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -11,7 +11,7 @@
 
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import errors, events, logs, types
-from lagoonrun_platform import http_calls
+from lagoonrun_platform import http_client
 from lagoonrun_platform import store as store_module
 from lagoonrun_protocol import router_codec, router_messages
 from lagoonrun_router import beliefs, peer_table, roster, settings
@@ -209,18 +209,18 @@
         self, peer: types.EntryVmId, address: settings.Address, path: str
     ) -> bytes | None:
         """Return what a peer answers; None where it does not."""
-        pool = http_calls.ConnectionPool(
+        pool = http_client.ConnectionPool(
             address=address,
             connect_timeout_seconds=_CONNECT_SECONDS,
             clock=self._clock,
         )
         try:
             reply = await pool.call(
-                http_calls.Call(method="GET", path=path),
+                http_client.Call(method="GET", path=path),
                 timeout_seconds=_ANSWER_SECONDS,
                 stall_seconds=_STALL_SECONDS,
             )
-        except (http_calls.NotSentError, http_calls.ReplyLostError) as error:
+        except (http_client.NotSentError, http_client.ReplyLostError) as error:
             # The next state of any peer leads to another try.
             _log_failure(peer, f"no answer to {path}: {error}")
             return None
