--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -106,7 +106,7 @@
 
     # What the store follower tells.
 
-    def take_listing(
+    def apply_listing(
         self,
         items: tuple[store_module.KeyValue, ...],
         revision: store_module.StoreRevision,
@@ -422,7 +422,7 @@
                 unreadable.append(self._upstream_id(key))
             else:
                 registrations.append(registration)
-        self._directory.take_listing(
+        self._directory.apply_listing(
             registrations,
             unreadable=unreadable,
             now=self._clock.monotonic(),
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -89,7 +89,7 @@
     def read_revision(self) -> store_module.StoreRevision:
         """Revision up to which all keys are known; `ABSENT` for none."""
 
-    def take_listing(
+    def apply_listing(
         self,
         items: tuple[store_module.KeyValue, ...],
         revision: store_module.StoreRevision,
@@ -209,7 +209,7 @@
             await self._pause_after(listing.detail)
             return False
         self._note_answer()
-        self._reader.take_listing(listing.items, listing.revision)
+        self._reader.apply_listing(listing.items, listing.revision)
         self._taking_in = False
         self._known = listing.revision
         if not self._settled:
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -185,7 +185,7 @@
 
     # What the store tells.
 
-    def take_listing(
+    def apply_listing(
         self,
         registrations: Iterable[Registration],
         *,
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -192,7 +192,7 @@
 
 
 def read_all(vm, store):
-    vm.known.take_listing(store.listing(), store.revision)
+    vm.known.apply_listing(store.listing(), store.revision)
     return vm
 
 
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -295,7 +295,7 @@
         self.told = []
         self.read_revision = store_module.ABSENT
 
-    def take_listing(self, items, revision):
+    def apply_listing(self, items, revision):
         """Note a reading."""
         self.told.append("listing")
         self.read_revision = revision
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -20,7 +20,9 @@
 
 
 def listed(directory, *names, now=1000.0):
-    directory.take_listing([make_registration(name) for name in names], now=now)
+    directory.apply_listing(
+        [make_registration(name) for name in names], now=now
+    )
 
 
 def test_only_upstreams_of_the_pool_are_usable(directory):
@@ -90,7 +92,7 @@
     listed(directory, "u-1", "u-2")
     directory.take_unreadable("u-1")
     assert ids(directory) == ["u-2"]
-    directory.take_listing(
+    directory.apply_listing(
         [make_registration("u-2")], unreadable=["u-1"], now=1000.5
     )
     assert not directory.may_send("u-1", now=1000.5)
