--- a/packages/router/src/lagoonrun_router/retry_budget.py
+++ b/packages/router/src/lagoonrun_router/retry_budget.py
@@ -61,7 +61,7 @@
         """Replace what all entry VMs share."""
         self._allowance = allowance
 
-    def share_among(self, entry_vms: int) -> None:
+    def set_entry_vm_count(self, entry_vms: int) -> None:
         """Set the number of entry VMs, this one included."""
         self._entry_vms = max(1, entry_vms)
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -450,7 +450,7 @@
             await ticks.sleep_to_tick(_HOUSE_KEEPING_SECONDS)
             now = self._clock.monotonic()
             sharers = self._table.sharers(now=now)
-            self._budget.share_among(sharers)
+            self._budget.set_entry_vm_count(sharers)
             self._let_in.set_entry_vm_count(sharers)
             self._crash_guard.run_housekeeping()
 
--- a/packages/router/tests/test_retry_budget.py
+++ b/packages/router/tests/test_retry_budget.py
@@ -10,7 +10,7 @@
 
 def budget(entry_vms=1):
     made = retry_budget.RetryBudget(allowance=ALLOWANCE)
-    made.share_among(entry_vms)
+    made.set_entry_vm_count(entry_vms)
     return made
 
 
