--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -311,7 +311,7 @@
         if lost.ran is not outcomes.Outcome.NOT_RUN:
             self._earlier_may_have_run = True
         if lost.misdirected:
-            self._parts.directory.take_gone(lost.upstream, source="answer")
+            self._parts.directory.mark_gone(lost.upstream, source="answer")
         else:
             self._parts.ledger.add_failure(
                 lost.upstream, now=now, unreached=not lost.sent
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -331,7 +331,7 @@
         known.state = UpstreamState.LEAVING
         _log_state(known.registration, known.state, source=source)
 
-    def take_gone(self, upstream: types.UpstreamId, *, source: str) -> None:
+    def mark_gone(self, upstream: types.UpstreamId, *, source: str) -> None:
         """Take in that another process has the upstream's address."""
         known = self._known_by_id.get(upstream)
         if known is not None:
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -173,7 +173,7 @@
 
 def test_upstream_whose_address_another_has_is_gone_for_good(directory):
     listed(directory, "u-1", "u-2")
-    directory.take_gone("u-1", source="answer")
+    directory.mark_gone("u-1", source="answer")
     listed(directory, "u-1", "u-2", now=1001.0)
     assert ids(directory, 1001.0) == ["u-2"]
 
