--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -179,7 +179,7 @@
         request = gateway_format.watch_request(
             key, prefix=prefix, from_revision=from_revision
         )
-        call = http_client.Call(
+        call = http_client.HttpRequest(
             method="POST",
             path="/v3/watch",
             body=gateway_format.encode(request),
@@ -199,7 +199,7 @@
             connection.close()
 
     async def _open_watch(
-        self, call: http_client.Call
+        self, call: http_client.HttpRequest
     ) -> http_client.GatewayConnection | store.Unreachable:
         denied = await self._admit("watch")
         if denied is not None:
@@ -250,7 +250,11 @@
         yield store.Unreachable(detail="watch ended by the store")
 
     async def _read(
-        self, kind: str, call: http_client.Call, *, parse: Callable[[dict], _T]
+        self,
+        kind: str,
+        call: http_client.HttpRequest,
+        *,
+        parse: Callable[[dict], _T],
     ) -> _T | store.Unreachable:
         """Send a call that changes nothing, to each address if need be."""
         denied = await self._admit(kind)
@@ -269,7 +273,11 @@
         return self._fail(kind, detail)
 
     async def _write(
-        self, kind: str, call: http_client.Call, *, parse: Callable[[dict], _T]
+        self,
+        kind: str,
+        call: http_client.HttpRequest,
+        *,
+        parse: Callable[[dict], _T],
     ) -> _T | store.Unknown | store.Unreachable:
         """Send a call that may change something, once."""
         denied = await self._admit(kind)
@@ -349,9 +357,11 @@
         return store.Unknown(detail=detail)
 
 
-def _call(path: str, request: gateway_format.Json | None) -> http_client.Call:
+def _call(
+    path: str, request: gateway_format.Json | None
+) -> http_client.HttpRequest:
     if request is None:
-        return http_client.Call(method="GET", path=path)
-    return http_client.Call(
+        return http_client.HttpRequest(method="GET", path=path)
+    return http_client.HttpRequest(
         method="POST", path=path, body=gateway_format.encode(request)
     )
--- a/packages/platform/src/lagoonrun_platform/http_client.py
+++ b/packages/platform/src/lagoonrun_platform/http_client.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Call:
+class HttpRequest:
     """One request with a JSON body; a GET has none.
 
     Parameters
@@ -110,7 +110,10 @@
         )
 
     async def call(
-        self, call: Call, *, on_progress: Callable[[], None] | None = None
+        self,
+        call: HttpRequest,
+        *,
+        on_progress: Callable[[], None] | None = None,
     ) -> Reply:
         """Send a call and return its whole reply.
 
@@ -152,7 +155,7 @@
             },
         )
 
-    async def open_stream(self, call: Call) -> int:
+    async def open_stream(self, call: HttpRequest) -> int:
         """Send a call and return its status; `parts` gives the body."""
         try:
             await self._send(call)
@@ -180,7 +183,7 @@
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self._writer.transport.abort()
 
-    async def _send(self, call: Call) -> None:
+    async def _send(self, call: HttpRequest) -> None:
         request = h11.Request(
             method=call.method,
             target=call.path,
@@ -250,7 +253,7 @@
 
     async def call(
         self,
-        call: Call,
+        call: HttpRequest,
         *,
         timeout_seconds: float,
         stall_seconds: float | None = None,
@@ -293,7 +296,7 @@
         self._give_back(connection)
         return reply
 
-    async def call_once(self, call: Call) -> Reply:
+    async def call_once(self, call: HttpRequest) -> Reply:
         """Send a call over a connection of its own.
 
         One that is given up, by its caller's time limit too, is reset: no byte
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -216,7 +216,7 @@
         )
         try:
             reply = await pool.call(
-                http_client.Call(method="GET", path=path),
+                http_client.HttpRequest(method="GET", path=path),
                 timeout_seconds=_ANSWER_SECONDS,
                 stall_seconds=_STALL_SECONDS,
             )
