--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -138,7 +138,7 @@
             self.store_revision = max(self.store_revision, revision)
         self._tell_changes(since, changed, declared_before)
 
-    def take_changes(
+    def apply_changes(
         self,
         changes: tuple[store_module.Event, ...],
         revision: store_module.StoreRevision,
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -96,7 +96,7 @@
     ) -> None:
         """Take in all keys, as of `revision` at least."""
 
-    def take_changes(
+    def apply_changes(
         self,
         changes: tuple[store_module.Event, ...],
         revision: store_module.StoreRevision,
@@ -275,7 +275,7 @@
     async def _take_batch(self, batch: store_module.WatchBatch) -> None:
         self._note_answer()
         self._taking_in = True
-        self._reader.take_changes(batch.events, batch.revision)
+        self._reader.apply_changes(batch.events, batch.revision)
         self._taking_in = False
         self._known = batch.revision
         if _overtaken_bytes(batch.events) > _MOST_OVERTAKEN_BYTES:
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -203,7 +203,7 @@
         read_all(vm, store)
         return
     new = tuple(one for one in store.events if one.modified > known)
-    vm.known.take_changes(new, store.revision)
+    vm.known.apply_changes(new, store.revision)
 
 
 def over_the_wire(message):
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -114,7 +114,7 @@
     Told to the relay alone, the loss of the store would be news to them
     after the change that they should have had.
     """
-    known.take_changes((), 5)
+    known.apply_changes((), 5)
     teller.tick(now=0.1)
     assert teller.was_reader
     known.take_store_doubtful()
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -300,7 +300,7 @@
         self.told.append("listing")
         self.read_revision = revision
 
-    def take_changes(self, changes, revision):
+    def apply_changes(self, changes, revision):
         """Note changes."""
         self.told.extend(change.key for change in changes)
         self.read_revision = revision
