--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -451,7 +451,7 @@
         source: types.EntryVmId,
     ) -> None:
         for one in leaving:
-            self._directory.take_leaving(
+            self._directory.mark_leaving(
                 one.upstream, start=one.start, source=source
             )
 
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -125,7 +125,7 @@
                 fields=notice.unreadable,
             )
         if notice.leaving:
-            self._directory.take_leaving(
+            self._directory.mark_leaving(
                 upstream.id, start=upstream.start, source="answer"
             )
         limit = self.limits.take_answer(at, notice, sent_at=sent_at, now=now)
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -303,7 +303,7 @@
 
     # What others tell.
 
-    def take_leaving(
+    def mark_leaving(
         self,
         upstream: types.UpstreamId,
         *,
--- a/packages/router/tests/test_crash_watch.py
+++ b/packages/router/tests/test_crash_watch.py
@@ -111,7 +111,7 @@
     Its callers come again, and the next may be reclaimed as well.
     """
     run = begin(watch, "one", registration)
-    directory.take_leaving("u-1", start=5, source="store")
+    directory.mark_leaving("u-1", start=5, source="store")
     watch.end(run, BROKEN, registration)
     await settled(watch)
     assert watch.seen == []
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -118,7 +118,7 @@
     world = await start_one(world_of, upstream)
     world.router.directory.take_removal("u-0", now=0.0)
     assert not world.router.directory.usable("portal", now=100.0)
-    world.router.directory.take_leaving("u-0", start=1, source="answer")
+    world.router.directory.mark_leaving("u-0", start=1, source="answer")
     await world.register_at("u-0", upstream.port, start=1, slots=9)
     await world.add_upstream(answer_whole, "u-1")
     await ask_for([world], 0.2)
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -66,11 +66,11 @@
     directory.take_entry(make_registration("u-1", start=9), now=1000.0)
     old = make_registration("u-1", start=5, leaving=True, port=1)
     directory.take_entry(old, now=1001.0)
-    directory.take_leaving("u-1", start=5, source="vm-2")
+    directory.mark_leaving("u-1", start=5, source="vm-2")
     (known,) = directory.usable("portal", now=1001.0)
     assert (known.start, known.port) == (9, 9000)
     assert directory.take_restarted() == ()
-    directory.take_leaving("u-1", start=9, source="vm-2")
+    directory.mark_leaving("u-1", start=9, source="vm-2")
     assert ids(directory, 1001.0) == []
 
 
@@ -181,7 +181,7 @@
 def test_peers_hear_of_the_newest_leaving_upstreams(directory):
     listed(directory, *(f"u-{n}" for n in range(40)))
     for n in range(40):
-        directory.take_leaving(f"u-{n}", start=0, source="vm-2")
+        directory.mark_leaving(f"u-{n}", start=0, source="vm-2")
     assert directory.leaving[-1].upstream == "u-39"
     assert len(directory.leaving) <= 16
 
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -178,7 +178,7 @@
 
 def _break_own_leaving() -> None:
     """Hear of leaving from the store only."""
-    upstreams.UpstreamDirectory.take_leaving = (
+    upstreams.UpstreamDirectory.mark_leaving = (
         lambda self, upstream, *, start, source: None
     )
 
