--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -311,7 +311,7 @@
         return None
 
     def _answered(
-        self, reply: http_client.Reply, parse: Callable[[dict], _T]
+        self, reply: http_client.HttpResponse, parse: Callable[[dict], _T]
     ) -> _T | store.Unreachable:
         """Return the outcome that an answer tells.
 
--- a/packages/platform/src/lagoonrun_platform/http_client.py
+++ b/packages/platform/src/lagoonrun_platform/http_client.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Reply:
+class HttpResponse:
     """A whole reply.
 
     Parameters
@@ -114,7 +114,7 @@
         call: HttpRequest,
         *,
         on_progress: Callable[[], None] | None = None,
-    ) -> Reply:
+    ) -> HttpResponse:
         """Send a call and return its whole reply.
 
         Parameters
@@ -146,7 +146,7 @@
             h11.SERVER: h11.DONE,
         }:
             self._state.start_next_cycle()
-        return Reply(
+        return HttpResponse(
             status=head.status_code,
             body=bytes(body),
             headers={
@@ -257,7 +257,7 @@
         *,
         timeout_seconds: float,
         stall_seconds: float | None = None,
-    ) -> Reply:
+    ) -> HttpResponse:
         """Send a call over an idle or a new connection.
 
         Parameters
@@ -296,7 +296,7 @@
         self._give_back(connection)
         return reply
 
-    async def call_once(self, call: HttpRequest) -> Reply:
+    async def call_once(self, call: HttpRequest) -> HttpResponse:
         """Send a call over a connection of its own.
 
         One that is given up, by its caller's time limit too, is reset: no byte
