--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -209,7 +209,7 @@
             key=key, value=value or b"", removed=value is None
         )
 
-    def take_store_doubtful(self) -> None:
+    def on_store_call_failed(self) -> None:
         """Have others read until the store answers again."""
         self.follows_store = False
 
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -103,7 +103,7 @@
     ) -> None:
         """Take in all changes up to `revision`; there may be none."""
 
-    def take_store_doubtful(self) -> None:
+    def on_store_call_failed(self) -> None:
         """Take in that a call has failed; the next will tell."""
 
     def take_store_lost(self) -> None:
@@ -235,7 +235,7 @@
             end = await self._watch(wait_seconds=wait_seconds)
             if end is _WatchEnd.FAILED:
                 # The next call may take as long to fail; others begin now.
-                self._reader.take_store_doubtful()
+                self._reader.on_store_call_failed()
                 return
             if end is _WatchEnd.BEHIND:
                 # All keys again and again, if the store forgets at once.
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -117,7 +117,7 @@
     known.apply_changes((), 5)
     teller.tick(now=0.1)
     assert teller.was_reader
-    known.take_store_doubtful()
+    known.on_store_call_failed()
     assert beats_until_told(teller) == 1
     assert teller.was_reader
     assert teller.news_changed
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -305,7 +305,7 @@
         self.told.extend(change.key for change in changes)
         self.read_revision = revision
 
-    def take_store_doubtful(self):
+    def on_store_call_failed(self):
         """Note the doubt."""
         self.told.append("doubtful")
 
