--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -412,7 +412,7 @@
         )
 
     def _on_upstreams(self) -> None:
-        for restarted in self.directory.take_restarted():
+        for restarted in self.directory.pop_restarted():
             before = restarted.before
             self._ledger.forget_instance(before.id)
             self._gathered.forget_instance(before.id)
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -248,7 +248,7 @@
             previous_state=known.state.value,
         )
 
-    def take_restarted(self) -> tuple[Restarted, ...]:
+    def pop_restarted(self) -> tuple[Restarted, ...]:
         """Return the upstreams that started again since the last call."""
         restarted = tuple(self._restarted)
         self._restarted.clear()
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -69,7 +69,7 @@
     directory.mark_leaving("u-1", start=5, source="vm-2")
     (known,) = directory.usable("portal", now=1001.0)
     assert (known.start, known.port) == (9, 9000)
-    assert directory.take_restarted() == ()
+    assert directory.pop_restarted() == ()
     directory.mark_leaving("u-1", start=9, source="vm-2")
     assert ids(directory, 1001.0) == []
 
@@ -78,9 +78,9 @@
     directory.take_entry(make_registration("u-1", start=5), now=1000.0)
     directory.take_entry(make_registration("u-1", start=5), now=1001.0)
     directory.take_entry(make_registration("u-1", start=9, port=1), now=1002.0)
-    (restarted,) = directory.take_restarted()
+    (restarted,) = directory.pop_restarted()
     assert (restarted.before.port, restarted.heard_at) == (9000, 1001.0)
-    assert directory.take_restarted() == ()
+    assert directory.pop_restarted() == ()
 
 
 def test_unreadable_entry_names_no_upstream_until_it_is_good_again(directory):
