--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -19,7 +19,7 @@
 _BAD_REQUEST = 400
 _UNANSWERED = (
     http_client.NotSentError,
-    http_client.ReplyLostError,
+    http_client.ResponseLostError,
     gateway_format.FormatError,
 )
 
@@ -215,7 +215,7 @@
             try:
                 async with asyncio.timeout(self._call_timeout_seconds):
                     status = await connection.open_stream(call)
-            except (TimeoutError, http_client.ReplyLostError) as error:
+            except (TimeoutError, http_client.ResponseLostError) as error:
                 connection.close()
                 detail = self._next_pool(pool, error)
                 continue
@@ -242,7 +242,7 @@
                         fields = gateway_format.decode(line)
                         yield gateway_format.watch_message(fields)
         except (
-            http_client.ReplyLostError,
+            http_client.ResponseLostError,
             gateway_format.FormatError,
         ) as error:
             yield store.Unreachable(detail=f"watch lost: {error}")
@@ -323,7 +323,7 @@
         if reply.status >= _SERVER_ERROR:
             # "Request timed out" comes as a server error, and such a
             # request may still be applied.
-            raise http_client.ReplyLostError(f"status {reply.status}")
+            raise http_client.ResponseLostError(f"status {reply.status}")
         fields = gateway_format.decode(reply.body)
         self._budget.succeeded()
         if reply.status >= _BAD_REQUEST and not gateway_format.is_not_found(
--- a/packages/platform/src/lagoonrun_platform/http_client.py
+++ b/packages/platform/src/lagoonrun_platform/http_client.py
@@ -41,7 +41,7 @@
     """No byte of the call left for the gateway."""
 
 
-class ReplyLostError(Exception):
+class ResponseLostError(Exception):
     """The call was sent, in part at least, and no whole reply came."""
 
 
@@ -136,11 +136,11 @@
                 if on_progress is not None:
                     on_progress()
                 if len(body) > _MAXIMUM_BODY_BYTES:
-                    raise ReplyLostError(
+                    raise ResponseLostError(
                         f"reply over {_MAXIMUM_BODY_BYTES} bytes"
                     )
         except (OSError, h11.ProtocolError) as error:
-            raise ReplyLostError(str(error)) from error
+            raise ResponseLostError(str(error)) from error
         if self._state.states == {
             h11.CLIENT: h11.DONE,
             h11.SERVER: h11.DONE,
@@ -161,7 +161,7 @@
             await self._send(call)
             return (await self._read_head()).status_code
         except (OSError, h11.ProtocolError) as error:
-            raise ReplyLostError(str(error)) from error
+            raise ResponseLostError(str(error)) from error
 
     async def parts(self) -> AsyncIterator[bytes]:
         """Yield the body of a streamed reply as it comes."""
@@ -169,7 +169,7 @@
             async for part in self._read_body():
                 yield part
         except (OSError, h11.ProtocolError) as error:
-            raise ReplyLostError(str(error)) from error
+            raise ResponseLostError(str(error)) from error
 
     def close(self) -> None:
         """Close the connection without waiting for the other side."""
@@ -207,7 +207,7 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise ReplyLostError("connection closed before the reply")
+                raise ResponseLostError("connection closed before the reply")
 
     async def _read_body(self) -> AsyncIterator[bytes]:
         while True:
@@ -215,7 +215,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise ReplyLostError("connection closed within the reply")
+                raise ResponseLostError("connection closed within the reply")
             yield bytes(event.data)
 
     async def _next_event(self) -> object:
@@ -287,7 +287,7 @@
                 reply = await connection.call(call, on_progress=extend)
         except TimeoutError as error:
             connection.close()
-            raise ReplyLostError(
+            raise ResponseLostError(
                 f"no reply within {timeout_seconds:g} s, or a pause in it"
             ) from error
         except BaseException:
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -220,7 +220,10 @@
                 timeout_seconds=_ANSWER_SECONDS,
                 stall_seconds=_STALL_SECONDS,
             )
-        except (http_client.NotSentError, http_client.ReplyLostError) as error:
+        except (
+            http_client.NotSentError,
+            http_client.ResponseLostError,
+        ) as error:
             # The next state of any peer leads to another try.
             _log_failure(peer, f"no answer to {path}: {error}")
             return None
