--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -213,10 +213,10 @@
         """Have others read until the store answers again."""
         self.follows_store = False
 
-    def take_store_lost(self) -> None:
+    def on_store_unreachable(self) -> None:
         """Keep upstreams whose entries run out meanwhile."""
         self.follows_store = False
-        self._directory.take_store_lost()
+        self._directory.on_store_unreachable()
 
     def take_store_regained(self) -> None:
         """Give entries that ran out the time to come back."""
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -106,7 +106,7 @@
     def on_store_call_failed(self) -> None:
         """Take in that a call has failed; the next will tell."""
 
-    def take_store_lost(self) -> None:
+    def on_store_unreachable(self) -> None:
         """Take in that the store cannot be read."""
 
     def take_store_regained(self) -> None:
@@ -300,7 +300,7 @@
             level=logging.WARNING,
             detail=detail,
         )
-        self._reader.take_store_lost()
+        self._reader.on_store_unreachable()
 
     def _note_regained(self) -> None:
         self._pause_seconds = _FIRST_PAUSE_SECONDS
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -281,7 +281,7 @@
         known.state = UpstreamState.UNREADABLE
         _log_state(known.registration, known.state, source="store")
 
-    def take_store_lost(self) -> None:
+    def on_store_unreachable(self) -> None:
         """Take in that the store cannot be reached."""
         self._store_lost = True
 
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -309,7 +309,7 @@
         """Note the doubt."""
         self.told.append("doubtful")
 
-    def take_store_lost(self):
+    def on_store_unreachable(self):
         """Note the loss."""
         self.told.append("lost")
 
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -121,7 +121,7 @@
     The store was fine, and most of the pool is registered: it has left.
     """
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_store_lost()
+    directory.on_store_unreachable()
     directory.take_store_regained(now=1012.0)
     listed(directory, "u-1", "u-2", "new", now=1012.0)
     assert ids(directory, 1012.1) == ["new", "u-1", "u-2"]
@@ -134,7 +134,7 @@
     no refusal in between.
     """
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_store_lost()
+    directory.on_store_unreachable()
     directory.take_store_regained(now=1010.0)
     listed(directory, now=1010.0)
     assert ids(directory, 1010.1) == ["u-1", "u-2", "u-3"]
@@ -269,7 +269,7 @@
     @rule()
     def store_lost(self):
         """Lose the store."""
-        self.directory.take_store_lost()
+        self.directory.on_store_unreachable()
 
     @rule()
     def store_regained(self):
