--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -154,7 +154,9 @@
             return usable
         wanted: set[types.UpstreamId] = set()
         if home is not None:
-            wanted.update(self._parts.homes.holders(home.id, now=now))
+            wanted.update(
+                self._parts.prompt_locations.holders(home.id, now=now)
+            )
             if not self._shared_lately(call):
                 wanted.add(_pool_of(usable).reader_of(home.id))
         return considered.choose(
@@ -230,7 +232,7 @@
             if call.pool.engine
             else 0.0,
             has_shared=home is not None
-            and parts.homes.has(home.id, upstream.id, now=now),
+            and parts.prompt_locations.has(home.id, upstream.id, now=now),
             same_domain=upstream.domain == parts.domain,
             load=parts.ledger.load_of(upstream.id, now=now),
             recent_prefill=parts.ledger.recent_prefill(upstream.id, now=now),
@@ -243,7 +245,7 @@
         if home is None:
             return False
         now = self._parts.clock.monotonic()
-        return self._parts.homes.used_lately(home.id, now=now)
+        return self._parts.prompt_locations.used_lately(home.id, now=now)
 
     def _log(
         self,
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -84,7 +84,7 @@
         Order of the relays of the own failure domain.
     gathered
         What neighbours told where they tell a relay only.
-    ledger, homes, pressed, domains
+    ledger, prompt_locations, pressed, domains
         What is told and heard.
     usage
         Who holds the duties; None where there are none.
@@ -104,7 +104,7 @@
         relays: roster.Roster,
         gathered: gathered_work.GatheredWork,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptLocations,
+        prompt_locations: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
         domains: reach.DomainReach,
         usage: usage_exchange.UsageExchange | None = None,
@@ -119,7 +119,7 @@
         self._relays = relays
         self._gathered = gathered
         self._ledger = ledger
-        self._homes = homes
+        self._prompt_locations = prompt_locations
         self._pressed = pressed
         self._domains = domains
         self._usage = usage
@@ -164,7 +164,7 @@
             or bool(self._table.watching(now=now)),
             loads=peer_loads.to_rows(known),
             placements=peer_loads.placements(
-                self._homes.take_for_other_domains()
+                self._prompt_locations.take_for_other_domains()
             ),
             pressed=peer_loads.pressed(pressed),
             duties_holder=self._duties_holder(now),
@@ -221,7 +221,9 @@
                 news.domain, news.duties_holder, now=now
             )
         for placement in news.placements:
-            self._homes.take_far(placement.part, placement.upstream, now=now)
+            self._prompt_locations.take_far(
+                placement.part, placement.upstream, now=now
+            )
         known_address = self._table.address_of(news.entry_vm)
         from_relay = known_address is not None and known_address.host == host
         if from_relay:
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -57,7 +57,7 @@
         Drawn at random by each start of the process.
     gathered
         What the neighbours and the other domains told.
-    table, ledger, pressed, homes, domains, directory
+    table, ledger, pressed, prompt_locations, domains, directory
         What is told and heard.
     send
         Sends a message.
@@ -73,7 +73,7 @@
         table: peer_table.PeerTable,
         ledger: load_ledger.LoadLedger,
         pressed: pressure.Pressure,
-        homes: prompt_locations.PromptLocations,
+        prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         directory: upstreams.UpstreamDirectory,
         send: Sender,
@@ -85,7 +85,7 @@
         self._table = table
         self._ledger = ledger
         self._pressed = pressed
-        self._homes = homes
+        self._prompt_locations = prompt_locations
         self._domains = domains
         self._directory = directory
         self._send = send
@@ -108,7 +108,7 @@
         """
         self._gathered.take_state(state, now=now)
         for placement in state.placements:
-            self._homes.apply_report(
+            self._prompt_locations.apply_report(
                 placement.part, placement.upstream, now=now
             )
         if state.relay == self._entry_vm and not state.stopping:
@@ -151,7 +151,9 @@
             prefill_rates=peer_loads.packed(
                 self._gathered.prefill_rate(one, now=now) for one in by_upstream
             ),
-            placements=peer_loads.placements(self._homes.take_for_neighbours()),
+            placements=peer_loads.placements(
+                self._prompt_locations.take_for_neighbours()
+            ),
             pressed=peer_loads.pressed(self._gathered.fleet_pressed(now=now)),
             domains=tuple(silent_by_domain),
             silent_milliseconds=tuple(
@@ -205,7 +207,7 @@
             peer_loads.pressed_of(news.pressed), now=now
         )
         for placement in news.placements:
-            self._homes.take_relayed(
+            self._prompt_locations.take_relayed(
                 placement.part, placement.upstream, now=now
             )
         for domain, milliseconds in zip(
--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/parts.py
@@ -47,7 +47,7 @@
     peers: peer_table.PeerTable
     admission_floor: admission_floor.AdmissionFloor
     pressed: pressure.Pressure
-    homes: prompt_locations.PromptLocations
+    prompt_locations: prompt_locations.PromptLocations
     domains: reach.DomainReach
     budget: retry_budget.RetryBudget
     client: http_upstream.UpstreamClient
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -77,7 +77,7 @@
         The other entry VMs.
     known
         Declarations in force.
-    directory, ledger, homes, domains, pressed, gathered
+    directory, ledger, prompt_locations, domains, pressed, gathered
         What is told and heard.
     crashing
         Requests that end upstreams.
@@ -98,7 +98,7 @@
         known: beliefs.Beliefs,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptLocations,
+        prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         pressed: pressure.Pressure,
         gathered: gathered_work.GatheredWork,
@@ -117,7 +117,7 @@
         known.on_changes = self._tell_changes
         self._directory = directory
         self._ledger = ledger
-        self._homes = homes
+        self._prompt_locations = prompt_locations
         self._domains = domains
         self._pressed = pressed
         self._gathered = gathered
@@ -142,7 +142,7 @@
             known=known,
             directory=directory,
             ledger=ledger,
-            homes=homes,
+            prompt_locations=prompt_locations,
             pressed=pressed,
             relays=self._relays,
             usage=usage,
@@ -156,7 +156,7 @@
             table=table,
             ledger=ledger,
             pressed=pressed,
-            homes=homes,
+            prompt_locations=prompt_locations,
             domains=domains,
             directory=directory,
             send=self._socket.send,
@@ -171,7 +171,7 @@
             relays=self._relays,
             gathered=gathered,
             ledger=ledger,
-            homes=homes,
+            prompt_locations=prompt_locations,
             pressed=pressed,
             domains=domains,
             usage=usage,
@@ -471,6 +471,6 @@
             state.entry_vm, peer_loads.pressed_of(state.pressed), now=now
         )
         for placement in state.placements:
-            self._homes.apply_report(
+            self._prompt_locations.apply_report(
                 placement.part, placement.upstream, now=now
             )
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -119,7 +119,7 @@
         self.metrics = metrics.RouterMetrics()
         self.directory = upstreams.UpstreamDirectory()
         self._ledger = load_ledger.LoadLedger()
-        self._homes = prompt_locations.PromptLocations(
+        self._prompt_locations = prompt_locations.PromptLocations(
             reuse_seconds=configured.reuse_seconds
         )
         self._domains = reach.DomainReach()
@@ -214,7 +214,7 @@
             known=self.beliefs,
             directory=self.directory,
             ledger=self._ledger,
-            homes=self._homes,
+            prompt_locations=self._prompt_locations,
             domains=self._domains,
             pressed=self._pressed,
             gathered=self._gathered,
@@ -249,7 +249,7 @@
                 peers=self._table,
                 admission_floor=self._let_in,
                 pressed=self._pressed,
-                homes=self._homes,
+                prompt_locations=self._prompt_locations,
                 domains=self._domains,
                 budget=self._budget,
                 client=self._client,
@@ -416,7 +416,7 @@
             before = restarted.before
             self._ledger.forget_instance(before.id)
             self._gathered.forget_instance(before.id)
-            self._homes.forget_upstream(before.id)
+            self._prompt_locations.forget_upstream(before.id)
             self.exchange.notices.forget_instance(before)
             self._client.lose(
                 before.host, before.port, opened_until=restarted.heard_at
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -49,7 +49,7 @@
         Settings of the process.
     start
         Drawn at random by each start of the process.
-    table, known, directory, ledger, homes, pressed
+    table, known, directory, ledger, prompt_locations, pressed
         What is told.
     relays
         Order of the relays of the own failure domain.
@@ -68,7 +68,7 @@
         known: beliefs.Beliefs,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
-        homes: prompt_locations.PromptLocations,
+        prompt_locations: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
         relays: roster.Roster,
         usage: usage_exchange.UsageExchange | None = None,
@@ -80,7 +80,7 @@
         self._known = known
         self._directory = directory
         self._ledger = ledger
-        self._homes = homes
+        self._prompt_locations = prompt_locations
         self._pressed = pressed
         self._relays = relays
         self._usage = usage
@@ -101,7 +101,7 @@
     def tick(self, *, now: float) -> router_messages.RouterState | None:
         """Return the state that is to be told now; None for none."""
         self._beats_since_told += 1
-        placements = self._homes.take_own()
+        placements = self._prompt_locations.take_own()
         if not placements and self._beats_since_told < self._wanted_beats():
             return None
         quiet = self._beats_since_told >= _QUIET_BEATS
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -62,7 +62,7 @@
     name: str
     exchange: domain_news.DomainNewsExchange
     ledger: load_ledger.LoadLedger
-    homes: prompt_locations.PromptLocations
+    prompt_locations: prompt_locations.PromptLocations
     pressed: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
@@ -97,7 +97,9 @@
         table = peer_table.PeerTable(entry_vm=name, domain=DOMAIN_OF[name])
         shared = {
             "ledger": load_ledger.LoadLedger(),
-            "homes": prompt_locations.PromptLocations(reuse_seconds=10.0),
+            "prompt_locations": prompt_locations.PromptLocations(
+                reuse_seconds=10.0
+            ),
             "pressed": pressure.Pressure(),
             "table": table,
             "relays": relays_of(name, table),
@@ -243,14 +245,14 @@
 
 
 def test_placements_and_pressed_tiers_reach_other_domains(relay, far_relay):
-    relay.homes.place("part", "u-1", now=0.0)
+    relay.prompt_locations.place("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         relay.pressed.note("pool", 1, now=0.0)
     relay.tick(now=0.1)
     far_relay.exchange.take(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
-    assert far_relay.homes.has("part", "u-1", now=0.1)
+    assert far_relay.prompt_locations.has("part", "u-1", now=0.1)
     assert far_relay.pressed.higher_tier_pressed("pool", 2, now=0.1)
 
 
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -43,7 +43,7 @@
     exchange: fleet_news.FleetNewsExchange
     gathered: gathered_work.GatheredWork
     ledger: load_ledger.LoadLedger
-    homes: prompt_locations.PromptLocations
+    prompt_locations: prompt_locations.PromptLocations
     pressed: pressure.Pressure
     domains: reach.DomainReach
     directory: upstreams.UpstreamDirectory
@@ -64,7 +64,7 @@
             relay=relay,
             loads=peer_loads.to_rows(self.ledger.own_loads(now=now)),
             pressed=peer_loads.pressed(self.pressed.recent(now=now)),
-            placements=peer_loads.placements(self.homes.take_own()),
+            placements=peer_loads.placements(self.prompt_locations.take_own()),
             **more,
         )
         self.exchange.note_told(made)
@@ -96,7 +96,9 @@
         shared = {
             "gathered": gathered_work.GatheredWork(),
             "ledger": load_ledger.LoadLedger(),
-            "homes": prompt_locations.PromptLocations(reuse_seconds=10.0),
+            "prompt_locations": prompt_locations.PromptLocations(
+                reuse_seconds=10.0
+            ),
             "pressed": pressure.Pressure(),
             "domains": reach.DomainReach(),
             "directory": upstreams.UpstreamDirectory(),
@@ -257,7 +259,7 @@
 def test_prompt_homes_failed_tiers_and_flow_of_prompts_are_told(
     relay, member, other
 ):
-    other.homes.place("part", "u-1", now=0.0)
+    other.prompt_locations.place("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         other.pressed.note(POOL, 1, now=0.0)
     relay.exchange.take_state(member.state(RELAY), now=0.0)
@@ -265,7 +267,7 @@
     relay.exchange.take_state(other.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
-    assert member.homes.has("part", "u-1", now=0.1)
+    assert member.prompt_locations.has("part", "u-1", now=0.1)
     assert member.pressed.higher_tier_pressed(POOL, 2, now=0.1)
     assert member.ledger.recent_prefill("u-1", now=0.1) > 1000.0
 
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -181,7 +181,7 @@
         vm = rng.choice(askers)
         if vm.places.closed_seconds(UPSTREAM, 1, now=now):
             continue
-        verdict = await vm.places.take(UPSTREAM, 1, request_id="r")
+        verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
         if isinstance(verdict, place_bucket.Granted):
             taken.append(now)
     return taken
@@ -261,7 +261,7 @@
     fleet = Fleet(clock=clock, domains=3, size=7).start()
     fleet.tell(0.5)
     vm = fleet.vms[4]
-    verdict = await vm.places.take(UPSTREAM, 2, request_id="r")
+    verdict = await vm.places.acquire(UPSTREAM, 2, request_id="r")
     assert isinstance(verdict, place_bucket.Refused)
     now = clock.monotonic()
     assert vm.places.closed_seconds(UPSTREAM, 2, now=now) > 0.0
@@ -281,7 +281,7 @@
         sent_at=clock.monotonic(),
         now=clock.monotonic(),
     )
-    verdict = await vm.places.take(UPSTREAM, 1, request_id="r")
+    verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
     assert isinstance(verdict, place_bucket.Refused)
     assert fleet.relay("domain-0").limits.limit_of(AT) == LIMIT
 
@@ -292,7 +292,7 @@
     clock.advance(1.0)
     fleet.tell(None)
     for vm in fleet.vms:
-        verdict = await vm.places.take(UPSTREAM, 1, request_id="r")
+        verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
         assert isinstance(verdict, place_bucket.Granted)
     assert fleet.sent == 0
 
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -71,7 +71,7 @@
         known=known,
         directory=upstreams.UpstreamDirectory(),
         ledger=ledger,
-        homes=prompt_locations.PromptLocations(reuse_seconds=10.0),
+        prompt_locations=prompt_locations.PromptLocations(reuse_seconds=10.0),
         pressed=pressure.Pressure(),
         relays=roster.Roster(
             duty="relay", places=2, own="vm-1", own_size=0.5, others=table
