--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -140,7 +140,7 @@
     assert blocked(crashing) == ["one"]
 
 
-@pytest.mark.parametrize("leads", [True, False])
+@pytest.mark.parametrize("is_relay", [True, False])
 def test_only_relays_keep_what_they_were_told(
     crashing, news, keeper, clock, is_relay
 ):
@@ -235,7 +235,7 @@
     assert blocked(crashing) == []
 
 
-@pytest.mark.parametrize("leads", [True, False])
+@pytest.mark.parametrize("is_relay", [True, False])
 def test_relay_writes_a_block_again_that_a_restored_store_may_lack(
     crashing, news, keeper, clock, is_relay
 ):
