--- a/packages/soak/src/lagoonrun_soak/caller.py
+++ b/packages/soak/src/lagoonrun_soak/caller.py
@@ -9,7 +9,7 @@
 from lagoonrun_router import answers
 from lagoonrun_soak import layout, record, upstream, vm
 from lagoonrun_standins import router_world
-from lagoonrun_users_platform import standin_words
+from lagoonrun_users_platform import standin_messages
 
 _LONGEST_PAUSE_SECONDS = 0.25
 _CONNECT_SECONDS = 1.0
@@ -108,7 +108,7 @@
         ask.body = answer.body
         ask.whole = answer.whole
         ask.reason = answer.headers.get(answers.REASON_HEADER.lower(), "")
-        ask.genuine = standin_words.is_genuine(answer.headers)
+        ask.genuine = standin_messages.is_genuine(answer.headers)
         closes = answer.headers.get("connection", "").lower() == "close"
         return answer.whole and answer.status > 0 and not closes
 
@@ -130,7 +130,7 @@
         )
         self._seen.asks_by_id[ask.id] = ask
         connection.writer.write(
-            standin_words.request_bytes(
+            standin_messages.request_bytes(
                 method="GET" if profile.idempotent else "POST",
                 host=layout.HOST,
                 path=f"{self._kind.route.path_prefix}x",
--- a/packages/soak/src/lagoonrun_soak/fleet.py
+++ b/packages/soak/src/lagoonrun_soak/fleet.py
@@ -12,7 +12,7 @@
 from lagoonrun_router import upstreams
 from lagoonrun_soak import caller, layout, link, record, upstream, vm
 from lagoonrun_users_platform import layout as platform_layout
-from lagoonrun_users_platform import standin_store, standin_words
+from lagoonrun_users_platform import standin_messages, standin_store
 
 _FIRST_UPSTREAMS = (layout.PLAIN,) * 2 + (layout.ENGINES,) * 3
 _LEAVING_SERVES_SECONDS = 3.0
@@ -153,7 +153,7 @@
         self.seen.declared_at_by_revision[self._revision] = time.monotonic()
 
     async def _put_declarations(self) -> None:
-        value = standin_words.declarations_value(
+        value = standin_messages.declarations_value(
             layout.declarations_at(self._revision),
             keys_by_organisation={
                 layout.ORGANISATION: layout.keys_at(self._revision)
@@ -239,7 +239,7 @@
     async def _register(self, registration: upstreams.Registration) -> None:
         await self._put(
             self._entry_key(registration.id),
-            standin_words.upstream_entry(registration),
+            standin_messages.upstream_entry(registration),
         )
 
     def _entry_key(self, id: types.UpstreamId) -> str:
--- a/packages/soak/src/lagoonrun_soak/upstream.py
+++ b/packages/soak/src/lagoonrun_soak/upstream.py
@@ -14,7 +14,7 @@
 from lagoonrun_http import server as http_server
 from lagoonrun_router import settings, upstreams
 from lagoonrun_soak import layout, notices, record
-from lagoonrun_users_platform import standin_words
+from lagoonrun_users_platform import standin_messages
 
 _PLAIN_WORK_SECONDS = 0.03
 _EVENT_SECONDS = 0.06
@@ -111,7 +111,7 @@
     async def handle(self, exchange: exchanges.Exchange) -> None:
         """Run one request, or say that it was not run."""
         body = await exchange.read_body()
-        request = standin_words.read_request(exchange.head)
+        request = standin_messages.read_request(exchange.head)
         self._seen.arrivals.append(
             notices.Arrival(
                 upstream=self.registration.id,
@@ -157,7 +157,7 @@
         status: int,
     ) -> None:
         headers = self._with_notice(
-            standin_words.not_run_headers(request_id), request_id
+            standin_messages.not_run_headers(request_id), request_id
         )
         await exchange.respond(status=status, headers=headers, body=b"")
 
@@ -174,7 +174,7 @@
                 at=time.monotonic(),
             )
         )
-        return standin_words.notice_headers(
+        return standin_messages.notice_headers(
             headers,
             per_second=notice.per_second,
             rest_seconds=notice.rest_seconds,
@@ -184,7 +184,7 @@
     def _note_run(
         self,
         exchange: exchanges.Exchange,
-        request: standin_words.UpstreamRequest,
+        request: standin_messages.UpstreamRequest,
     ) -> None:
         id = request.request_id
         self._seen.runs_by_id[id].append(
@@ -199,10 +199,10 @@
     async def _run(
         self,
         exchange: exchanges.Exchange,
-        request: standin_words.UpstreamRequest,
+        request: standin_messages.UpstreamRequest,
     ) -> None:
         id = request.request_id
-        headers = standin_words.answer_headers(id)
+        headers = standin_messages.answer_headers(id)
         if layout.KINDS_BY_NAME[_kind_of(exchange)].streamed:
             headers = self._with_notice(headers, id)
         if not layout.KINDS_BY_NAME[_kind_of(exchange)].streamed:
--- a/packages/soak/src/lagoonrun_soak/vm.py
+++ b/packages/soak/src/lagoonrun_soak/vm.py
@@ -10,7 +10,7 @@
 from typing import BinaryIO
 
 from lagoonrun_router import settings
-from lagoonrun_users_platform import settings_file, standin_words
+from lagoonrun_users_platform import settings_file, standin_messages
 
 PROGRAM = "lagoonrun_users_platform.main"
 PLANTED_PROGRAM = "lagoonrun_soak.planted"
@@ -88,7 +88,7 @@
 
     def write_settings(self, comment: str) -> None:
         """Write the settings file, with a comment that changes it."""
-        text = standin_words.settings_text(self.configured)
+        text = standin_messages.settings_text(self.configured)
         self._settings_path.write_text(f"# {comment}\n{text}", encoding="utf-8")
 
     def send(self, number: signal.Signals) -> None:
