--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -218,9 +218,9 @@
         self.follows_store = False
         self._directory.on_store_unreachable()
 
-    def take_store_regained(self) -> None:
+    def on_store_reachable(self) -> None:
         """Give entries that ran out the time to come back."""
-        self._directory.take_store_regained(now=self._clock.monotonic())
+        self._directory.on_store_reachable(now=self._clock.monotonic())
 
     def take_store_left(self) -> None:
         """Rely on peers from now on."""
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -109,7 +109,7 @@
     def on_store_unreachable(self) -> None:
         """Take in that the store cannot be read."""
 
-    def take_store_regained(self) -> None:
+    def on_store_reachable(self) -> None:
         """Take in that the store can be read again; a listing follows."""
 
     def take_store_left(self) -> None:
@@ -308,7 +308,7 @@
             return
         self._lost = False
         logs.emit(events.LogEvent.PLATFORM_REACHABLE)
-        self._reader.take_store_regained()
+        self._reader.on_store_reachable()
 
     def _next_pause(self) -> float:
         longest = _LONGEST_PAUSE_SECONDS
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -295,7 +295,7 @@
         self._store_regained_at = now
         self._restored_at = now
 
-    def take_store_regained(self, *, now: float) -> None:
+    def on_store_reachable(self, *, now: float) -> None:
         """Take in that the store answers again."""
         if self._store_lost:
             self._store_lost = False
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -313,7 +313,7 @@
         """Note the loss."""
         self.told.append("lost")
 
-    def take_store_regained(self):
+    def on_store_reachable(self):
         """Note the return."""
         self.told.append("regained")
 
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -122,7 +122,7 @@
     """
     listed(directory, "u-1", "u-2", "u-3")
     directory.on_store_unreachable()
-    directory.take_store_regained(now=1012.0)
+    directory.on_store_reachable(now=1012.0)
     listed(directory, "u-1", "u-2", "new", now=1012.0)
     assert ids(directory, 1012.1) == ["new", "u-1", "u-2"]
 
@@ -135,7 +135,7 @@
     """
     listed(directory, "u-1", "u-2", "u-3")
     directory.on_store_unreachable()
-    directory.take_store_regained(now=1010.0)
+    directory.on_store_reachable(now=1010.0)
     listed(directory, now=1010.0)
     assert ids(directory, 1010.1) == ["u-1", "u-2", "u-3"]
     directory.take_entry(make_registration("u-2"), now=1011.0)
@@ -274,7 +274,7 @@
     @rule()
     def store_regained(self):
         """Regain the store."""
-        self.directory.take_store_regained(now=self.now)
+        self.directory.on_store_reachable(now=self.now)
 
     @invariant()
     def leaving_gets_nothing(self):
@@ -288,7 +288,7 @@
     def missing_is_dropped_in_the_end(self):
         """Check that nothing is missing for a minute and usable."""
         later = copy.deepcopy(self.directory)
-        later.take_store_regained(now=self.now)
+        later.on_store_reachable(now=self.now)
         usable = {one.id for one in later.usable("portal", now=self.now + 60)}
         assert not usable & self.removed.keys()
 
