--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -222,7 +222,7 @@
         """Give entries that ran out the time to come back."""
         self._directory.on_store_reachable(now=self._clock.monotonic())
 
-    def take_store_left(self) -> None:
+    def on_reading_delegated(self) -> None:
         """Rely on peers from now on."""
         self.follows_store = False
 
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -112,7 +112,7 @@
     def on_store_reachable(self) -> None:
         """Take in that the store can be read again; a listing follows."""
 
-    def take_store_left(self) -> None:
+    def on_reading_delegated(self) -> None:
         """Take in that others read the store from now on."""
 
 
@@ -188,7 +188,7 @@
         if self._lost:
             # The others that are up to date with it say so.
             self._note_regained()
-        self._reader.take_store_left()
+        self._reader.on_reading_delegated()
 
     async def _run(self) -> None:
         # A change that the reader could not take in would come again and again.
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -317,7 +317,7 @@
         """Note the return."""
         self.told.append("regained")
 
-    def take_store_left(self):
+    def on_reading_delegated(self):
         """Note that others read it."""
         self.told.append("left")
 
