--- a/packages/router/src/lagoonrun_router/beliefs.py
+++ b/packages/router/src/lagoonrun_router/beliefs.py
@@ -46,7 +46,7 @@
         """Tell the neighbours that rely on this entry VM."""
 
 
-class Beliefs:
+class StoreReplica:
     """Receives the store's contents; the declarations only move forwards.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/own_calls.py
+++ b/packages/router/src/lagoonrun_router/own_calls.py
@@ -52,7 +52,7 @@
 class PeerCalls:
     """Gives other entry VMs what this one has read from the store."""
 
-    def __init__(self, *, known: beliefs.Beliefs) -> None:
+    def __init__(self, *, known: beliefs.StoreReplica) -> None:
         self._known = known
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -88,7 +88,7 @@
         domain: types.FailureDomain,
         table: peer_table.PeerTable,
         relays: roster.Roster,
-        known: beliefs.Beliefs,
+        known: beliefs.StoreReplica,
         clock: clocks.Clock,
     ) -> None:
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -95,7 +95,7 @@
         configured: settings.RouterSettings,
         key: bytes,
         table: peer_table.PeerTable,
-        known: beliefs.Beliefs,
+        known: beliefs.StoreReplica,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -182,7 +182,7 @@
         self._table = peer_table.PeerTable(
             entry_vm=configured.entry_vm, domain=configured.domain
         )
-        self.beliefs = beliefs.Beliefs(
+        self.beliefs = beliefs.StoreReplica(
             layout=self._layout,
             directory=self.directory,
             peers=self._table,
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -65,7 +65,7 @@
         configured: settings.RouterSettings,
         start: int,
         table: peer_table.PeerTable,
-        known: beliefs.Beliefs,
+        known: beliefs.StoreReplica,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -59,7 +59,7 @@
         self.told = []
         self.directory = upstreams.UpstreamDirectory()
         self.blocks = KeptBlocks()
-        self.known = beliefs.Beliefs(
+        self.known = beliefs.StoreReplica(
             layout=layout,
             directory=self.directory,
             peers=peer_table.PeerTable(entry_vm=name, domain="north"),
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def known(table):
-    return beliefs.Beliefs(
+    return beliefs.StoreReplica(
         layout=PlainLayout(),
         directory=upstreams.UpstreamDirectory(),
         peers=table,
