--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -452,7 +452,7 @@
             raise ValueError("unforeseen")
         del revision
 
-    monkeypatch.setattr(follower._reader, "take_changes", fail)
+    monkeypatch.setattr(follower._reader, "apply_changes", fail)
     await wait_for(lambda: store.calls_by_kind["watch"] == 1)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
