--- a/packages/router/src/lagoonrun_router/own_calls.py
+++ b/packages/router/src/lagoonrun_router/own_calls.py
@@ -8,7 +8,7 @@
 from lagoonrun_http import exchange as exchanges
 from lagoonrun_http import messages as http_messages
 from lagoonrun_protocol import router_codec, router_messages
-from lagoonrun_router import beliefs, crash_evidence, peer_fetch
+from lagoonrun_router import crash_evidence, peer_fetch, store_replica
 
 BLOCKED_REQUESTS_PATH = "/blocked-requests"
 
@@ -52,7 +52,7 @@
 class PeerCalls:
     """Gives other entry VMs what this one has read from the store."""
 
-    def __init__(self, *, known: beliefs.StoreReplica) -> None:
+    def __init__(self, *, known: store_replica.StoreReplica) -> None:
         self._known = known
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -14,7 +14,7 @@
 from lagoonrun_platform import http_client
 from lagoonrun_platform import store as store_module
 from lagoonrun_protocol import router_codec, router_messages
-from lagoonrun_router import beliefs, peer_table, roster, settings
+from lagoonrun_router import peer_table, roster, settings, store_replica
 
 DECLARATIONS_PATH = "/declarations"
 """Gives the whole value, for entry VMs of before the one below."""
@@ -88,7 +88,7 @@
         domain: types.FailureDomain,
         table: peer_table.PeerTable,
         relays: roster.Roster,
-        known: beliefs.StoreReplica,
+        known: store_replica.StoreReplica,
         clock: clocks.Clock,
     ) -> None:
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -14,7 +14,6 @@
 from lagoonrun_duties import usage_exchange
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
-    beliefs,
     crash_news,
     crashing_requests,
     domain_news,
@@ -34,6 +33,7 @@
     roster,
     settings,
     state_telling,
+    store_replica,
     upstream_notices,
     upstreams,
 )
@@ -95,7 +95,7 @@
         configured: settings.RouterSettings,
         key: bytes,
         table: peer_table.PeerTable,
-        known: beliefs.StoreReplica,
+        known: store_replica.StoreReplica,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -17,7 +17,6 @@
 from lagoonrun_platform import store_eras
 from lagoonrun_router import (
     admission_floor,
-    beliefs,
     crash_guard,
     declarations,
     dialect,
@@ -40,6 +39,7 @@
     settings,
     store_duty,
     store_follower,
+    store_replica,
     upstreams,
 )
 
@@ -182,7 +182,7 @@
         self._table = peer_table.PeerTable(
             entry_vm=configured.entry_vm, domain=configured.domain
         )
-        self.beliefs = beliefs.StoreReplica(
+        self.beliefs = store_replica.StoreReplica(
             layout=self._layout,
             directory=self.directory,
             peers=self._table,
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -7,7 +7,6 @@
 from lagoonrun_duties import usage_exchange
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
-    beliefs,
     load_ledger,
     peer_loads,
     peer_table,
@@ -15,6 +14,7 @@
     prompt_locations,
     roster,
     settings,
+    store_replica,
     upstreams,
 )
 
@@ -65,7 +65,7 @@
         configured: settings.RouterSettings,
         start: int,
         table: peer_table.PeerTable,
-        known: beliefs.StoreReplica,
+        known: store_replica.StoreReplica,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -22,7 +22,7 @@
 from lagoonrun_platform import store as store_module
 from lagoonrun_platform import store_eras
 from lagoonrun_protocol import router_codec, router_messages
-from lagoonrun_router import beliefs, peer_table, upstreams
+from lagoonrun_router import peer_table, store_replica, upstreams
 from lagoonrun_standins.router_samples import (
     make_declarations,
     make_registration,
@@ -59,7 +59,7 @@
         self.told = []
         self.directory = upstreams.UpstreamDirectory()
         self.blocks = KeptBlocks()
-        self.known = beliefs.StoreReplica(
+        self.known = store_replica.StoreReplica(
             layout=layout,
             directory=self.directory,
             peers=peer_table.PeerTable(entry_vm=name, domain="north"),
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -6,7 +6,6 @@
 
 from lagoonrun_core import clock as clocks
 from lagoonrun_router import (
-    beliefs,
     load_ledger,
     loads,
     peer_table,
@@ -16,6 +15,7 @@
     roster,
     settings,
     state_telling,
+    store_replica,
     upstreams,
 )
 from lagoonrun_standins.router_words import PlainLayout
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def known(table):
-    return beliefs.StoreReplica(
+    return store_replica.StoreReplica(
         layout=PlainLayout(),
         directory=upstreams.UpstreamDirectory(),
         peers=table,
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -13,13 +13,13 @@
     admission,
     answers,
     attempt,
-    beliefs,
     crash_evidence,
     declarations,
     execution,
     places,
     retrying,
     router,
+    store_replica,
     upstream_rests,
     upstreams,
 )
@@ -113,7 +113,7 @@
 
 def _break_no_revert() -> None:
     """Put the declarations of before into force again after a while."""
-    sound = beliefs.StoreReplica.__init__
+    sound = store_replica.StoreReplica.__init__
 
     def init(self, *, on_declarations, **more) -> None:
         before: list[declarations.Declarations] = []
@@ -128,18 +128,18 @@
 
         sound(self, on_declarations=take, **more)
 
-    beliefs.StoreReplica.__init__ = init
+    store_replica.StoreReplica.__init__ = init
 
 
 def _break_in_force() -> None:
     """Take only the first declarations."""
-    sound = beliefs.StoreReplica.take_declarations
+    sound = store_replica.StoreReplica.take_declarations
 
     def take(self, value, *, source) -> None:
         if not self.revision:
             sound(self, value, source=source)
 
-    beliefs.StoreReplica.take_declarations = take
+    store_replica.StoreReplica.take_declarations = take
 
 
 def _break_tiers() -> None:
