--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -180,7 +180,7 @@
             self._stored.discard(request)
             self._clear(request, reason="removed from the store")
 
-    def take_store_restored(self) -> None:
+    def on_store_restored(self) -> None:
         """Have the relays write again what the store may have lost."""
         now = self._clock.monotonic()
         lost, self._stored = self._stored, set()
--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -35,7 +35,7 @@
     def take_unstored(self, request: types.RequestDigest) -> None:
         """Take in that a block was removed, or its time has passed."""
 
-    def take_store_restored(self) -> None:
+    def on_store_restored(self) -> None:
         """Take in that the store may have lost blocks that it had."""
 
 
@@ -392,8 +392,8 @@
         since the copy was made stand in it, and don't come back by that. Blocks
         that it lacks are written again.
         """
-        self._directory.take_store_restored(now=self._clock.monotonic())
-        self._blocks.take_store_restored()
+        self._directory.on_store_restored(now=self._clock.monotonic())
+        self._blocks.on_store_restored()
 
     def _blocked_request(self, key: str) -> types.RequestDigest:
         prefix = self._layout.blocked_requests_prefix
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -285,7 +285,7 @@
         """Take in that the store cannot be reached."""
         self._store_lost = True
 
-    def take_store_restored(self, *, now: float) -> None:
+    def on_store_restored(self, *, now: float) -> None:
         """Take in that the store has come back from an older copy.
 
         Upstreams that registered since are not in it, and do so again within the
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -241,7 +241,7 @@
 ):
     news.is_relay = is_relay
     crashing.take_stored("one", _stored_block())
-    crashing.take_store_restored()
+    crashing.on_store_restored()
     clock.advance(LONG_SECONDS)
     crashing.tick()
     assert keeper.kept == (["one"] if is_relay else [])
@@ -253,7 +253,7 @@
 ):
     news.is_relay = True
     crashing.take_stored("one", _stored_block())
-    crashing.take_store_restored()
+    crashing.on_store_restored()
     crashing.take_stored("one", _stored_block())
     clock.advance(LONG_SECONDS)
     crashing.tick()
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -47,7 +47,7 @@
         """Drop a block."""
         self.discard(request)
 
-    def take_store_restored(self):
+    def on_store_restored(self):
         """Keep what is known."""
 
 
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -194,7 +194,7 @@
     listed(directory, "u-1", "u-2", "u-3")
     directory.take_removal("u-1", now=1000.0)
     assert "u-1" not in ids(directory, 1005.0)
-    directory.take_store_restored(now=1006.0)
+    directory.on_store_restored(now=1006.0)
     listed(directory, "u-1", "u-2", "u-3", now=1006.0)
     assert ids(directory, 1006.0) == ["u-2", "u-3"]
 
@@ -204,7 +204,7 @@
     listed(directory, "u-1", "u-2", "u-3")
     directory.take_removal("u-1", now=1000.0)
     assert "u-1" not in ids(directory, 1005.0)
-    directory.take_store_restored(now=1006.0)
+    directory.on_store_restored(now=1006.0)
     listed(directory, "u-1", "u-2", "u-3", now=1006.0)
     directory.take_entry(make_registration("u-1"), now=1007.0)
     assert ids(directory, 1007.0) == ["u-1", "u-2", "u-3"]
@@ -213,7 +213,7 @@
 def test_upstreams_that_a_copy_lacks_have_time_to_register_again(directory):
     """They started after the copy was made, and have work."""
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_store_restored(now=1000.0)
+    directory.on_store_restored(now=1000.0)
     listed(directory, "u-1", "u-2", now=1000.0)
     later = 1000.0 + upstreams.DOUBTFUL_SECONDS
     assert directory.may_send("u-3", now=later)
@@ -223,7 +223,7 @@
 
 def test_upstream_that_stays_away_after_a_restore_is_gone(directory):
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_store_restored(now=1000.0)
+    directory.on_store_restored(now=1000.0)
     listed(directory, "u-1", "u-2", now=1000.0)
     later = 1000.0 + upstreams.LAPSE_SECONDS
     assert not directory.may_send("u-3", now=later)
