--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -164,7 +164,7 @@
             or bool(self._table.watching(now=now)),
             loads=peer_loads.to_rows(known),
             placements=peer_loads.placements(
-                self._prompt_locations.take_for_other_domains()
+                self._prompt_locations.pop_for_other_domains()
             ),
             pressed=peer_loads.pressed(pressed),
             duties_holder=self._duties_holder(now),
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -130,7 +130,7 @@
         seen = self._seen_by_part.get(part)
         return bool(seen) and now - max(seen.values()) < self._reuse_seconds
 
-    def take_for_other_domains(self) -> dict[str, types.UpstreamId]:
+    def pop_for_other_domains(self) -> dict[str, types.UpstreamId]:
         """Return the domain's placements that other domains don't know yet."""
         return self._for_other_domains.take(_RELAYED_AT_ONCE)
 
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -64,7 +64,7 @@
     assert homes.has("p", "u-2", now=0.0)
     assert not homes.used_lately("q", now=0.0)
     assert homes.take_own() == {"p": "u-2"}
-    assert homes.take_for_other_domains() == {"p": "u-2"}
+    assert homes.pop_for_other_domains() == {"p": "u-2"}
 
 
 def test_placements_of_all_are_for_the_neighbours(homes):
@@ -76,7 +76,7 @@
     homes.apply_report("near", "u-2", now=0.0)
     homes.take_far("far", "u-3", now=0.0)
     homes.take_relayed("known", "u-4", now=0.0)
-    assert homes.take_for_other_domains() == {"own": "u-1", "near": "u-2"}
+    assert homes.pop_for_other_domains() == {"own": "u-1", "near": "u-2"}
     assert homes.take_for_neighbours() == {
         "own": "u-1",
         "near": "u-2",
