--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -128,7 +128,7 @@
 
     # Hearing.
 
-    def take_state(
+    def receive_state(
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
         """Take in what a neighbour has counted, and whether it is the holder."""
@@ -139,7 +139,7 @@
         elif state.entry_vm == self._heard_holder:
             self._forget_holder()
 
-    def take_news(self, news: router_messages.UsageNews) -> None:
+    def receive_news(self, news: router_messages.UsageNews) -> None:
         """Take in the sums of another failure domain, or of the own relay."""
         self._fleet.take_in(news.domain, 0, news.rows)
 
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -33,7 +33,7 @@
 
     def send(self, news, to):
         if to not in self.lost:
-            self.by_id[to].take_news(news)
+            self.by_id[to].receive_news(news)
 
     def round(self, seconds=0.5, *, start=1):
         """All tell their relay, and relays what they know of the holder."""
@@ -53,7 +53,7 @@
             for number in (1, 2):
                 heard = self.by_id[f"{domain}-{number}"]
                 if heard is not one:
-                    heard.take_state(state, now=self.now)
+                    heard.receive_state(state, now=self.now)
         for domain, other in (("north", "south"), ("south", "north")):
             near = [one for one in self.by_id if one.startswith(domain)]
             named = self.by_id[f"{domain}-1"].holder_in_domain(
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -138,7 +138,7 @@
 
     # What peers and the store tell.
 
-    def take_news(self, news: router_messages.CrashNews) -> None:
+    def receive_news(self, news: router_messages.CrashNews) -> None:
         """Take in what a peer knows of crashes."""
         now = self._clock.monotonic()
         told = crash_news.records_of(news, now=now)
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -99,14 +99,14 @@
 
     # As the relay.
 
-    def take_state(
+    def receive_state(
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
         """Gather a neighbour's state, or the own one.
 
         Whoever relies on this entry VM as its relay is told the sum.
         """
-        self._gathered.take_state(state, now=now)
+        self._gathered.receive_state(state, now=now)
         for placement in state.placements:
             self._prompt_locations.apply_report(
                 placement.part, placement.upstream, now=now
--- a/packages/router/src/lagoonrun_router/gathered_work.py
+++ b/packages/router/src/lagoonrun_router/gathered_work.py
@@ -49,7 +49,7 @@
         self._tellers_by_id: dict[types.EntryVmId, Teller] = {}
         self._domains: set[types.FailureDomain] = set()
 
-    def take_state(
+    def receive_state(
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
         """Replace what is known of a neighbour, or of this entry VM."""
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -277,7 +277,7 @@
         self._fleet_news.note_told(state)
         relays = self._relays.on_duty(now=now)
         if state.entry_vm in relays:
-            self._fleet_news.take_state(state, now=now)
+            self._fleet_news.receive_state(state, now=now)
         # Those that rely on this entry VM, for the store or as their relay,
         # have to hear of a change without waiting for a relay.
         relied_on = self._teller.was_reader or state.entry_vm in relays
@@ -386,10 +386,10 @@
             if self._known.take_changes_of_peer(message):
                 self._hand_on(message)
         elif isinstance(message, router_messages.CrashNews):
-            self._crashing.take_news(message)
+            self._crashing.receive_news(message)
         elif isinstance(message, router_messages.UsageNews):
             if self._usage is not None:
-                self._usage.take_news(message)
+                self._usage.receive_news(message)
         elif not self.notices.receive_message(message, now=now):
             raise errors.LagoonrunError(
                 step=errors.Step.PEER_FRAME,
@@ -429,7 +429,7 @@
         if state.domain == self._settings.domain:
             self._take_work(state, now)
             if self._usage is not None:
-                self._usage.take_state(state, now=now)
+                self._usage.receive_state(state, now=now)
         self._known.note_read_by_peer(state)
         self._fetcher.take(state, address, now=now)
 
@@ -462,7 +462,7 @@
         own = self._settings.entry_vm
         if self._table.has_relay:
             if state.relay == own or own in self._relays.on_duty(now=now):
-                self._fleet_news.take_state(state, now=now)
+                self._fleet_news.receive_state(state, now=now)
             return
         self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -136,7 +136,7 @@
 
 def test_crashes_at_several_entry_vms_add_up(crashing):
     crashing.take_crash(started(0), frozenset({ONE}))
-    crashing.take_news(told(("one", 1), ("one", 2)))
+    crashing.receive_news(told(("one", 1), ("one", 2)))
     assert blocked(crashing) == ["one"]
 
 
@@ -146,7 +146,7 @@
 ):
     """Whoever saw the crash may have ended; all others at once would storm."""
     news.is_relay = is_relay
-    crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     clock.advance(LONG_SECONDS)
     crashing.tick()
     assert keeper.kept == (["one"] if is_relay else [])
@@ -154,7 +154,7 @@
 
 def test_relay_does_not_keep_what_the_store_has(crashing, news, keeper, clock):
     news.is_relay = True
-    crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     (block,) = crashing.blocks()
     crashing.take_stored("one", block_record.encode(block))
     clock.advance(LONG_SECONDS)
@@ -167,14 +167,14 @@
 ):
     """The upstream may have gone on with it; another entry VM saw the crash."""
     watch.ran_by_upstream[started(0)] = frozenset({TWO})
-    crashing.take_news(told(("one", 0)))
+    crashing.receive_news(told(("one", 0)))
     assert {one.request for one in crashing.records()} == {"one", "two"}
     assert [one.request for one in news.told] == ["two"]
 
 
 def test_old_news_says_nothing_of_what_runs_here(crashing, watch):
     watch.ran_by_upstream[started(0)] = frozenset({TWO})
-    crashing.take_news(told(("one", 0), age_milliseconds=60_000))
+    crashing.receive_news(told(("one", 0), age_milliseconds=60_000))
     assert {one.request for one in crashing.records()} == {"one"}
 
 
@@ -203,7 +203,7 @@
     """Many callers send the same lookup; several upstreams end within a second."""
     crashing.take_answer("one")
     clock.advance(1.0)
-    crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     assert blocked(crashing) == []
     assert [one.void for one in news.told] == [True] * 3
 
@@ -220,7 +220,7 @@
     crash_thrice(crashing)
     assert crashing.lift("one")
     assert not crashing.lift("one")
-    crashing.take_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     assert blocked(crashing) == []
 
 
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -139,7 +139,7 @@
     member.begin(tokens=3000.0)
     other.begin(tokens=4000.0)
     for vm in (member, other):
-        relay.exchange.take_state(vm.state(RELAY), now=0.1)
+        relay.exchange.receive_state(vm.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
     for vm in (member, other):
         vm.exchange.take(news, now=0.1)
@@ -149,7 +149,7 @@
 
 def test_own_work_that_has_ended_since_counts_no_more(relay, member):
     work = member.begin()
-    relay.exchange.take_state(member.state(RELAY), now=0.1)
+    relay.exchange.receive_state(member.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
     member.ledger.end(work)
     member.exchange.take(news, now=0.1)
@@ -163,7 +163,7 @@
     heard = member.state(RELAY)
     member.begin(tokens=500.0)
     member.state(RELAY)
-    relay.exchange.take_state(heard, now=0.1)
+    relay.exchange.receive_state(heard, now=0.1)
     (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
@@ -172,16 +172,16 @@
 
 def test_only_who_relies_on_a_relay_is_told(relay, member, other):
     """The second in order hears all states and keeps silent meanwhile."""
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
-    relay.exchange.take_state(other.state(SECOND), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(other.state(SECOND), now=0.0)
     relay.tick(0.1)
     assert relay.sent[-1][1] == (address_of(MEMBER),)
-    relay.exchange.take_state(member.state(SECOND), now=0.2)
+    relay.exchange.receive_state(member.state(SECOND), now=0.2)
     assert relay.tick(0.2) == []
 
 
 def test_relay_tells_nobody_who_has_fallen_silent(relay, member):
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
     assert relay.tick(gathered_work.TELLER_SECONDS) == []
 
 
@@ -193,10 +193,10 @@
     other.begin(tokens=4000.0)
     for vm in (member, other):
         state = vm.state(RELAY)
-        relay.exchange.take_state(state, now=0.0)
-        second.exchange.take_state(state, now=0.0)
+        relay.exchange.receive_state(state, now=0.0)
+        second.exchange.receive_state(state, now=0.0)
     assert second.tick(0.1) == []
-    second.exchange.take_state(member.state(SECOND), now=0.5)
+    second.exchange.receive_state(member.state(SECOND), now=0.5)
     (news,) = second.tick(0.5)
     member.exchange.take(news, now=0.5)
     assert member.ledger.load_of("u-1", now=0.5).running == 1
@@ -206,8 +206,8 @@
     """What its decisions rest on is what the others' do."""
     other.begin()
     own = relay.begin()
-    relay.exchange.take_state(relay.state(RELAY), now=0.0)
-    relay.exchange.take_state(other.state(RELAY), now=0.0)
+    relay.exchange.receive_state(relay.state(RELAY), now=0.0)
+    relay.exchange.receive_state(other.state(RELAY), now=0.0)
     relay.tick(0.1)
     assert relay.ledger.load_of("u-1", now=0.1).running == 2
     relay.ledger.end(own)
@@ -217,7 +217,7 @@
 def test_silence_of_all_relays_makes_the_sum_old(relay, member, other):
     other.begin()
     for vm in (member, other):
-        relay.exchange.take_state(vm.state(RELAY), now=0.0)
+        relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.0)
     member.exchange.take(news, now=0.0)
     assert member.ledger.load_of("u-1", now=1.0).running == 1
@@ -226,10 +226,10 @@
 
 
 def test_overtaken_news_change_nothing(relay, member, other):
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
     (first,) = relay.tick(0.0)
     other.begin()
-    relay.exchange.take_state(other.state(RELAY), now=0.1)
+    relay.exchange.receive_state(other.state(RELAY), now=0.1)
     (second,) = relay.tick(0.1)
     member.exchange.take(second, now=0.1)
     member.exchange.take(first, now=0.1)
@@ -237,7 +237,7 @@
 
 
 def test_other_domains_are_part_of_the_sum(relay, member):
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
     relay.gathered.take_domain(
         router_messages.DomainNews(
             entry_vm="s-1",
@@ -262,9 +262,9 @@
     other.prompt_locations.place("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         other.pressed.note(POOL, 1, now=0.0)
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
     other.begin(tokens=9000.0)
-    relay.exchange.take_state(other.state(RELAY), now=0.0)
+    relay.exchange.receive_state(other.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     assert member.prompt_locations.has("part", "u-1", now=0.1)
@@ -275,11 +275,11 @@
 def test_members_learn_from_the_relay_who_lives(relay, member, other):
     """A member tells the relay only; the others know of it all the same."""
     for vm in (member, other):
-        relay.exchange.take_state(vm.state(RELAY), now=0.0)
+        relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     member.exchange.take(news, now=0.1)
     assert OTHER in member.table.neighbours()
-    relay.exchange.take_state(other.state(RELAY, stopping=True), now=0.2)
+    relay.exchange.receive_state(other.state(RELAY, stopping=True), now=0.2)
     (news,) = relay.tick(0.2)
     assert gathered_work.short_hash(OTHER) not in news.tellers
 
@@ -287,7 +287,7 @@
 def test_leaving_upstreams_are_named(relay, member):
     relay.directory.take_entry(make_registration("u-1", port=1), now=0.0)
     relay.directory.mark_leaving("u-1", start=0, source="store")
-    relay.exchange.take_state(member.state(RELAY), now=0.0)
+    relay.exchange.receive_state(member.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     assert [one.upstream for one in news.leaving_starts] == ["u-1"]
 
@@ -295,7 +295,7 @@
 def test_news_with_too_few_numbers_are_refused(relay, member, other):
     other.begin()
     for vm in (member, other):
-        relay.exchange.take_state(vm.state(RELAY), now=0.0)
+        relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     broken = dataclasses.replace(news, prefill_rates=b"")
     with pytest.raises(format_error.FormatError):
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -247,7 +247,7 @@
             for _ in range(self.names.index(name) + 1):
                 self.by_name[name].exchange.record_started("house")
             for state in told:
-                self.by_name[name].exchange.take_state(state, now=now)
+                self.by_name[name].exchange.receive_state(state, now=now)
             self._run(self.by_name[name].duties.step())
         # After the steps: a holder that wakes up may act before it renews.
         due = [one for one in self.timers if one[0] <= now and one[1] in awake]
@@ -312,7 +312,7 @@
             # It goes on telling its state until its last request has ended.
             state = self._state_of(name, vm)
             for other in self.by_name.values():
-                other.exchange.take_state(state, now=self.clock.monotonic())
+                other.exchange.receive_state(state, now=self.clock.monotonic())
             if again:
                 self._start(name)
 
