--- a/packages/platform/src/lagoonrun_platform/call_budget.py
+++ b/packages/platform/src/lagoonrun_platform/call_budget.py
@@ -37,7 +37,7 @@
         Rate in the long run.
     burst
         Calls that may be made at once after a pause.
-    longest_wait_seconds
+    max_wait_seconds
         A call that would wait longer for its turn is denied.
     clock
         Drives the bucket.
@@ -50,13 +50,13 @@
         *,
         calls_per_second: float,
         burst: float,
-        longest_wait_seconds: float,
+        max_wait_seconds: float,
         clock: clock_module.Clock,
         rng: random.Random,
     ) -> None:
         self._rate = calls_per_second
         self._burst = burst
-        self._longest_wait_seconds = longest_wait_seconds
+        self._max_wait_seconds = max_wait_seconds
         self._clock = clock
         self._rng = rng
         self._tokens = burst
@@ -82,7 +82,7 @@
             self._probe_until = now + timeout_seconds
         self._refill(now)
         wait = max(0.0, (1.0 - self._tokens) / self._rate)
-        if wait > self._longest_wait_seconds:
+        if wait > self._max_wait_seconds:
             return Denied(detail=f"budget of {self._rate:g} calls/s is used up")
         self._tokens -= 1.0
         return Admitted(wait_seconds=wait)
--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -77,7 +77,7 @@
         self._budget = call_budget.CallBudget(
             calls_per_second=calls_per_second,
             burst=burst,
-            longest_wait_seconds=call_timeout_seconds,
+            max_wait_seconds=call_timeout_seconds,
             clock=clock,
             rng=rng,
         )
@@ -172,10 +172,10 @@
         *,
         prefix: bool = False,
         from_revision: store.StoreRevision = store.ABSENT,
-        longest_wait_seconds: float | None = None,
+        max_wait_seconds: float | None = None,
     ) -> AsyncIterator[store.WatchMessage]:
         """Yield changes; see `KeyValueStore`. One call waits for them all."""
-        del longest_wait_seconds
+        del max_wait_seconds
         request = gateway_format.watch_request(
             key, prefix=prefix, from_revision=from_revision
         )
--- a/packages/platform/src/lagoonrun_platform/memory_store.py
+++ b/packages/platform/src/lagoonrun_platform/memory_store.py
@@ -195,10 +195,10 @@
         *,
         prefix: bool = False,
         from_revision: store.StoreRevision = store.ABSENT,
-        longest_wait_seconds: float | None = None,
+        max_wait_seconds: float | None = None,
     ) -> AsyncIterator[store.WatchMessage]:
         """Yield changes; see `KeyValueStore`."""
-        del longest_wait_seconds
+        del max_wait_seconds
         if fault := await self._enter("watch"):
             yield fault
             return
--- a/packages/platform/src/lagoonrun_platform/store.py
+++ b/packages/platform/src/lagoonrun_platform/store.py
@@ -243,12 +243,12 @@
         *,
         prefix: bool = False,
         from_revision: StoreRevision = ABSENT,
-        longest_wait_seconds: float | None = None,
+        max_wait_seconds: float | None = None,
     ) -> AsyncIterator[WatchMessage]:
         """Yield changes from `from_revision` on (`ABSENT`: from now on).
 
         Where a watch is a series of calls, each waits for a change for at
-        most `longest_wait_seconds` (None: as long as the store's client sees
+        most `max_wait_seconds` (None: as long as the store's client sees
         fit); an empty batch then says that the store still answers.
 
         The iterator ends after `Unreachable` or `WatchCompacted`; the caller
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -250,7 +250,7 @@
             _ALL_KEYS,
             prefix=True,
             from_revision=store_module.StoreRevision(self._known + 1),
-            longest_wait_seconds=wait_seconds,
+            max_wait_seconds=wait_seconds,
         )
         answers = 0
         async with contextlib.aclosing(watch):
--- a/tests/users_platform/test_store_client.py
+++ b/tests/users_platform/test_store_client.py
@@ -202,7 +202,7 @@
     client = store_client.StoreClient(
         address=link.address, clock=clocks.SystemClock()
     )
-    watch = client.watch("", from_revision=5, longest_wait_seconds=0.01)
+    watch = client.watch("", from_revision=5, max_wait_seconds=0.01)
     async with contextlib.aclosing(watch):
         return await anext(watch)
 
