--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -112,7 +112,7 @@
             ttl_seconds=LEASE_SECONDS,
             margin_seconds=MARGIN_SECONDS,
             longest_pause_seconds=_LONGEST_PAUSE_SECONDS,
-            return_seconds=configured.reacquire_delay_seconds,
+            reacquire_delay_seconds=configured.reacquire_delay_seconds,
             renewals_per_key_check=_RENEWALS_PER_KEY_CHECK,
             eras=eras,
             sleep=sleep,
--- a/packages/duties/src/lagoonrun_duties/platform_calls.py
+++ b/packages/duties/src/lagoonrun_duties/platform_calls.py
@@ -42,9 +42,9 @@
         Those that the platform asks for.
     window_seconds
         Length of a window of usage.
-    late_seconds
+    report_deadline_seconds
         Time after the end of a window until its report is due.
-    return_seconds
+    reacquire_delay_seconds
         Time within which two holders must not take turns.
     """
 
--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -31,7 +31,7 @@
     ----------
     entry_vm, domain
         This entry VM.
-    window_now
+    current_window
         Returns the window of this moment.
     send
         Sends a message to an entry VM.
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -48,7 +48,7 @@
                 port=1,
                 revision=1,
                 usage=one.pending_rows(f"{domain}-1", now=self.now),
-                holds_duties=one.holds,
+                holds_duties=one.is_holder,
             )
             for number in (1, 2):
                 heard = self.by_id[f"{domain}-{number}"]
@@ -78,7 +78,7 @@
 
 def test_holder_knows_all_counts_of_all_domains(fleet):
     holder = fleet.by_id["north-1"]
-    holder.holds = True
+    holder.is_holder = True
     count_all(fleet)
     for _ in range(3):
         fleet.round()
@@ -92,12 +92,12 @@
     and told the next one only what grew since.
     """
     before, after = fleet.by_id["north-1"], fleet.by_id["south-2"]
-    before.holds = True
+    before.is_holder = True
     count_all(fleet)
     for _ in range(4):
         fleet.round()
-    before.holds = False
-    after.holds = True
+    before.is_holder = False
+    after.is_holder = True
     for _ in range(8):
         fleet.round()
     assert after.counts(WINDOW) == {"house": 6}
@@ -105,7 +105,7 @@
 
 def test_lost_message_to_the_holder_is_made_up_for(fleet):
     holder = fleet.by_id["north-1"]
-    holder.holds = True
+    holder.is_holder = True
     count_all(fleet)
     fleet.lost = {"north-1"}
     fleet.round()
@@ -120,11 +120,11 @@
 
     Two domains tell each other of a holder that is long gone.
     """
-    fleet.by_id["north-1"].holds = True
+    fleet.by_id["north-1"].is_holder = True
     for _ in range(4):
         fleet.round()
     assert fleet.by_id["south-1"].holder(now=fleet.now) == "north-1"
-    fleet.by_id["north-1"].holds = False
+    fleet.by_id["north-1"].is_holder = False
     for _ in range(5):
         fleet.round()
     for one in fleet.by_id.values():
--- a/packages/orders/src/lagoonrun_orders/leadership.py
+++ b/packages/orders/src/lagoonrun_orders/leadership.py
@@ -46,7 +46,7 @@
         covers clocks of different rates and short pauses.
     longest_pause_seconds
         Longest pause between two tries while the store does not answer.
-    return_seconds
+    reacquire_delay_seconds
         Time that a tenure first waits out where this entry VM has had the duty
         before its predecessor. For receivers that know no fencing numbers, two
         holders that take turns within a lease look like two at once.
@@ -72,7 +72,7 @@
         ttl_seconds: float = DEFAULT_TTL_SECONDS,
         margin_seconds: float = DEFAULT_MARGIN_SECONDS,
         longest_pause_seconds: float = DEFAULT_LONGEST_PAUSE_SECONDS,
-        return_seconds: float = 0.0,
+        reacquire_delay_seconds: float = 0.0,
         renewals_per_key_check: int = 1,
         eras: store_eras.StoreEras | None = None,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
@@ -86,7 +86,7 @@
         self._ttl_seconds = ttl_seconds
         self._margin_seconds = margin_seconds
         self._longest_pause_seconds = longest_pause_seconds
-        self._return_seconds = return_seconds
+        self._reacquire_delay_seconds = reacquire_delay_seconds
         self._renewals_per_key_check = renewals_per_key_check
         self._eras = eras or store_eras.StoreEras(clock=clock)
         self._renewals = 0
@@ -259,7 +259,7 @@
         """Return how long a new tenure gives no order."""
         wait = max(self._predecessor_seconds(), self._unseated_seconds())
         if self._entry_vm in self._earlier():
-            return max(self._return_seconds, wait)
+            return max(self._reacquire_delay_seconds, wait)
         return wait
 
     def _unseated_seconds(self) -> float:
--- a/packages/orders/tests/test_leadership.py
+++ b/packages/orders/tests/test_leadership.py
@@ -223,7 +223,7 @@
     The first is restarted, the second takes over and is restarted in turn, and
     the first is back by then.
     """
-    options = {"return_seconds": 3.0}
+    options = {"reacquire_delay_seconds": 3.0}
     first = await candidate(1, **options)
     second = await candidate(2, **options)
     await first.close(clean=True)
--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -317,7 +317,7 @@
 
         Raises
         ------
-        http_calls.ReplyLostError, gateway_format.FormatError
+        http_client.ResponseLostError, gateway_format.FormatError
             When it tells nothing that can be relied on.
         """
         if reply.status >= _SERVER_ERROR:
--- a/packages/platform/src/lagoonrun_platform/http_client.py
+++ b/packages/platform/src/lagoonrun_platform/http_client.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 calls to a service of the platform or to a peer: pooled, or a stream.
 
 It tells a call that was certainly not sent (`NotSentError`) from one whose
-reply was lost (`ReplyLostError`); the caller's promises rest on that.
+reply was lost (`ResponseLostError`); the caller's promises rest on that.
 """
 
 import asyncio
@@ -124,7 +124,7 @@
 
         Raises
         ------
-        ReplyLostError
+        ResponseLostError
             When the connection ends before the reply does.
         """
         try:
@@ -272,7 +272,7 @@
         ------
         NotSentError
             When no connection could be had.
-        ReplyLostError
+        ResponseLostError
             When it was sent and no whole reply came in time.
         """
         connection = self._take_idle() or await self.connect()
@@ -306,7 +306,7 @@
         ------
         NotSentError
             When no connection could be had.
-        ReplyLostError
+        ResponseLostError
             When it was sent and no whole reply came.
         """
         connection = await self.connect()
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -157,7 +157,7 @@
         self.loop = asyncio.new_event_loop()
         self.clock = clocks.ManualClock()
         self.memory = memory_store.MemoryStore(clock=self.clock)
-        self.judge = standin_duties.DutyJudge(return_seconds=3.0)
+        self.judge = standin_duties.DutyJudge(reacquire_delay_seconds=3.0)
         self.by_name = {}
         self.timers = []
         self.starts = 0
@@ -265,7 +265,7 @@
             sequence=1,
             port=1,
             revision=1,
-            holds_duties=vm.exchange.holds,
+            holds_duties=vm.exchange.is_holder,
         )
 
     # Rules.
@@ -292,7 +292,7 @@
     def kill_holder(self, also_next, again):
         """Kill the holder, and maybe the next one."""
         holders = [
-            name for name, vm in self.by_name.items() if vm.exchange.holds
+            name for name, vm in self.by_name.items() if vm.exchange.is_holder
         ]
         for name in holders:
             self._kill(name)
@@ -322,7 +322,7 @@
     def pause_holder(self, seconds, wait):
         """Have the holder stand still, and maybe see it wake up."""
         for vm in self.by_name.values():
-            if vm.exchange.holds:
+            if vm.exchange.is_holder:
                 vm.paused_until = self.clock.monotonic() + seconds
         if wait:
             self.pass_time(seconds + 1.0)
@@ -365,7 +365,7 @@
         One that stays wrong for a minute is believed, and windows are off.
         """
         for vm in self.by_name.values():
-            if vm.exchange.holds:
+            if vm.exchange.is_holder:
                 vm.clock.ahead = ahead
                 vm.wrong_until = self.clock.monotonic() + WRONG_SECONDS
 
@@ -373,7 +373,7 @@
     def stop_holder(self, again):
         """Stop whoever holds the duties as planned."""
         for name, vm in tuple(self.by_name.items()):
-            if vm.exchange.holds:
+            if vm.exchange.is_holder:
                 self.stop(number=self.names.index(name), again=again)
 
     @stateful.invariant()
@@ -485,7 +485,7 @@
     def make_duties(self, **options):
         """Return the duties of one entry VM."""
         configured = dataclasses.replace(
-            options.pop("configured"), return_seconds=0.0
+            options.pop("configured"), reacquire_delay_seconds=0.0
         )
         return super().make_duties(configured=configured, **options)
 
--- a/tests/users_platform/test_duty_client.py
+++ b/tests/users_platform/test_duty_client.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def judge():
-    return standin_duties.DutyJudge(return_seconds=3.0)
+    return standin_duties.DutyJudge(reacquire_delay_seconds=3.0)
 
 
 @pytest.fixture
--- a/tests/users_platform/test_settings_file.py
+++ b/tests/users_platform/test_settings_file.py
@@ -120,8 +120,8 @@
     assert configured.duty_platform.port == 8424
     duties = configured.duties
     assert duties.duties == frozenset(platform_calls.Duty)
-    assert (duties.window_seconds, duties.late_seconds) == (5.0, 9.0)
-    assert duties.return_seconds == 3.0
+    assert (duties.window_seconds, duties.report_deadline_seconds) == (5.0, 9.0)
+    assert duties.reacquire_delay_seconds == 3.0
 
 
 def test_duties_that_are_not_known_are_left_out(load):
