--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -177,7 +177,7 @@
         self,
         *,
         configured: settings.RouterSettings,
-        exchange: peers.Peers,
+        exchange: peers.PeerExchange,
         domains: reach.DomainReach,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
--- a/packages/router/src/lagoonrun_router/peers.py
+++ b/packages/router/src/lagoonrun_router/peers.py
@@ -64,7 +64,7 @@
 upstreams, or a dozen routes. Larger ones are fetched over connections."""
 
 
-class Peers:
+class PeerExchange:
     """What is told to the other entry VMs and heard from them, and when.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -207,7 +207,7 @@
             follower=self.follower,
             clock=self._clock,
         )
-        self.exchange = peers.Peers(
+        self.exchange = peers.PeerExchange(
             configured=configured,
             key=configured.store.host.encode(),
             table=self._table,
