--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -88,7 +88,7 @@
         configured: settings.RouterSettings,
         store: store_module.KeyValueStore,
         layout: dialect.StoreLayout,
-        language: dialect.Dialect,
+        dialect: dialect.Dialect,
         clock: clocks.Clock | None = None,
         store_calls_by_kind: Mapping[str, int] | None = None,
         unsent_store_calls_by_kind: Mapping[str, int] | None = None,
@@ -148,7 +148,7 @@
         self.crashing = self._crash_guard.crashing
         self._build_knowledge()
         self._duties = self._build_duties()
-        self._build_edges(language, listening)
+        self._build_edges(dialect, listening)
 
     @property
     def _usage(self) -> usage_exchange.UsageExchange | None:
@@ -236,14 +236,14 @@
         )
 
     def _build_edges(
-        self, language: dialect.Dialect, listening: socket.socket | None
+        self, dialect: dialect.Dialect, listening: socket.socket | None
     ) -> None:
         configured = self._settings
         self._client = edges.upstream_client(clock=self._clock)
         self._ingress = ingress.Ingress(
             parts=parts.Parts(
                 domain=configured.domain,
-                dialect=language,
+                dialect=dialect,
                 directory=self.directory,
                 ledger=self._ledger,
                 peers=self._table,
--- a/packages/router/tests/conftest.py
+++ b/packages/router/tests/conftest.py
@@ -78,7 +78,7 @@
             configured=configured,
             store=store,
             layout=layout,
-            language=PlainDialect(),
+            dialect=PlainDialect(),
             rng=random.Random(1),
             duty_platform=platform,
         )
