--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -152,7 +152,7 @@
                 self._gathered.prefill_rate(one, now=now) for one in by_upstream
             ),
             placements=peer_loads.placements(
-                self._prompt_locations.take_for_neighbours()
+                self._prompt_locations.pop_for_neighbours()
             ),
             pressed=peer_loads.pressed(self._gathered.fleet_pressed(now=now)),
             domains=tuple(silent_by_domain),
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -134,7 +134,7 @@
         """Return the domain's placements that other domains don't know yet."""
         return self._for_other_domains.take(_RELAYED_AT_ONCE)
 
-    def take_for_neighbours(self) -> dict[str, types.UpstreamId]:
+    def pop_for_neighbours(self) -> dict[str, types.UpstreamId]:
         """Return placements of the fleet that neighbours don't know yet."""
         return self._for_neighbours.take(_RELAYED_AT_ONCE)
 
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -77,10 +77,10 @@
     homes.take_far("far", "u-3", now=0.0)
     homes.take_relayed("known", "u-4", now=0.0)
     assert homes.pop_for_other_domains() == {"own": "u-1", "near": "u-2"}
-    assert homes.take_for_neighbours() == {
+    assert homes.pop_for_neighbours() == {
         "own": "u-1",
         "near": "u-2",
         "far": "u-3",
     }
-    assert homes.take_for_neighbours() == {}
+    assert homes.pop_for_neighbours() == {}
     assert homes.has("known", "u-4", now=0.0)
