--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -29,8 +29,8 @@
     metrics,
     own_calls,
     parts,
+    peer_exchange,
     peer_table,
-    peers,
     pressure,
     prompt_locations,
     reach,
@@ -207,7 +207,7 @@
             follower=self.follower,
             clock=self._clock,
         )
-        self.exchange = peers.PeerExchange(
+        self.exchange = peer_exchange.PeerExchange(
             configured=configured,
             key=configured.store.host.encode(),
             table=self._table,
