--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -385,7 +385,9 @@
 
     # Changes.
 
-    def use_settings(self, changed: settings.RouterSettings) -> frozenset[str]:
+    def apply_settings(
+        self, changed: settings.RouterSettings
+    ) -> frozenset[str]:
         """Put new settings into force; return the names that need a restart.
 
         The store's address is its client's own.
--- a/packages/router/tests/test_settings_watch.py
+++ b/packages/router/tests/test_settings_watch.py
@@ -122,5 +122,5 @@
     changed = dataclasses.replace(
         world.settings, stop_seconds=1.5, domain="elsewhere"
     )
-    assert world.router.use_settings(changed) == {"domain"}
-    assert world.router.use_settings(world.settings) == frozenset()
+    assert world.router.apply_settings(changed) == {"domain"}
+    assert world.router.apply_settings(world.settings) == frozenset()
