--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -138,6 +138,6 @@
         """Return placements of the fleet that neighbours don't know yet."""
         return self._for_neighbours.take(_RELAYED_AT_ONCE)
 
-    def take_own(self) -> dict[str, types.UpstreamId]:
+    def pop_own(self) -> dict[str, types.UpstreamId]:
         """Return own placements that nobody was told of yet."""
         return self._own.take(_TOLD_AT_ONCE)
--- a/packages/router/src/lagoonrun_router/state_telling.py
+++ b/packages/router/src/lagoonrun_router/state_telling.py
@@ -101,7 +101,7 @@
     def tick(self, *, now: float) -> router_messages.RouterState | None:
         """Return the state that is to be told now; None for none."""
         self._beats_since_told += 1
-        placements = self._prompt_locations.take_own()
+        placements = self._prompt_locations.pop_own()
         if not placements and self._beats_since_told < self._wanted_beats():
             return None
         quiet = self._beats_since_told >= _QUIET_BEATS
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -64,7 +64,7 @@
             relay=relay,
             loads=peer_loads.to_rows(self.ledger.own_loads(now=now)),
             pressed=peer_loads.pressed(self.pressed.recent(now=now)),
-            placements=peer_loads.placements(self.prompt_locations.take_own()),
+            placements=peer_loads.placements(self.prompt_locations.pop_own()),
             **more,
         )
         self.exchange.note_told(made)
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -29,15 +29,15 @@
 def test_own_placements_are_told_once_and_told_ones_are_not_passed_on(homes):
     homes.place("p", "u-1", now=0.0)
     homes.apply_report("q", "u-2", now=0.0)
-    assert homes.take_own() == {"p": "u-1"}
-    assert homes.take_own() == {}
+    assert homes.pop_own() == {"p": "u-1"}
+    assert homes.pop_own() == {}
 
 
 def test_a_burst_is_told_in_several_messages(homes):
     for number in range(100):
         homes.place(f"p-{number}", "u-1", now=0.0)
     told = []
-    while batch := homes.take_own():
+    while batch := homes.pop_own():
         assert len(batch) <= 24
         told += batch
     assert len(told) == 100
@@ -63,7 +63,7 @@
     assert not homes.has("p", "u-1", now=0.0)
     assert homes.has("p", "u-2", now=0.0)
     assert not homes.used_lately("q", now=0.0)
-    assert homes.take_own() == {"p": "u-2"}
+    assert homes.pop_own() == {"p": "u-2"}
     assert homes.pop_for_other_domains() == {"p": "u-2"}
 
 
