--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -59,7 +59,7 @@
         *,
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
-        spreader: news_spreader.NewsSpreader,
+        spreader: news_spreader.NewsBroadcaster,
         records: KnownRecords,
     ) -> None:
         self._entry_vm = entry_vm
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -45,7 +45,7 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         limits: upstream_limits.UpstreamLimits,
-        spreader: news_spreader.NewsSpreader,
+        spreader: news_spreader.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/news_spreader.py
+++ b/packages/router/src/lagoonrun_router/news_spreader.py
@@ -29,7 +29,7 @@
         """Return whether this entry VM is the relay of its failure domain."""
 
 
-class NewsSpreader:
+class NewsBroadcaster:
     """Sends messages to all, to the neighbours or to a few.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -178,7 +178,7 @@
             send=self._socket.send,
         )
         self.send = self._socket.send
-        self.spreader = news_spreader.NewsSpreader(
+        self.spreader = news_spreader.NewsBroadcaster(
             domain=configured.domain,
             table=table,
             fleet=self,
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -34,7 +34,7 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         rests: upstream_rests.UpstreamRests,
-        spreader: news_spreader.NewsSpreader,
+        spreader: news_spreader.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -31,7 +31,7 @@
 class Exchange(Protocol):
     """The exchange with the other entry VMs, as far as it is used here."""
 
-    spreader: news_spreader.NewsSpreader
+    spreader: news_spreader.NewsBroadcaster
     routing: place_routing.PlaceRouting
     send: news_spreader.Sender
 
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -70,7 +70,7 @@
     return crash_news.CrashNewsExchange(
         entry_vm="vm-1",
         domain="north",
-        spreader=news_spreader.NewsSpreader(
+        spreader=news_spreader.NewsBroadcaster(
             domain="north",
             table=table,
             fleet=fleet,
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -54,7 +54,7 @@
                 self.sent += 1
                 self.under_way.append((1 - number, message))
 
-        return news_spreader.NewsSpreader(
+        return news_spreader.NewsBroadcaster(
             domain="north",
             table=table,
             fleet=Leads(),
