--- a/packages/router/src/lagoonrun_router/own_calls.py
+++ b/packages/router/src/lagoonrun_router/own_calls.py
@@ -34,7 +34,7 @@
         """Let a request run again; return whether anything was held against it."""
 
 
-class ReadinessCalls:
+class ReadinessEndpoint:
     """Answers the balancer's question."""
 
     def __init__(self, *, router: AnswersCalls) -> None:
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -266,7 +266,7 @@
             configured.caller, self._ingress, listening
         )
         self._readiness_server = self._server(
-            configured.readiness, own_calls.ReadinessCalls(router=self)
+            configured.readiness, own_calls.ReadinessEndpoint(router=self)
         )
         self._peer_server = self._server(
             configured.peer, own_calls.PeerCalls(known=self.beliefs)
