--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -221,7 +221,7 @@
                 news.domain, news.duties_holder, now=now
             )
         for placement in news.placements:
-            self._prompt_locations.take_far(
+            self._prompt_locations.apply_remote_report(
                 placement.part, placement.upstream, now=now
             )
         known_address = self._table.address_of(news.entry_vm)
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -84,10 +84,10 @@
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record a placement of the own failure domain."""
-        self.take_far(part, upstream, now=now)
+        self.apply_remote_report(part, upstream, now=now)
         self._for_other_domains.add(part, upstream)
 
-    def take_far(
+    def apply_remote_report(
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record a placement of another failure domain."""
