--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -13,7 +13,7 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
     crash_evidence,
-    news_spreader,
+    news_broadcaster,
     running_requests,
 )
 
@@ -59,7 +59,7 @@
         *,
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
-        spreader: news_spreader.NewsBroadcaster,
+        spreader: news_broadcaster.NewsBroadcaster,
         records: KnownRecords,
     ) -> None:
         self._entry_vm = entry_vm
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -4,7 +4,7 @@
 
 from lagoonrun_core import types
 from lagoonrun_protocol import router_messages
-from lagoonrun_router import news_spreader, running_requests, upstream_limits
+from lagoonrun_router import news_broadcaster, running_requests, upstream_limits
 
 _NEWS_SECONDS = 3.0
 """Time for which a change is repeated often by whoever was told it."""
@@ -45,7 +45,7 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         limits: upstream_limits.UpstreamLimits,
-        spreader: news_spreader.NewsBroadcaster,
+        spreader: news_broadcaster.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -21,7 +21,7 @@
     gathered_work,
     load_ledger,
     metrics,
-    news_spreader,
+    news_broadcaster,
     peer_fetch,
     peer_loads,
     peer_socket,
@@ -178,7 +178,7 @@
             send=self._socket.send,
         )
         self.send = self._socket.send
-        self.spreader = news_spreader.NewsBroadcaster(
+        self.spreader = news_broadcaster.NewsBroadcaster(
             domain=configured.domain,
             table=table,
             fleet=self,
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -6,7 +6,7 @@
 
 from lagoonrun_core import types
 from lagoonrun_protocol import router_messages
-from lagoonrun_router import news_spreader, running_requests, upstream_rests
+from lagoonrun_router import news_broadcaster, running_requests, upstream_rests
 
 _LEAST_TOLD_SECONDS = 0.3
 """Rest from which others are told: shorter ones are over when they hear of it."""
@@ -34,7 +34,7 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         rests: upstream_rests.UpstreamRests,
-        spreader: news_spreader.NewsBroadcaster,
+        spreader: news_broadcaster.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -15,7 +15,7 @@
     availability,
     limit_news,
     metrics,
-    news_spreader,
+    news_broadcaster,
     place_routing,
     places,
     rest_news,
@@ -31,9 +31,9 @@
 class Exchange(Protocol):
     """The exchange with the other entry VMs, as far as it is used here."""
 
-    spreader: news_spreader.NewsBroadcaster
+    spreader: news_broadcaster.NewsBroadcaster
     routing: place_routing.PlaceRouting
-    send: news_spreader.Sender
+    send: news_broadcaster.Sender
 
 
 class UpstreamNotices:
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -8,7 +8,7 @@
 from lagoonrun_router import (
     crash_evidence,
     crash_news,
-    news_spreader,
+    news_broadcaster,
     peer_table,
     running_requests,
     settings,
@@ -70,7 +70,7 @@
     return crash_news.CrashNewsExchange(
         entry_vm="vm-1",
         domain="north",
-        spreader=news_spreader.NewsBroadcaster(
+        spreader=news_broadcaster.NewsBroadcaster(
             domain="north",
             table=table,
             fleet=fleet,
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -8,7 +8,7 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
     limit_news,
-    news_spreader,
+    news_broadcaster,
     peer_table,
     rest_news,
     settings,
@@ -54,7 +54,7 @@
                 self.sent += 1
                 self.under_way.append((1 - number, message))
 
-        return news_spreader.NewsBroadcaster(
+        return news_broadcaster.NewsBroadcaster(
             domain="north",
             table=table,
             fleet=Leads(),
