--- a/packages/router/src/lagoonrun_router/own_calls.py
+++ b/packages/router/src/lagoonrun_router/own_calls.py
@@ -49,7 +49,7 @@
         )
 
 
-class PeerCalls:
+class PeerEndpoint:
     """Gives other entry VMs what this one has read from the store."""
 
     def __init__(self, *, known: store_replica.StoreReplica) -> None:
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -269,7 +269,7 @@
             configured.readiness, own_calls.ReadinessEndpoint(router=self)
         )
         self._peer_server = self._server(
-            configured.peer, own_calls.PeerCalls(known=self.beliefs)
+            configured.peer, own_calls.PeerEndpoint(known=self.beliefs)
         )
         self._metrics_server = None
         if configured.metrics is not None:
