--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -207,7 +207,7 @@
             peer_loads.pressed_of(news.pressed), now=now
         )
         for placement in news.placements:
-            self._prompt_locations.take_relayed(
+            self._prompt_locations.apply_relayed_report(
                 placement.part, placement.upstream, now=now
             )
         for domain, milliseconds in zip(
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -91,10 +91,10 @@
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record a placement of another failure domain."""
-        self.take_relayed(part, upstream, now=now)
+        self.apply_relayed_report(part, upstream, now=now)
         self._for_neighbours.add(part, upstream)
 
-    def take_relayed(
+    def apply_relayed_report(
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record a placement that all neighbours hear of as well."""
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -75,7 +75,7 @@
     homes.place("own", "u-1", now=0.0)
     homes.apply_report("near", "u-2", now=0.0)
     homes.apply_remote_report("far", "u-3", now=0.0)
-    homes.take_relayed("known", "u-4", now=0.0)
+    homes.apply_relayed_report("known", "u-4", now=0.0)
     assert homes.pop_for_other_domains() == {"own": "u-1", "near": "u-2"}
     assert homes.pop_for_neighbours() == {
         "own": "u-1",
