--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -102,7 +102,7 @@
         table: peer_table.PeerTable,
         known: KnowsStore,
         relays: roster.Roster,
-        gathered: gathered_work.GatheredWork,
+        gathered: gathered_work.DomainAggregate,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -69,7 +69,7 @@
         entry_vm: types.EntryVmId,
         port: int,
         start: int,
-        gathered: gathered_work.GatheredWork,
+        gathered: gathered_work.DomainAggregate,
         table: peer_table.PeerTable,
         ledger: load_ledger.LoadLedger,
         pressed: pressure.Pressure,
--- a/packages/router/src/lagoonrun_router/gathered_work.py
+++ b/packages/router/src/lagoonrun_router/gathered_work.py
@@ -40,7 +40,7 @@
     follows_store: bool
 
 
-class GatheredWork:
+class DomainAggregate:
     """Work of the neighbours, one by one, and of other domains in sums."""
 
     def __init__(self) -> None:
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -101,7 +101,7 @@
         prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         pressed: pressure.Pressure,
-        gathered: gathered_work.GatheredWork,
+        gathered: gathered_work.DomainAggregate,
         crashing: crashing_requests.CrashingRequests,
         counters: metrics.RouterMetrics,
         usage: usage_exchange.UsageExchange | None = None,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -124,7 +124,7 @@
         )
         self._domains = reach.DomainReach()
         self._pressed = pressure.Pressure()
-        self._gathered = gathered_work.GatheredWork()
+        self._gathered = gathered_work.DomainAggregate()
         self._let_in = admission_floor.AdmissionFloor(
             started_at=self._clock.monotonic()
         )
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -66,7 +66,7 @@
     pressed: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
-    gathered: gathered_work.GatheredWork
+    gathered: gathered_work.DomainAggregate
     sent: list
 
     def tick(self, now):
@@ -103,7 +103,7 @@
             "pressed": pressure.Pressure(),
             "table": table,
             "relays": relays_of(name, table),
-            "gathered": gathered_work.GatheredWork(),
+            "gathered": gathered_work.DomainAggregate(),
         }
         exchange = domain_news.DomainNewsExchange(
             entry_vm=name,
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -41,7 +41,7 @@
 
     name: str
     exchange: fleet_news.FleetNewsExchange
-    gathered: gathered_work.GatheredWork
+    gathered: gathered_work.DomainAggregate
     ledger: load_ledger.LoadLedger
     prompt_locations: prompt_locations.PromptLocations
     pressed: pressure.Pressure
@@ -94,7 +94,7 @@
         for other in NAMES:
             table.add(other, address_of(other), "north")
         shared = {
-            "gathered": gathered_work.GatheredWork(),
+            "gathered": gathered_work.DomainAggregate(),
             "ledger": load_ledger.LoadLedger(),
             "prompt_locations": prompt_locations.PromptLocations(
                 reuse_seconds=10.0
