--- a/packages/cli/tests/test_blocked_requests.py
+++ b/packages/cli/tests/test_blocked_requests.py
@@ -70,7 +70,7 @@
         host=HOST,
         port=port,
         limits=http_limits.ServerLimits(),
-        handler=own_calls.OperatorCalls(
+        handler=own_calls.OperatorEndpoint(
             router=Router(), blocks=blocks, clock=clocks.ManualClock()
         ),
         clock=clocks.SystemClock(),
--- a/packages/router/src/lagoonrun_router/own_calls.py
+++ b/packages/router/src/lagoonrun_router/own_calls.py
@@ -90,7 +90,7 @@
         return router_codec.encode(self._known.declared.change_from(digest))
 
 
-class OperatorCalls:
+class OperatorEndpoint:
     """Serves the metrics, and the blocked requests to whoever lifts blocks.
 
     `GET /blocked-requests` lists them; `DELETE /blocked-requests/DIGEST` lifts one,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -275,7 +275,7 @@
         if configured.metrics is not None:
             self._metrics_server = self._server(
                 configured.metrics,
-                own_calls.OperatorCalls(
+                own_calls.OperatorEndpoint(
                     router=self, blocks=self.crashing, clock=self._clock
                 ),
             )
