--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -349,7 +349,9 @@
         )
         home = self._call.affinity_part
         if home is not None:
-            parts.prompt_locations.place(home.id, choice.upstream.id, now=now)
+            parts.prompt_locations.record_placement(
+                home.id, choice.upstream.id, now=now
+            )
         self._sending = sending.Sending(
             call=self._call,
             exchange=self._exchange,
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -73,7 +73,7 @@
         self._for_other_domains = _Untold()
         self._for_neighbours = _Untold()
 
-    def place(
+    def record_placement(
         self, part: str, upstream: types.UpstreamId, *, now: float
     ) -> None:
         """Record an own placement, which others are to be told."""
