--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -17,7 +17,7 @@
 from lagoonrun_duties import usage_exchange
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
-    gathered_work,
+    domain_aggregate,
     load_ledger,
     peer_loads,
     peer_table,
@@ -102,7 +102,7 @@
         table: peer_table.PeerTable,
         known: KnowsStore,
         relays: roster.Roster,
-        gathered: gathered_work.DomainAggregate,
+        gathered: domain_aggregate.DomainAggregate,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -19,8 +19,8 @@
 from lagoonrun_core import types
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
+    domain_aggregate,
     fleet_loads,
-    gathered_work,
     load_ledger,
     loads,
     peer_loads,
@@ -69,7 +69,7 @@
         entry_vm: types.EntryVmId,
         port: int,
         start: int,
-        gathered: gathered_work.DomainAggregate,
+        gathered: domain_aggregate.DomainAggregate,
         table: peer_table.PeerTable,
         ledger: load_ledger.LoadLedger,
         pressed: pressure.Pressure,
@@ -134,7 +134,7 @@
 
     def _readers(self, now: float) -> tuple[types.EntryVmId, ...]:
         for one, asked_at in tuple(self._readers_by_id.items()):
-            if now - asked_at >= gathered_work.TELLER_SECONDS:
+            if now - asked_at >= domain_aggregate.TELLER_SECONDS:
                 del self._readers_by_id[one]
         return tuple(self._readers_by_id)
 
@@ -161,11 +161,11 @@
             ),
             reading_domains=self._domains.reading,
             tellers=tuple(
-                gathered_work.short_hash(one.entry_vm) for one in tellers
+                domain_aggregate.short_hash(one.entry_vm) for one in tellers
             ),
             teller_sequences=tuple(one.sequence for one in tellers),
             readers=tuple(
-                gathered_work.short_hash(one.entry_vm)
+                domain_aggregate.short_hash(one.entry_vm)
                 for one in tellers
                 if one.follows_store
             ),
@@ -221,7 +221,7 @@
         self, sequence_by_teller: Mapping[int, int]
     ) -> Mapping[types.UpstreamId, loads.Load]:
         """Return the part of the relay's sum that is this entry VM's own."""
-        own_hash = gathered_work.short_hash(self._entry_vm)
+        own_hash = domain_aggregate.short_hash(self._entry_vm)
         sequence = sequence_by_teller.get(own_hash)
         return self._own_by_sequence.get(sequence, {})
 
@@ -249,4 +249,4 @@
 def _by_hash(
     entry_vms: tuple[types.EntryVmId, ...],
 ) -> Mapping[int, types.EntryVmId]:
-    return {gathered_work.short_hash(one): one for one in entry_vms}
+    return {domain_aggregate.short_hash(one): one for one in entry_vms}
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -20,9 +20,9 @@
     crash_guard,
     declarations,
     dialect,
+    domain_aggregate,
     edges,
     fleet_duties,
-    gathered_work,
     gauges,
     ingress,
     load_ledger,
@@ -124,7 +124,7 @@
         )
         self._domains = reach.DomainReach()
         self._pressed = pressure.Pressure()
-        self._gathered = gathered_work.DomainAggregate()
+        self._gathered = domain_aggregate.DomainAggregate()
         self._let_in = admission_floor.AdmissionFloor(
             started_at=self._clock.monotonic()
         )
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -5,8 +5,8 @@
 import pytest
 
 from lagoonrun_router import (
+    domain_aggregate,
     domain_news,
-    gathered_work,
     load_ledger,
     loads,
     peer_loads,
@@ -66,7 +66,7 @@
     pressed: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
-    gathered: gathered_work.DomainAggregate
+    gathered: domain_aggregate.DomainAggregate
     sent: list
 
     def tick(self, now):
@@ -103,7 +103,7 @@
             "pressed": pressure.Pressure(),
             "table": table,
             "relays": relays_of(name, table),
-            "gathered": gathered_work.DomainAggregate(),
+            "gathered": domain_aggregate.DomainAggregate(),
         }
         exchange = domain_news.DomainNewsExchange(
             entry_vm=name,
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -11,9 +11,9 @@
 
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
+    domain_aggregate,
     fleet_news,
     format_error,
-    gathered_work,
     load_ledger,
     loads,
     peer_loads,
@@ -41,7 +41,7 @@
 
     name: str
     exchange: fleet_news.FleetNewsExchange
-    gathered: gathered_work.DomainAggregate
+    gathered: domain_aggregate.DomainAggregate
     ledger: load_ledger.LoadLedger
     prompt_locations: prompt_locations.PromptLocations
     pressed: pressure.Pressure
@@ -94,7 +94,7 @@
         for other in NAMES:
             table.add(other, address_of(other), "north")
         shared = {
-            "gathered": gathered_work.DomainAggregate(),
+            "gathered": domain_aggregate.DomainAggregate(),
             "ledger": load_ledger.LoadLedger(),
             "prompt_locations": prompt_locations.PromptLocations(
                 reuse_seconds=10.0
@@ -182,7 +182,7 @@
 
 def test_relay_tells_nobody_who_has_fallen_silent(relay, member):
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
-    assert relay.tick(gathered_work.TELLER_SECONDS) == []
+    assert relay.tick(domain_aggregate.TELLER_SECONDS) == []
 
 
 def test_second_in_order_takes_over_with_all_that_it_has_heard(
@@ -281,7 +281,7 @@
     assert OTHER in member.table.neighbours()
     relay.exchange.receive_state(other.state(RELAY, stopping=True), now=0.2)
     (news,) = relay.tick(0.2)
-    assert gathered_work.short_hash(OTHER) not in news.tellers
+    assert domain_aggregate.short_hash(OTHER) not in news.tellers
 
 
 def test_leaving_upstreams_are_named(relay, member):
