--- a/packages/cli/tests/test_blocked_requests.py
+++ b/packages/cli/tests/test_blocked_requests.py
@@ -9,7 +9,7 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_http import limits as http_limits
 from lagoonrun_http import server as http_server
-from lagoonrun_router import crash_evidence, own_calls, running_requests
+from lagoonrun_router import crash_evidence, router_endpoints, running_requests
 from lagoonrun_standins.router_world import free_ports
 
 HOST = "127.0.0.1"
@@ -70,7 +70,7 @@
         host=HOST,
         port=port,
         limits=http_limits.ServerLimits(),
-        handler=own_calls.OperatorEndpoint(
+        handler=router_endpoints.OperatorEndpoint(
             router=Router(), blocks=blocks, clock=clocks.ManualClock()
         ),
         clock=clocks.SystemClock(),
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -27,7 +27,6 @@
     ingress,
     load_ledger,
     metrics,
-    own_calls,
     parts,
     peer_exchange,
     peer_table,
@@ -36,6 +35,7 @@
     reach,
     retry_budget,
     route_table,
+    router_endpoints,
     settings,
     store_duty,
     store_follower,
@@ -266,16 +266,17 @@
             configured.caller, self._ingress, listening
         )
         self._readiness_server = self._server(
-            configured.readiness, own_calls.ReadinessEndpoint(router=self)
+            configured.readiness,
+            router_endpoints.ReadinessEndpoint(router=self),
         )
         self._peer_server = self._server(
-            configured.peer, own_calls.PeerEndpoint(known=self.beliefs)
+            configured.peer, router_endpoints.PeerEndpoint(known=self.beliefs)
         )
         self._metrics_server = None
         if configured.metrics is not None:
             self._metrics_server = self._server(
                 configured.metrics,
-                own_calls.OperatorEndpoint(
+                router_endpoints.OperatorEndpoint(
                     router=self, blocks=self.crashing, clock=self._clock
                 ),
             )
