--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -250,7 +250,7 @@
     def _note_pressure(self) -> None:
         """Tell lower tiers of the pool to stand back."""
         if self._call.pool.engine is not None:
-            self._parts.pressed.note(
+            self._parts.pressed.record_rejection(
                 self._call.pool.name,
                 self._call.tier,
                 now=self._parts.clock.monotonic(),
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -62,7 +62,7 @@
         self._fleet = _Told(pressed=(), at=float("-inf"))
         self.changed = False
 
-    def note(
+    def record_rejection(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> None:
         """Note that a request found no room or no time."""
