--- a/packages/router/src/lagoonrun_router/fleet_parts.py
+++ b/packages/router/src/lagoonrun_router/fleet_parts.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class FleetView:
+class FleetCounts:
     """The entry VMs as one of them sees them; each count has itself in it.
 
     Parameters
@@ -27,16 +27,16 @@
     silent: int
 
 
-def giver_share(view: FleetView) -> float:
+def giver_share(view: FleetCounts) -> float:
     """Return the part that falls to who gives out places for the fleet."""
     return max(1, view.known - view.silent) / max(1, view.known)
 
 
-def domain_share(view: FleetView) -> float:
+def domain_share(view: FleetCounts) -> float:
     """Return the part that falls to a failure domain that can't ask."""
     return max(1, view.near) / max(1, view.known)
 
 
-def single_share(view: FleetView) -> float:
+def single_share(view: FleetCounts) -> float:
     """Return the part that falls to one entry VM that can't ask."""
     return 1.0 / max(1, view.known)
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -73,7 +73,7 @@
         giving = self._giving_domain(upstream_domain)
         return self._relays.relay_of(giving, now=now)
 
-    def view(self, *, now: float) -> fleet_parts.FleetView:
+    def view(self, *, now: float) -> fleet_parts.FleetCounts:
         """Return the fleet as it is heard here."""
         near_known = self._table.neighbour_budget_sharers(now=now) + 1
         near = len(self._table.neighbours()) + 1
@@ -84,7 +84,7 @@
             known += len(cores_by_id)
             if silent_by_domain.get(domain, 0.0) > _SILENT_SECONDS:
                 silent += len(cores_by_id)
-        return fleet_parts.FleetView(known=known, near=near, silent=silent)
+        return fleet_parts.FleetCounts(known=known, near=near, silent=silent)
 
     def _giving_domain(
         self, upstream_domain: types.FailureDomain
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -143,7 +143,7 @@
         heard = [one for one in fleet.vms if fleet.hears(self, one)]
         if not fleet.noticed:
             heard = fleet.vms
-        return fleet_parts.FleetView(
+        return fleet_parts.FleetCounts(
             known=len(fleet.vms),
             near=sum(one.domain == self.domain for one in heard),
             silent=len(fleet.vms) - len(heard),
@@ -310,16 +310,16 @@
         size for size, one in zip(sizes, heard, strict=True) if not one
     )
     total = fleet_parts.giver_share(
-        fleet_parts.FleetView(known=known, near=sizes[0], silent=silent)
+        fleet_parts.FleetCounts(known=known, near=sizes[0], silent=silent)
     )
     for size, one in zip(sizes, heard, strict=True):
         if not one:
             total += fleet_parts.domain_share(
-                fleet_parts.FleetView(
+                fleet_parts.FleetCounts(
                     known=known, near=size, silent=known - size
                 )
             )
     total += lost_near * fleet_parts.single_share(
-        fleet_parts.FleetView(known=known, near=1, silent=known - 1)
+        fleet_parts.FleetCounts(known=known, near=1, silent=known - 1)
     )
     assert total <= 1.0 + 1e-9
