--- a/packages/router/src/lagoonrun_router/answers.py
+++ b/packages/router/src/lagoonrun_router/answers.py
@@ -6,7 +6,7 @@
 from lagoonrun_http import errors as http_errors
 from lagoonrun_http import exchange as exchanges
 from lagoonrun_http import messages as http_messages
-from lagoonrun_router import attempt
+from lagoonrun_router import attempt_result
 
 OUTCOME_HEADER = "Lagoonrun-Outcome"
 REASON_HEADER = "Lagoonrun-Reason"
@@ -87,7 +87,7 @@
 
 async def pass_on(
     exchange: exchanges.Exchange,
-    answer: attempt.WholeAnswer,
+    answer: attempt_result.WholeAnswer,
     *,
     upstream: types.UpstreamId,
 ) -> outcomes.Ending:
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -16,7 +16,12 @@
 
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import events, logs, outcomes, types
-from lagoonrun_router import attempt, metrics, running_requests, upstreams
+from lagoonrun_router import (
+    attempt_result,
+    metrics,
+    running_requests,
+    upstreams,
+)
 
 _PROBE_SECONDS = 0.4
 """Longest wait for a connection, as for those of requests: a hundred round
@@ -113,7 +118,7 @@
     def end(
         self,
         run: running_requests.Run,
-        result: attempt.Result | None,
+        result: attempt_result.Result | None,
         upstream: upstreams.Registration,
     ) -> None:
         """Note what became of a request that was written.
@@ -198,10 +203,10 @@
             del self._crashed[next(iter(self._crashed))]
 
 
-def _end_of(result: attempt.Result | None) -> running_requests.RunEnd:
+def _end_of(result: attempt_result.Result | None) -> running_requests.RunEnd:
     if result is None:
         return running_requests.RunEnd.ABANDONED
-    if isinstance(result, attempt.Delivered):
+    if isinstance(result, attempt_result.Delivered):
         if result.ending.outcome is outcomes.Outcome.COMPLETE:
             return running_requests.RunEnd.ANSWERED
         return running_requests.RunEnd.FAILED
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -9,7 +9,7 @@
 from lagoonrun_router import (
     admission,
     answers,
-    attempt,
+    attempt_result,
     availability,
     choosing,
     crash_evidence,
@@ -115,7 +115,7 @@
             if not isinstance(choice, choosing.Choice):
                 return await self._refuse(choice)
             result = await self._attempt(choice)
-            if isinstance(result, attempt.Delivered):
+            if isinstance(result, attempt_result.Delivered):
                 return result.ending
             ending = await self._after_loss(result)
             if ending is not None:
@@ -277,7 +277,9 @@
         if self.first_answer_at is None and foreseen >= long_wait:
             self._note_pressure()
 
-    async def _after_loss(self, lost: attempt.Lost) -> outcomes.Ending | None:
+    async def _after_loss(
+        self, lost: attempt_result.Lost
+    ) -> outcomes.Ending | None:
         """Return the end of the request, or None to send it once more."""
         now = self._parts.clock.monotonic()
         self._note_loss(lost, now)
@@ -304,7 +306,7 @@
         )
         return None
 
-    def _note_loss(self, lost: attempt.Lost, now: float) -> None:
+    def _note_loss(self, lost: attempt_result.Lost, now: float) -> None:
         self._sends = self._sends.with_lost(lost, seconds=now - self._sent_at)
         self._tried.add(lost.upstream)
         self._sending = None
@@ -329,7 +331,7 @@
             detail=lost.detail,
         )
 
-    async def _attempt(self, choice: choosing.Choice) -> attempt.Result:
+    async def _attempt(self, choice: choosing.Choice) -> attempt_result.Result:
         parts = self._parts
         now = self._sent_at = parts.clock.monotonic()
         parts.admission_floor.note(self._call.route.profile.name, now=now)
@@ -366,7 +368,7 @@
         finally:
             parts.ledger.end(work)
             self._pause_waiting_tokens = self._sending.pause_waiting_tokens
-        if isinstance(result, attempt.Delivered):
+        if isinstance(result, attempt_result.Delivered):
             self._whole_at = parts.clock.monotonic()
         return result
 
@@ -377,7 +379,7 @@
 
     # The end without an upstream's answer.
 
-    async def _end_lost(self, lost: attempt.Lost) -> outcomes.Ending:
+    async def _end_lost(self, lost: attempt_result.Lost) -> outcomes.Ending:
         if lost.answer is not None and not self._exchange.started:
             self._whole_at = self._parts.clock.monotonic()
             return await answers.pass_on(
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -4,7 +4,7 @@
 import enum
 
 from lagoonrun_core import outcomes
-from lagoonrun_router import attempt
+from lagoonrun_router import attempt_result
 from lagoonrun_router import call as calls
 
 MOST_UNREACHED = 3
@@ -55,7 +55,9 @@
     unreached: int = 0
     refused: int = 0
 
-    def with_lost(self, lost: attempt.Lost, *, seconds: float) -> "SendCounts":
+    def with_lost(
+        self, lost: attempt_result.Lost, *, seconds: float
+    ) -> "SendCounts":
         """Return the count with one more lost attempt.
 
         Parameters
@@ -72,7 +74,7 @@
 
 def decide(
     call: calls.Call,
-    lost: attempt.Lost,
+    lost: attempt_result.Lost,
     sends: SendCounts,
     *,
     now: float,
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -8,7 +8,7 @@
 from lagoonrun_http import upstream as http_upstream
 from lagoonrun_router import (
     answers,
-    attempt,
+    attempt_result,
     choosing,
     loads,
     running_requests,
@@ -86,9 +86,9 @@
         self._run: running_requests.Run | None = None
         self._longest_pause_seconds = 0.0
 
-    async def run(self) -> attempt.Result:
+    async def run(self) -> attempt_result.Result:
         """Return the answer that the caller has, or why it has none."""
-        result: attempt.Result | None = None
+        result: attempt_result.Result | None = None
         try:
             result = await self._exchange_once()
             return result
@@ -98,7 +98,7 @@
                     self._run, result, self._choice.upstream
                 )
 
-    async def _exchange_once(self) -> attempt.Result:
+    async def _exchange_once(self) -> attempt_result.Result:
         upstream = self._choice.upstream
         now = self._parts.clock.monotonic()
         head = self._parts.dialect.upstream_head(
@@ -126,14 +126,14 @@
                     may_write=self._may_write,
                 )
         except TimeoutError:
-            return attempt.Lost(
+            return attempt_result.Lost(
                 ran=outcomes.Outcome.UNKNOWN,
                 reason=outcomes.Reason.UPSTREAM_TIMEOUT,
                 detail="silent",
                 upstream=upstream.id,
             )
         if isinstance(response, http_upstream.UpstreamFailure):
-            return attempt.lost_by(response, upstream=upstream.id)
+            return attempt_result.lost_by(response, upstream=upstream.id)
         self._take_notice(response.head)
         try:
             return await self._take(response, upstream.id)
@@ -188,13 +188,13 @@
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
-    ) -> attempt.Result:
+    ) -> attempt_result.Result:
         head = response.head
         dialect = self._parts.dialect
         if dialect.is_misdirected(head) or dialect.says_not_run(head):
             return await self._not_run(response, upstream)
         if head.status < _REJECTED_LOW and not dialect.is_genuine(head):
-            return attempt.Lost(
+            return attempt_result.Lost(
                 ran=outcomes.Outcome.UNKNOWN,
                 reason=outcomes.Reason.UPSTREAM_PROTOCOL,
                 detail=f"status {head.status} without the upstream's mark",
@@ -237,10 +237,10 @@
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
-    ) -> attempt.Lost:
+    ) -> attempt_result.Lost:
         # Read to its end, so that the connection can be used again.
         await response.read_all(_LARGEST_HELD_ANSWER_BYTES)
-        return attempt.Lost(
+        return attempt_result.Lost(
             ran=outcomes.Outcome.NOT_RUN,
             reason=outcomes.Reason.UPSTREAM_REFUSED,
             detail=f"the upstream answered {response.head.status}: not run",
@@ -252,14 +252,14 @@
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
-    ) -> attempt.Result:
+    ) -> attempt_result.Result:
         self._note_begun()
         body = await response.read_all(_LARGEST_HELD_ANSWER_BYTES)
         if isinstance(body, http_upstream.UpstreamFailure):
-            return attempt.lost_by(body, upstream=upstream)
-        answer = attempt.WholeAnswer(head=response.head, body=body)
+            return attempt_result.lost_by(body, upstream=upstream)
+        answer = attempt_result.WholeAnswer(head=response.head, body=body)
         if response.head.status >= _FAILED_STATUS:
-            return attempt.Lost(
+            return attempt_result.Lost(
                 ran=outcomes.Outcome.FAILED,
                 reason=outcomes.Reason.UPSTREAM_FAILED,
                 detail=f"the upstream answered {response.head.status}",
@@ -268,7 +268,7 @@
             )
         if self._exchange.started:
             # The rest of a stream was asked for, not another answer.
-            return attempt.Lost(
+            return attempt_result.Lost(
                 ran=outcomes.Outcome.PARTIAL,
                 reason=outcomes.Reason.UPSTREAM_PROTOCOL,
                 detail=f"status {response.head.status} for a resumed stream",
@@ -277,4 +277,4 @@
         ending = await answers.pass_on(
             self._exchange, answer, upstream=upstream
         )
-        return attempt.Delivered(ending=ending)
+        return attempt_result.Delivered(ending=ending)
--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -13,7 +13,7 @@
 from lagoonrun_http import hop_by_hop
 from lagoonrun_http import messages as http_messages
 from lagoonrun_http import upstream as http_upstream
-from lagoonrun_router import attempt, event_splitter
+from lagoonrun_router import attempt_result, event_splitter
 from lagoonrun_router import call as calls
 
 _SILENT_TARGETS = 3.0
@@ -77,7 +77,7 @@
         *,
         upstream: types.UpstreamId,
         on_event: Callable[[float | None], None],
-    ) -> attempt.Result:
+    ) -> attempt_result.Result:
         """Relay one upstream's events to their end or loss.
 
         Parameters
@@ -173,23 +173,25 @@
         splitter: event_splitter.EventSplitter,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
-    ) -> attempt.Result:
+    ) -> attempt_result.Result:
         if response.close_delimited and splitter.within_event:
             return self._lost("closed within an event", upstream)
         self._start(response.head)
         await self._exchange.send(splitter.take_rest())
         await self._exchange.finish()
-        return attempt.Delivered(
+        return attempt_result.Delivered(
             ending=outcomes.Ending(
                 outcome=outcomes.Outcome.COMPLETE, upstream=upstream
             )
         )
 
-    def _lost(self, detail: str, upstream: types.UpstreamId) -> attempt.Lost:
+    def _lost(
+        self, detail: str, upstream: types.UpstreamId
+    ) -> attempt_result.Lost:
         ran = outcomes.Outcome.UNKNOWN
         if self._exchange.started:
             ran = outcomes.Outcome.PARTIAL
-        return attempt.Lost(
+        return attempt_result.Lost(
             ran=ran,
             reason=outcomes.Reason.UPSTREAM_CLOSED,
             detail=detail,
--- a/packages/router/tests/test_crash_watch.py
+++ b/packages/router/tests/test_crash_watch.py
@@ -7,7 +7,7 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import outcomes
 from lagoonrun_router import (
-    attempt,
+    attempt_result,
     crash_watch,
     metrics,
     upstreams,
@@ -15,16 +15,16 @@
 from lagoonrun_standins import router_samples
 from lagoonrun_standins.router_world import free_ports, wait_for
 
-BROKEN = attempt.Lost(
+BROKEN = attempt_result.Lost(
     ran=outcomes.Outcome.UNKNOWN,
     reason=outcomes.Reason.UPSTREAM_CLOSED,
     detail="reset",
     upstream="u-1",
 )
-COMPLETE = attempt.Delivered(
+COMPLETE = attempt_result.Delivered(
     ending=outcomes.Ending(outcome=outcomes.Outcome.COMPLETE)
 )
-FAILED = attempt.Lost(
+FAILED = attempt_result.Lost(
     ran=outcomes.Outcome.FAILED,
     reason=outcomes.Reason.UPSTREAM_FAILED,
     detail="the upstream answered 500",
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lagoonrun_core import outcomes
-from lagoonrun_router import attempt, retrying
+from lagoonrun_router import attempt_result, retrying
 from lagoonrun_standins.router_samples import (
     make_call,
     make_route,
@@ -24,7 +24,7 @@
         "detail": "",
         "upstream": "u-1",
     }
-    return attempt.Lost(ran=ran, **{**values, **changes})
+    return attempt_result.Lost(ran=ran, **{**values, **changes})
 
 
 SAFE = make_route(idempotent=True, maximum_attempts=2)
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -12,7 +12,7 @@
 from lagoonrun_router import (
     admission,
     answers,
-    attempt,
+    attempt_result,
     crash_evidence,
     declarations,
     execution,
@@ -67,9 +67,11 @@
     sound = answers.pass_on
 
     async def pass_on(
-        exchange: exchanges.Exchange, answer: attempt.WholeAnswer, **more
+        exchange: exchanges.Exchange, answer: attempt_result.WholeAnswer, **more
     ) -> outcomes.Ending:
-        cut = attempt.WholeAnswer(head=answer.head, body=answer.body[:-1])
+        cut = attempt_result.WholeAnswer(
+            head=answer.head, body=answer.body[:-1]
+        )
         return await sound(exchange, cut, **more)
 
     answers.pass_on = pass_on
