--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -29,7 +29,9 @@
         """Set the number of entry VMs, this one included."""
         self._entry_vms = max(1, entry_vms)
 
-    def note(self, profile: types.ProfileName, *, now: float) -> None:
+    def record_admission(
+        self, profile: types.ProfileName, *, now: float
+    ) -> None:
         """Note that a request was let in."""
         self._at_by_profile[profile] = now
 
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -334,7 +334,9 @@
     async def _attempt(self, choice: choosing.Choice) -> attempt_result.Result:
         parts = self._parts
         now = self._sent_at = parts.clock.monotonic()
-        parts.admission_floor.note(self._call.route.profile.name, now=now)
+        parts.admission_floor.record_admission(
+            self._call.route.profile.name, now=now
+        )
         work = loads.Work(
             upstream=choice.upstream.id,
             new_tokens=choice.new_tokens,
--- a/packages/router/tests/test_let_in_times.py
+++ b/packages/router/tests/test_let_in_times.py
@@ -9,6 +9,6 @@
     whole = 8 * admission_floor.FLOOR_SECONDS
     assert not times.is_due("c", now=whole - 0.1)
     assert times.is_due("c", now=whole)
-    times.note("c", now=whole)
+    times.record_admission("c", now=whole)
     assert not times.is_due("c", now=whole + 1.0)
     assert times.is_due("other", now=whole + 1.0)
