--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from lagoonrun_core import types
-from lagoonrun_router import fleet_parts, peer_table, reach, settings
+from lagoonrun_router import limit_shares, peer_table, reach, settings
 
 _SILENT_SECONDS = 1.0
 """Silence after which a failure domain is not asked, and has its own part."""
@@ -73,7 +73,7 @@
         giving = self._giving_domain(upstream_domain)
         return self._relays.relay_of(giving, now=now)
 
-    def view(self, *, now: float) -> fleet_parts.FleetCounts:
+    def view(self, *, now: float) -> limit_shares.FleetCounts:
         """Return the fleet as it is heard here."""
         near_known = self._table.neighbour_budget_sharers(now=now) + 1
         near = len(self._table.neighbours()) + 1
@@ -84,7 +84,7 @@
             known += len(cores_by_id)
             if silent_by_domain.get(domain, 0.0) > _SILENT_SECONDS:
                 silent += len(cores_by_id)
-        return fleet_parts.FleetCounts(known=known, near=near, silent=silent)
+        return limit_shares.FleetCounts(known=known, near=near, silent=silent)
 
     def _giving_domain(
         self, upstream_domain: types.FailureDomain
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -16,8 +16,8 @@
 from lagoonrun_core import events, logs, types
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
-    fleet_parts,
     limit_news,
+    limit_shares,
     metrics,
     news_broadcaster,
     place_bucket,
@@ -62,9 +62,9 @@
 
 
 _PART_OF = {
-    Giver.FLEET: fleet_parts.giver_share,
-    Giver.DOMAIN: fleet_parts.domain_share,
-    Giver.SELF: fleet_parts.single_share,
+    Giver.FLEET: limit_shares.giver_share,
+    Giver.DOMAIN: limit_shares.domain_share,
+    Giver.SELF: limit_shares.single_share,
 }
 
 
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -9,7 +9,7 @@
 
 from lagoonrun_core import clock as clocks
 from lagoonrun_router import (
-    fleet_parts,
+    limit_shares,
     metrics,
     place_bucket,
     places,
@@ -143,7 +143,7 @@
         heard = [one for one in fleet.vms if fleet.hears(self, one)]
         if not fleet.noticed:
             heard = fleet.vms
-        return fleet_parts.FleetCounts(
+        return limit_shares.FleetCounts(
             known=len(fleet.vms),
             near=sum(one.domain == self.domain for one in heard),
             silent=len(fleet.vms) - len(heard),
@@ -309,17 +309,17 @@
     silent = lost_near + sum(
         size for size, one in zip(sizes, heard, strict=True) if not one
     )
-    total = fleet_parts.giver_share(
-        fleet_parts.FleetCounts(known=known, near=sizes[0], silent=silent)
+    total = limit_shares.giver_share(
+        limit_shares.FleetCounts(known=known, near=sizes[0], silent=silent)
     )
     for size, one in zip(sizes, heard, strict=True):
         if not one:
-            total += fleet_parts.domain_share(
-                fleet_parts.FleetCounts(
+            total += limit_shares.domain_share(
+                limit_shares.FleetCounts(
                     known=known, near=size, silent=known - size
                 )
             )
-    total += lost_near * fleet_parts.single_share(
-        fleet_parts.FleetCounts(known=known, near=1, silent=known - 1)
+    total += lost_near * limit_shares.single_share(
+        limit_shares.FleetCounts(known=known, near=1, silent=known - 1)
     )
     assert total <= 1.0 + 1e-9
