--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -155,7 +155,7 @@
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
         now = self._parts.clock.monotonic()
-        self._parts.budget.note_request(call.pool.name, now=now)
+        self._parts.budget.record_request(call.pool.name, now=now)
         run = execution.CallExecution(
             call=call, exchange=exchange, parts=self._parts
         )
--- a/packages/router/src/lagoonrun_router/retry_budget.py
+++ b/packages/router/src/lagoonrun_router/retry_budget.py
@@ -65,7 +65,7 @@
         """Set the number of entry VMs, this one included."""
         self._entry_vms = max(1, entry_vms)
 
-    def note_request(self, pool: types.PoolName, *, now: float) -> None:
+    def record_request(self, pool: types.PoolName, *, now: float) -> None:
         """Count a request of a caller."""
         requests = self._requests_by_pool[pool]
         requests.append(now)
--- a/packages/router/tests/test_retry_budget.py
+++ b/packages/router/tests/test_retry_budget.py
@@ -22,7 +22,7 @@
     one = budget(8)
     before = one.left("p", now=0.0)
     for _ in range(100):
-        one.note_request("p", now=0.0)
+        one.record_request("p", now=0.0)
     assert one.left("p", now=0.0) > before + 15
     assert one.left("p", now=10.1) == before
 
@@ -63,7 +63,7 @@
     for vm, request, pause in steps:
         now += pause
         if request:
-            budgets[vm].note_request("p", now=now)
+            budgets[vm].record_request("p", now=now)
             requests.append(now)
         while budgets[vm].spend("p", now=now):
             repeats.append(now)
