--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -103,7 +103,7 @@
         counting: Counting,
         store: store_module.KeyValueStore,
         platform: platform_calls.DutyPlatform,
-        view: "FleetView",
+        view: "DutyInputs",
         ready: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -158,7 +158,7 @@
         into.usage_report_age.set(self._duties.usage_report_age or 0.0)
 
 
-class FleetView:
+class DutyInputs:
     """Answers what the duties ask.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -163,7 +163,7 @@
             counting=self._counting,
             store=self._store,
             platform=self._duty_platform,
-            view=fleet_duties.FleetView(
+            view=fleet_duties.DutyInputs(
                 configured=self._settings,
                 exchange=self.exchange,
                 domains=self._domains,
