--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -275,7 +275,7 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def take_question(self, asked: router_messages.PlaceRequest) -> None:
+    def receive_question(self, asked: router_messages.PlaceRequest) -> None:
         """Answer a question, or pass it on as the relay of who asks."""
         now = self._clock.monotonic()
         self._limits.apply_report(
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -144,7 +144,7 @@
         elif isinstance(message, router_messages.RestNews):
             self._rest_news.take(message, now=now)
         elif isinstance(message, router_messages.PlaceRequest):
-            self.places.take_question(message)
+            self.places.receive_question(message)
         elif isinstance(message, router_messages.PlaceAnswer):
             self.places.take_answer(message)
         else:
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -117,7 +117,7 @@
             if not self._fleet.hears(self, other):
                 continue
             if isinstance(message, places.router_messages.PlaceRequest):
-                other.places.take_question(message)
+                other.places.receive_question(message)
             else:
                 other.places.take_answer(message)
 
