--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -40,7 +40,7 @@
 report may be late, so that what it still has to tell has come or is worth nothing."""
 
 
-class Counting:
+class UsageCounting:
     """Counts of usage, which are told whether or not this entry VM holds duties.
 
     Parameters
@@ -100,7 +100,7 @@
         self,
         *,
         configured: settings.RouterSettings,
-        counting: Counting,
+        counting: UsageCounting,
         store: store_module.KeyValueStore,
         platform: platform_calls.DutyPlatform,
         view: "DutyInputs",
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -132,9 +132,9 @@
             allowance=configured.retry_allowance
         )
         self._routes: route_table.RouteTable | None = None
-        self._counting: fleet_duties.Counting | None = None
+        self._counting: fleet_duties.UsageCounting | None = None
         if duty_platform is not None and configured.duties is not None:
-            self._counting = fleet_duties.Counting(
+            self._counting = fleet_duties.UsageCounting(
                 configured=configured, clock=self._clock
             )
         self._crash_guard = crash_guard.CrashGuard(
