--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -269,7 +269,7 @@
 
     # What peers send.
 
-    def take_answer(self, answer: router_messages.PlaceAnswer) -> None:
+    def receive_answer(self, answer: router_messages.PlaceAnswer) -> None:
         """Take in what was decided on a question of this entry VM."""
         waiting = self._waiting_by_number.get(answer.number)
         if waiting is not None and not waiting.done():
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -146,7 +146,7 @@
         elif isinstance(message, router_messages.PlaceRequest):
             self.places.receive_question(message)
         elif isinstance(message, router_messages.PlaceAnswer):
-            self.places.take_answer(message)
+            self.places.receive_answer(message)
         else:
             return False
         return True
