--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -148,7 +148,7 @@
         """End at once."""
         await self._duties.close()
 
-    def show(self, into: metrics.RouterMetrics) -> None:
+    def update_gauges(self, into: metrics.RouterMetrics) -> None:
         """Set the gauges of the duties."""
         into.holds_duties.set(self._exchange.is_holder)
         vacant_seconds = self._exchange.vacant_seconds(
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -460,7 +460,7 @@
     def metrics_text(self) -> bytes:
         """Return all metrics in the text format."""
         if self._duties is not None:
-            self._duties.show(self.metrics)
+            self._duties.update_gauges(self.metrics)
         self.metrics.store_era.set(self._eras.newest)
         self._gauges.refresh(
             now=self._clock.monotonic(),
