--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -95,7 +95,7 @@
             if one.own and one.changed_at >= since
         )
 
-    def take_answer(
+    def apply_answer(
         self,
         at: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -128,7 +128,7 @@
             self._directory.mark_leaving(
                 upstream.id, start=upstream.start, source="answer"
             )
-        limit = self.limits.take_answer(at, notice, sent_at=sent_at, now=now)
+        limit = self.limits.apply_answer(at, notice, sent_at=sent_at, now=now)
         if limit is not None:
             self._limit_news.tell(limit, now=now)
         rest = self.rests.take_answer(at, notice, now=now)
