--- a/packages/router/src/lagoonrun_router/retry_budget.py
+++ b/packages/router/src/lagoonrun_router/retry_budget.py
@@ -57,7 +57,7 @@
             types.PoolName, collections.deque[float]
         ] = collections.defaultdict(collections.deque)
 
-    def use(self, allowance: Allowance) -> None:
+    def set_allowance(self, allowance: Allowance) -> None:
         """Replace what all entry VMs share."""
         self._allowance = allowance
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -401,7 +401,7 @@
             retry_allowance=changed.retry_allowance,
         )
         self.exchange.use_seeds(changed.seeds)
-        self._budget.use(changed.retry_allowance)
+        self._budget.set_allowance(changed.retry_allowance)
         return names - settings.CHANGEABLE_NAMES
 
     def _put_in_force(self, declared: declarations.Declarations) -> None:
