--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -343,7 +343,7 @@
             sensitivity=choosing.sensitivity_of(self._call),
             tier=choice.tier,
             overdue_at=loads.overdue_at(
-                now=now, foreseen_seconds=choice.wait_seconds
+                now=now, expected_seconds=choice.wait_seconds
             ),
         )
         parts.ledger.begin(work, now=now)
--- a/packages/router/src/lagoonrun_router/loads.py
+++ b/packages/router/src/lagoonrun_router/loads.py
@@ -101,7 +101,7 @@
     waiting: bool = True
 
 
-def overdue_at(*, now: float, foreseen_seconds: float) -> float:
+def overdue_at(*, now: float, expected_seconds: float) -> float:
     """Return from when a request sent now is long overdue."""
-    patience = OVERDUE_WAITS * foreseen_seconds
+    patience = OVERDUE_WAITS * expected_seconds
     return now + max(LEAST_OVERDUE_SECONDS, patience)
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -90,7 +90,7 @@
     Nothing fails until the callers leave; requests that came meanwhile went
     there as well.
     """
-    at = loads.overdue_at(now=0.0, foreseen_seconds=0.5)
+    at = loads.overdue_at(now=0.0, expected_seconds=0.5)
     one = loads.Work(
         upstream="u-1", new_tokens=10.0, sensitivity=0.0, overdue_at=at
     )
@@ -102,7 +102,7 @@
 
 
 def test_short_wait_is_not_overdue_at_once():
-    at = loads.overdue_at(now=0.0, foreseen_seconds=0.0)
+    at = loads.overdue_at(now=0.0, expected_seconds=0.0)
     assert at == loads.LEAST_OVERDUE_SECONDS
 
 
