--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -154,7 +154,7 @@
                     one.request, now + _TOLD_KEEP_SECONDS
                 )
 
-    def take_stored(self, request: types.RequestDigest, value: bytes) -> None:
+    def apply_stored(self, request: types.RequestDigest, value: bytes) -> None:
         """Take in a block that the store keeps."""
         now = self._clock.monotonic()
         try:
