--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -378,7 +378,7 @@
             self._directory.take_unreadable(self._upstream_id(key))
         else:
             now = self._clock.monotonic()
-            self._directory.take_entry(registration, now=now)
+            self._directory.apply_entry(registration, now=now)
             self.upstreams_known = True
         self._on_upstreams()
 
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -203,14 +203,14 @@
         for registration in listed.values():
             if self._stands_in_copy_only(registration, now):
                 continue
-            self.take_entry(registration, now=now)
+            self.apply_entry(registration, now=now)
         for id in unreadable:
             self.take_unreadable(id)
         present = {*listed, *unreadable}
         for id in [id for id in self._known_by_id if id not in present]:
             self.take_removal(id, now=now)
 
-    def take_entry(self, registration: Registration, *, now: float) -> None:
+    def apply_entry(self, registration: Registration, *, now: float) -> None:
         """Take in a new or changed entry; one of an earlier start is void."""
         gone_start = self._gone_start_by_id.get(registration.id)
         if gone_start is not None and registration.start <= gone_start:
--- a/packages/router/tests/test_crash_watch.py
+++ b/packages/router/tests/test_crash_watch.py
@@ -41,7 +41,7 @@
 @pytest.fixture
 def directory(registration):
     made = upstreams.UpstreamDirectory()
-    made.take_entry(registration, now=0.0)
+    made.apply_entry(registration, now=0.0)
     return made
 
 
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -27,7 +27,7 @@
 
 def test_only_upstreams_of_the_pool_are_usable(directory):
     listed(directory, "u-1")
-    directory.take_entry(make_registration("v", pool="other"), now=1000.0)
+    directory.apply_entry(make_registration("v", pool="other"), now=1000.0)
     assert ids(directory) == ["u-1"]
 
 
@@ -37,8 +37,8 @@
     A request sent to it then reaches a process that is about to exit.
     """
     listed(directory, "u-1", "u-2")
-    directory.take_entry(make_registration("u-1", leaving=True), now=1000.0)
-    directory.take_entry(make_registration("u-1"), now=1001.0)
+    directory.apply_entry(make_registration("u-1", leaving=True), now=1000.0)
+    directory.apply_entry(make_registration("u-1"), now=1001.0)
     assert ids(directory, 1001.0) == ["u-2"]
     assert not directory.may_send("u-1", now=1001.0)
 
@@ -50,10 +50,10 @@
     Held back as the one that left, it would idle while the others drown.
     """
     listed(directory, "u-1", "u-2")
-    directory.take_entry(make_registration("u-1", leaving=True), now=1000.0)
+    directory.apply_entry(make_registration("u-1", leaving=True), now=1000.0)
     if gone:
         directory.take_removal("u-1", now=1001.0)
-    directory.take_entry(make_registration("u-1", start=5), now=1002.0)
+    directory.apply_entry(make_registration("u-1", start=5), now=1002.0)
     assert ids(directory, 1002.0) == ["u-1", "u-2"]
     assert directory.may_send("u-1", now=1002.0)
 
@@ -63,9 +63,9 @@
 
     It said that it leaves: taken as news, that would idle the new process.
     """
-    directory.take_entry(make_registration("u-1", start=9), now=1000.0)
+    directory.apply_entry(make_registration("u-1", start=9), now=1000.0)
     old = make_registration("u-1", start=5, leaving=True, port=1)
-    directory.take_entry(old, now=1001.0)
+    directory.apply_entry(old, now=1001.0)
     directory.mark_leaving("u-1", start=5, source="vm-2")
     (known,) = directory.usable("portal", now=1001.0)
     assert (known.start, known.port) == (9, 9000)
@@ -75,9 +75,9 @@
 
 
 def test_restart_is_told_once_with_what_was_known_before(directory):
-    directory.take_entry(make_registration("u-1", start=5), now=1000.0)
-    directory.take_entry(make_registration("u-1", start=5), now=1001.0)
-    directory.take_entry(make_registration("u-1", start=9, port=1), now=1002.0)
+    directory.apply_entry(make_registration("u-1", start=5), now=1000.0)
+    directory.apply_entry(make_registration("u-1", start=5), now=1001.0)
+    directory.apply_entry(make_registration("u-1", start=9, port=1), now=1002.0)
     (restarted,) = directory.pop_restarted()
     assert (restarted.before.port, restarted.heard_at) == (9000, 1001.0)
     assert directory.pop_restarted() == ()
@@ -98,7 +98,7 @@
     assert not directory.may_send("u-1", now=1000.5)
     directory.take_unreadable("u-2")
     assert ids(directory, 1001.0) == []
-    directory.take_entry(make_registration("u-1"), now=1002.0)
+    directory.apply_entry(make_registration("u-1"), now=1002.0)
     assert ids(directory, 1002.0) == ["u-1"]
     directory.take_removal("u-2", now=1002.0)
     assert ids(directory, 1002.0) == ["u-1"]
@@ -138,9 +138,9 @@
     directory.on_store_reachable(now=1010.0)
     listed(directory, now=1010.0)
     assert ids(directory, 1010.1) == ["u-1", "u-2", "u-3"]
-    directory.take_entry(make_registration("u-2"), now=1011.0)
+    directory.apply_entry(make_registration("u-2"), now=1011.0)
     assert ids(directory, 1011.0) == ["u-1", "u-2", "u-3"]
-    directory.take_entry(make_registration("u-1"), now=1011.2)
+    directory.apply_entry(make_registration("u-1"), now=1011.2)
     assert ids(directory, 1011.2) == ["u-1", "u-2"]
     gone = 1010.0 + upstreams.LAPSE_SECONDS
     assert ids(directory, gone) == ["u-1", "u-2"]
@@ -167,7 +167,7 @@
     listed(directory, "u-1", "u-2")
     directory.take_removal("u-2", now=1000.0)
     assert ids(directory, 1010.0) == ["u-1"]
-    directory.take_entry(make_registration("u-2"), now=1011.0)
+    directory.apply_entry(make_registration("u-2"), now=1011.0)
     assert ids(directory, 1011.0) == ["u-1", "u-2"]
 
 
@@ -206,7 +206,7 @@
     assert "u-1" not in ids(directory, 1005.0)
     directory.on_store_restored(now=1006.0)
     listed(directory, "u-1", "u-2", "u-3", now=1006.0)
-    directory.take_entry(make_registration("u-1"), now=1007.0)
+    directory.apply_entry(make_registration("u-1"), now=1007.0)
     assert ids(directory, 1007.0) == ["u-1", "u-2", "u-3"]
 
 
@@ -217,7 +217,7 @@
     listed(directory, "u-1", "u-2", now=1000.0)
     later = 1000.0 + upstreams.DOUBTFUL_SECONDS
     assert directory.may_send("u-3", now=later)
-    directory.take_entry(make_registration("u-3"), now=1002.0)
+    directory.apply_entry(make_registration("u-3"), now=1002.0)
     assert ids(directory, 1010.0) == ["u-1", "u-2", "u-3"]
 
 
@@ -244,13 +244,13 @@
     @rule(name=names)
     def entry(self, name):
         """Write an entry."""
-        self.directory.take_entry(make_registration(name), now=self.now)
+        self.directory.apply_entry(make_registration(name), now=self.now)
         self.removed.pop(name, None)
 
     @rule(name=names)
     def leaving(self, name):
         """Let an upstream say that it leaves."""
-        self.directory.take_entry(
+        self.directory.apply_entry(
             make_registration(name, leaving=True), now=self.now
         )
         self.left.add(name)
