--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -171,7 +171,7 @@
         self._keep_at_by_request.pop(request, None)
         self._note_blocked(self._take(records, now), source="store")
 
-    def take_unstored(self, request: types.RequestDigest) -> None:
+    def apply_removed(self, request: types.RequestDigest) -> None:
         """Take in that the store keeps a block no more.
 
         Its lease has run out, or somebody lifted it.
