--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -172,7 +172,7 @@
         if key.startswith(self._layout.upstreams_prefix):
             self._entries_by_key.pop(key, None)
             now = self._clock.monotonic()
-            self._directory.take_removal(self._upstream_id(key), now=now)
+            self._directory.apply_removal(self._upstream_id(key), now=now)
             self._on_upstreams()
         elif key.startswith(self._layout.blocked_requests_prefix):
             self._entries_by_key.pop(key, None)
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -208,7 +208,7 @@
             self.take_unreadable(id)
         present = {*listed, *unreadable}
         for id in [id for id in self._known_by_id if id not in present]:
-            self.take_removal(id, now=now)
+            self.apply_removal(id, now=now)
 
     def apply_entry(self, registration: Registration, *, now: float) -> None:
         """Take in a new or changed entry; one of an earlier start is void."""
@@ -254,7 +254,7 @@
         self._restarted.clear()
         return restarted
 
-    def take_removal(self, upstream: types.UpstreamId, *, now: float) -> None:
+    def apply_removal(self, upstream: types.UpstreamId, *, now: float) -> None:
         """Take in that an entry is not there any more."""
         known = self._known_by_id.get(upstream)
         if known is None or known.state is UpstreamState.MISSING:
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -116,7 +116,7 @@
     """Guards against a leaving upstream whose entry lapses in an outage."""
     upstream = LeavingUpstream()
     world = await start_one(world_of, upstream)
-    world.router.directory.take_removal("u-0", now=0.0)
+    world.router.directory.apply_removal("u-0", now=0.0)
     assert not world.router.directory.usable("portal", now=100.0)
     world.router.directory.mark_leaving("u-0", start=1, source="answer")
     await world.register_at("u-0", upstream.port, start=1, slots=9)
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -52,7 +52,7 @@
     listed(directory, "u-1", "u-2")
     directory.apply_entry(make_registration("u-1", leaving=True), now=1000.0)
     if gone:
-        directory.take_removal("u-1", now=1001.0)
+        directory.apply_removal("u-1", now=1001.0)
     directory.apply_entry(make_registration("u-1", start=5), now=1002.0)
     assert ids(directory, 1002.0) == ["u-1", "u-2"]
     assert directory.may_send("u-1", now=1002.0)
@@ -100,7 +100,7 @@
     assert ids(directory, 1001.0) == []
     directory.apply_entry(make_registration("u-1"), now=1002.0)
     assert ids(directory, 1002.0) == ["u-1"]
-    directory.take_removal("u-2", now=1002.0)
+    directory.apply_removal("u-2", now=1002.0)
     assert ids(directory, 1002.0) == ["u-1"]
 
 
@@ -110,7 +110,7 @@
     It serves on for two seconds and exits; requests must stop before that.
     """
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_removal("u-3", now=1000.0)
+    directory.apply_removal("u-3", now=1000.0)
     assert ids(directory, 1000.0) == ["u-1", "u-2"]
 
 
@@ -153,7 +153,7 @@
     """
     listed(directory, "u-1", "u-2", "u-3")
     for name in ("u-1", "u-2", "u-3"):
-        directory.take_removal(name, now=1000.0)
+        directory.apply_removal(name, now=1000.0)
     assert ids(directory, 1000.0 + upstreams.LAPSE_SECONDS - 0.1) == [
         "u-1",
         "u-2",
@@ -165,7 +165,7 @@
 def test_absent_upstream_may_register_again(directory):
     """An upstream is cut off from the store for a while and then returns."""
     listed(directory, "u-1", "u-2")
-    directory.take_removal("u-2", now=1000.0)
+    directory.apply_removal("u-2", now=1000.0)
     assert ids(directory, 1010.0) == ["u-1"]
     directory.apply_entry(make_registration("u-2"), now=1011.0)
     assert ids(directory, 1011.0) == ["u-1", "u-2"]
@@ -192,7 +192,7 @@
     Work sent there reaches nobody, or a process that has its address by now.
     """
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_removal("u-1", now=1000.0)
+    directory.apply_removal("u-1", now=1000.0)
     assert "u-1" not in ids(directory, 1005.0)
     directory.on_store_restored(now=1006.0)
     listed(directory, "u-1", "u-2", "u-3", now=1006.0)
@@ -202,7 +202,7 @@
 def test_upstream_that_lives_after_a_restore_is_back_by_its_own_word(directory):
     """Its entry had run out in an outage, and it registers again."""
     listed(directory, "u-1", "u-2", "u-3")
-    directory.take_removal("u-1", now=1000.0)
+    directory.apply_removal("u-1", now=1000.0)
     assert "u-1" not in ids(directory, 1005.0)
     directory.on_store_restored(now=1006.0)
     listed(directory, "u-1", "u-2", "u-3", now=1006.0)
@@ -258,7 +258,7 @@
     @rule(name=names)
     def removal(self, name):
         """Remove an entry."""
-        self.directory.take_removal(name, now=self.now)
+        self.directory.apply_removal(name, now=self.now)
         self.removed.setdefault(name, self.now)
 
     @rule(seconds=st.floats(0.0, 3.0))
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -100,7 +100,7 @@
     directory.usable = lambda self, pool, *, now: tuple(
         one for one in self.registrations if one.pool == pool
     )
-    directory.take_removal = lambda self, upstream, *, now: None
+    directory.apply_removal = lambda self, upstream, *, now: None
 
 
 def _break_planned_stop() -> None:
