--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -145,7 +145,7 @@
         dialect = self._parts.dialect
         if dialect.is_misdirected(head):
             return
-        self._parts.notices.take_answer(
+        self._parts.notices.apply_answer(
             self._choice.upstream,
             dialect.read_notice(head),
             sent_at=self._written_at,
--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -29,10 +29,10 @@
 class BlocksListener(Protocol):
     """Receives the blocked requests that the store keeps."""
 
-    def take_stored(self, request: types.RequestDigest, value: bytes) -> None:
+    def apply_stored(self, request: types.RequestDigest, value: bytes) -> None:
         """Take in a block."""
 
-    def take_unstored(self, request: types.RequestDigest) -> None:
+    def apply_removed(self, request: types.RequestDigest) -> None:
         """Take in that a block was removed, or its time has passed."""
 
     def on_store_restored(self) -> None:
@@ -176,7 +176,7 @@
             self._on_upstreams()
         elif key.startswith(self._layout.blocked_requests_prefix):
             self._entries_by_key.pop(key, None)
-            self._blocks.take_unstored(self._blocked_request(key))
+            self._blocks.apply_removed(self._blocked_request(key))
         elif key.startswith(self._layout.entry_vms_prefix):
             name = key.removeprefix(self._layout.entry_vms_prefix)
             self._peers.remove(types.EntryVmId(name))
@@ -362,7 +362,7 @@
             self._take_entry(key, value)
         elif key.startswith(self._layout.blocked_requests_prefix):
             self._entries_by_key[key] = value
-            self._blocks.take_stored(self._blocked_request(key), value)
+            self._blocks.apply_stored(self._blocked_request(key), value)
         elif key.startswith(self._layout.entry_vms_prefix):
             name = key.removeprefix(self._layout.entry_vms_prefix)
             self._peers.take_record(types.EntryVmId(name), value)
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -101,7 +101,7 @@
             limited=self.places, rests=self.rests
         )
 
-    def take_answer(
+    def apply_answer(
         self,
         upstream: upstreams.Registration,
         notice: upstream_notice.UpstreamNotice,
@@ -131,7 +131,7 @@
         limit = self.limits.apply_answer(at, notice, sent_at=sent_at, now=now)
         if limit is not None:
             self._limit_news.tell(limit, now=now)
-        rest = self.rests.take_answer(at, notice, now=now)
+        rest = self.rests.apply_answer(at, notice, now=now)
         if rest is not None:
             self._rest_news.tell(rest, now=now)
 
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -80,7 +80,7 @@
         """Return whether others were asked to leave an upstream alone."""
         return self._told_until.get(at, now) > now
 
-    def take_answer(
+    def apply_answer(
         self,
         at: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -156,7 +156,7 @@
     news.is_relay = True
     crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     (block,) = crashing.blocks()
-    crashing.take_stored("one", block_record.encode(block))
+    crashing.apply_stored("one", block_record.encode(block))
     clock.advance(LONG_SECONDS)
     crashing.tick()
     assert keeper.kept == []
@@ -181,7 +181,7 @@
 def test_answer_unblocks_everywhere(crashing, news, keeper):
     crash_thrice(crashing)
     (block,) = crashing.blocks()
-    crashing.take_stored("one", block_record.encode(block))
+    crashing.apply_stored("one", block_record.encode(block))
     news.told.clear()
     crashing.take_answer("one")
     assert blocked(crashing) == []
@@ -225,13 +225,13 @@
 
 
 def test_stored_block_is_in_force_at_an_entry_vm_that_starts(crashing):
-    crashing.take_stored("one", _stored_block())
+    crashing.apply_stored("one", _stored_block())
     assert blocked(crashing) == ["one"]
 
 
 def test_block_that_the_store_drops_has_ended(crashing):
-    crashing.take_stored("one", _stored_block())
-    crashing.take_unstored("one")
+    crashing.apply_stored("one", _stored_block())
+    crashing.apply_removed("one")
     assert blocked(crashing) == []
 
 
@@ -240,7 +240,7 @@
     crashing, news, keeper, clock, is_relay
 ):
     news.is_relay = is_relay
-    crashing.take_stored("one", _stored_block())
+    crashing.apply_stored("one", _stored_block())
     crashing.on_store_restored()
     clock.advance(LONG_SECONDS)
     crashing.tick()
@@ -252,9 +252,9 @@
     crashing, news, keeper, clock
 ):
     news.is_relay = True
-    crashing.take_stored("one", _stored_block())
+    crashing.apply_stored("one", _stored_block())
     crashing.on_store_restored()
-    crashing.take_stored("one", _stored_block())
+    crashing.apply_stored("one", _stored_block())
     clock.advance(LONG_SECONDS)
     crashing.tick()
     assert keeper.kept == []
@@ -262,13 +262,13 @@
 
 def test_block_of_ones_own_does_not_end_by_a_key_that_was_not_seen(crashing):
     crash_thrice(crashing)
-    crashing.take_unstored("one")
+    crashing.apply_removed("one")
     assert blocked(crashing) == ["one"]
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b'{"route":"r"}'])
 def test_unreadable_record_of_the_store_blocks_nothing(crashing, value):
-    crashing.take_stored("one", value)
+    crashing.apply_stored("one", value)
     assert blocked(crashing) == []
 
 
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -245,9 +245,9 @@
 
 
 def test_placements_and_pressed_tiers_reach_other_domains(relay, far_relay):
-    relay.prompt_locations.place("part", "u-1", now=0.0)
+    relay.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
-        relay.pressed.note("pool", 1, now=0.0)
+        relay.pressed.record_rejection("pool", 1, now=0.0)
     relay.tick(now=0.1)
     far_relay.exchange.take(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -259,9 +259,9 @@
 def test_prompt_homes_failed_tiers_and_flow_of_prompts_are_told(
     relay, member, other
 ):
-    other.prompt_locations.place("part", "u-1", now=0.0)
+    other.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
-        other.pressed.note(POOL, 1, now=0.0)
+        other.pressed.record_rejection(POOL, 1, now=0.0)
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     other.begin(tokens=9000.0)
     relay.exchange.receive_state(other.state(RELAY), now=0.0)
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -79,7 +79,7 @@
     def tell(self, per_second, *, age=0.0):
         """Have all hear of a limit."""
         for one in self.vms:
-            one.limits.take_answer(
+            one.limits.apply_answer(
                 AT,
                 upstream_notice.UpstreamNotice(requests_per_second=per_second),
                 sent_at=self.clock.monotonic() - age,
@@ -119,7 +119,7 @@
             if isinstance(message, places.router_messages.PlaceRequest):
                 other.places.receive_question(message)
             else:
-                other.places.take_answer(message)
+                other.places.receive_answer(message)
 
     def own_relay(self, *, now):
         """Return whom to ask."""
@@ -275,7 +275,7 @@
     """Guards against a giver that has not heard of the limit yet."""
     fleet = Fleet(clock=clock, domains=3, size=7).start()
     vm = fleet.vms[4]
-    vm.limits.take_answer(
+    vm.limits.apply_answer(
         AT,
         upstream_notice.UpstreamNotice(requests_per_second=LIMIT),
         sent_at=clock.monotonic(),
--- a/packages/router/tests/test_pressure.py
+++ b/packages/router/tests/test_pressure.py
@@ -12,7 +12,7 @@
 
 def note(pressed, count, tier=1, now=0.0):
     for _ in range(count):
-        pressed.note("p", tier, now=now)
+        pressed.record_rejection("p", tier, now=now)
 
 
 def told(count, tier=1):
--- a/packages/router/tests/test_prompt_homes.py
+++ b/packages/router/tests/test_prompt_homes.py
@@ -13,7 +13,7 @@
 
 
 def test_part_is_at_its_upstream_until_it_is_old(homes):
-    homes.place("p", "u-1", now=0.0)
+    homes.record_placement("p", "u-1", now=0.0)
     assert homes.has("p", "u-1", now=1.0)
     assert not homes.has("p", "u-2", now=1.0)
     assert not homes.has("p", "u-1", now=prompt_locations.KEPT_SECONDS)
@@ -27,7 +27,7 @@
 
 
 def test_own_placements_are_told_once_and_told_ones_are_not_passed_on(homes):
-    homes.place("p", "u-1", now=0.0)
+    homes.record_placement("p", "u-1", now=0.0)
     homes.apply_report("q", "u-2", now=0.0)
     assert homes.pop_own() == {"p": "u-1"}
     assert homes.pop_own() == {}
@@ -35,7 +35,7 @@
 
 def test_a_burst_is_told_in_several_messages(homes):
     for number in range(100):
-        homes.place(f"p-{number}", "u-1", now=0.0)
+        homes.record_placement(f"p-{number}", "u-1", now=0.0)
     told = []
     while batch := homes.pop_own():
         assert len(batch) <= 24
@@ -56,9 +56,9 @@
     Prompts sent there for their shared parts would be read anew, and nobody
     else is to be told that the parts are there.
     """
-    homes.place("p", "u-1", now=0.0)
-    homes.place("p", "u-2", now=0.0)
-    homes.place("q", "u-1", now=0.0)
+    homes.record_placement("p", "u-1", now=0.0)
+    homes.record_placement("p", "u-2", now=0.0)
+    homes.record_placement("q", "u-1", now=0.0)
     homes.forget_upstream("u-1")
     assert not homes.has("p", "u-1", now=0.0)
     assert homes.has("p", "u-2", now=0.0)
@@ -72,7 +72,7 @@
 
     Other domains are told of this one only: they hear from each domain itself.
     """
-    homes.place("own", "u-1", now=0.0)
+    homes.record_placement("own", "u-1", now=0.0)
     homes.apply_report("near", "u-2", now=0.0)
     homes.apply_remote_report("far", "u-3", now=0.0)
     homes.apply_relayed_report("known", "u-4", now=0.0)
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -38,12 +38,12 @@
 class KeptBlocks(set):
     """Blocked requests that an entry VM was told of by the store."""
 
-    def take_stored(self, request, value):
+    def apply_stored(self, request, value):
         """Keep a block."""
         del value
         self.add(request)
 
-    def take_unstored(self, request):
+    def apply_removed(self, request):
         """Drop a block."""
         self.discard(request)
 
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -21,7 +21,7 @@
 
 def answer(limits, per_second, *, at=AT, sent_at=None, now=NOW):
     notice = upstream_notice.UpstreamNotice(requests_per_second=per_second)
-    return limits.take_answer(
+    return limits.apply_answer(
         at, notice, sent_at=now if sent_at is None else sent_at, now=now
     )
 
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -17,7 +17,7 @@
 
 def ask(rests, at, seconds, *, now):
     notice = upstream_notice.UpstreamNotice(rest_seconds=seconds)
-    return rests.take_answer(at, notice, now=now)
+    return rests.apply_answer(at, notice, now=now)
 
 
 def test_rest_is_kept_to_its_end_and_a_little_longer(rests):
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -175,7 +175,7 @@
 def _break_rests() -> None:
     """Hear of no rest."""
     rests = upstream_rests.UpstreamRests
-    rests.take_answer = lambda self, at, notice, *, now: None
+    rests.apply_answer = lambda self, at, notice, *, now: None
 
 
 def _break_own_leaving() -> None:
