--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -411,7 +411,7 @@
     ) -> None:
         self._domains.hear(state.domain, now=now)
         address = settings.Address(host=host, port=state.port)
-        newer = self._table.hear(
+        newer = self._table.record_message(
             state.entry_vm,
             address,
             start=state.start,
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -150,7 +150,7 @@
         if self._near_by_id.pop(entry_vm, None) is not None:
             self.changes += 1
 
-    def hear(
+    def record_message(
         self,
         entry_vm: types.EntryVmId,
         address: settings.Address,
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -76,7 +76,7 @@
 
     def hear_of(self, name, now, sequence=1, **more):
         """Take in another one's state."""
-        self.table.hear(
+        self.table.record_message(
             name,
             address_of(name),
             start=1,
--- a/packages/router/tests/test_roster.py
+++ b/packages/router/tests/test_roster.py
@@ -42,7 +42,7 @@
     def hear(self, other, now, **more):
         """Take in a message of another one."""
         self.sequence += 1
-        self.table.hear(
+        self.table.record_message(
             other,
             address_of(other),
             start=1,
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -77,7 +77,7 @@
     def hear(self, other, *, follows_store):
         """Take in a state of another entry VM."""
         self.sequence += 1
-        self.table.hear(
+        self.table.record_message(
             other,
             address_of(other),
             start=1,
