--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -213,7 +213,7 @@
         for domain, milliseconds in zip(
             news.domains, news.silent_milliseconds, strict=False
         ):
-            self._domains.hear(domain, now=now - milliseconds / 1000)
+            self._domains.record_contact(domain, now=now - milliseconds / 1000)
             self._domains.note_reading(domain, domain in news.reading_domains)
         self._note_alive(news, now)
 
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -409,7 +409,7 @@
     def _take_state(
         self, state: router_messages.RouterState, host: str, now: float
     ) -> None:
-        self._domains.hear(state.domain, now=now)
+        self._domains.record_contact(state.domain, now=now)
         address = settings.Address(host=host, port=state.port)
         newer = self._table.record_message(
             state.entry_vm,
--- a/packages/router/src/lagoonrun_router/reach.py
+++ b/packages/router/src/lagoonrun_router/reach.py
@@ -33,7 +33,9 @@
         self._reading: set[types.FailureDomain] = set()
         self.changes = 0
 
-    def hear(self, domain: types.FailureDomain, *, now: float) -> None:
+    def record_contact(
+        self, domain: types.FailureDomain, *, now: float
+    ) -> None:
         """Note that an entry VM of `domain` was heard at `now`."""
         if domain not in self._heard_at_by_domain:
             self.changes += 1
