--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -265,7 +265,7 @@
         if self._beats_until_look > 0:
             return
         self._beats_until_look = _LOOK_BEATS
-        for lost in self._table.take_lost(now=now):
+        for lost in self._table.pop_lost(now=now):
             self._ledger.forget_peer(lost)
             self._gathered.forget_peer(lost)
 
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -211,7 +211,7 @@
             peer.alive = True
             logs.emit(events.LogEvent.PEER_GAINED, peer=entry_vm)
 
-    def take_lost(self, *, now: float) -> tuple[types.EntryVmId, ...]:
+    def pop_lost(self, *, now: float) -> tuple[types.EntryVmId, ...]:
         """Return the peers that have fallen silent since the last call."""
         lost = []
         near_seconds = _RELAYED_SECONDS if self.has_relay else HEARD_SECONDS
