--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -343,7 +343,7 @@
         """Whether a few entry VMs read the store for the others."""
         return len(self._peers_by_id) > _LARGE_FLEET
 
-    def sharers(self, *, now: float) -> int:
+    def budget_sharers(self, *, now: float) -> int:
         """Return how many entry VMs share budgets, this one included.
 
         Peers that fell silent a moment ago may only be cut off from this one
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -452,7 +452,7 @@
         while True:
             await ticks.sleep_to_tick(_HOUSE_KEEPING_SECONDS)
             now = self._clock.monotonic()
-            sharers = self._table.sharers(now=now)
+            sharers = self._table.budget_sharers(now=now)
             self._budget.set_entry_vm_count(sharers)
             self._let_in.set_entry_vm_count(sharers)
             self._crash_guard.run_housekeeping()
