--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -161,7 +161,7 @@
             store_revision=self._known.store_revision,
             read_revision=self._known.read_revision,
             reads_store=self._known.follows_store
-            or bool(self._table.watching(now=now)),
+            or bool(self._table.store_readers(now=now)),
             loads=peer_loads.to_rows(known),
             placements=peer_loads.placements(
                 self._prompt_locations.pop_for_other_domains()
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -271,7 +271,7 @@
         peer = self._peers_by_id.get(entry_vm)
         return peer is not None and peer.follows_store
 
-    def watching(self, *, now: float) -> tuple[types.EntryVmId, ...]:
+    def store_readers(self, *, now: float) -> tuple[types.EntryVmId, ...]:
         """Return those neighbours that are up to date with the store."""
         return tuple(
             entry_vm
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -179,7 +179,7 @@
         if first and now - since < CATCH_UP_SECONDS:
             return True
         if member == self._domain:
-            near = self._table.watching(now=now)
+            near = self._table.store_readers(now=now)
             return self._known.follows_store or bool(near)
         return self._domains.is_reading(member)
 
