--- a/packages/config/tests/test_configuration_machine.py
+++ b/packages/config/tests/test_configuration_machine.py
@@ -159,7 +159,7 @@
         yield store.Unreachable(detail="no watch here")
 
 
-class PeerExchange:
+class Peers:
     """Peers of a follower: it hears what the machine tells it."""
 
     def __init__(self):
@@ -201,7 +201,7 @@
         self._spin()
 
     async def _start_follower(self):
-        peers = PeerExchange()
+        peers = Peers()
         made = follower.ConfigurationFollower(
             store=self._view,
             peers=peers,
