--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -248,7 +248,7 @@
         ),
         now=0.0,
     )
-    relay.domains.hear("south", now=0.0)
+    relay.domains.record_contact("south", now=0.0)
     (news,) = relay.tick(0.3)
     member.exchange.take(news, now=0.3)
     assert member.ledger.load_of("u-2", now=0.3).running == 5
--- a/packages/router/tests/test_peer_table.py
+++ b/packages/router/tests/test_peer_table.py
@@ -17,7 +17,7 @@
 
 def hear(table, name="vm-2", address=A, domain="north", **changes):
     values = {"start": 7, "sequence": 1, "now": 0.0, "domain": domain}
-    return table.hear(name, address, **{**values, **changes})
+    return table.record_message(name, address, **{**values, **changes})
 
 
 def test_record_in_the_store_is_read_back(table):
@@ -58,9 +58,9 @@
 
 def test_silent_peer_is_lost_once_and_gained_again(table):
     hear(table, now=0.0)
-    assert table.take_lost(now=1.0) == ()
-    assert table.take_lost(now=2.5) == ("vm-2",)
-    assert table.take_lost(now=2.6) == ()
+    assert table.pop_lost(now=1.0) == ()
+    assert table.pop_lost(now=2.5) == ("vm-2",)
+    assert table.pop_lost(now=2.6) == ()
     assert table.known() == {}
     hear(table, sequence=2, now=3.0)
     assert table.known() == {"vm-2": A}
@@ -72,16 +72,16 @@
     Both halves must not take the whole allowance for themselves.
     """
     hear(table, now=0.0)
-    table.take_lost(now=10.0)
-    assert table.sharers(now=10.0) == 2
-    assert table.sharers(now=100.0) == 1
+    table.pop_lost(now=10.0)
+    assert table.budget_sharers(now=10.0) == 2
+    assert table.budget_sharers(now=100.0) == 1
 
 
 def test_peer_of_another_domain_shares_budgets_although_hardly_heard(table):
     """It tells this one by chance, in a large fleet once in half a minute."""
     hear(table, domain="south", now=0.0)
-    assert table.take_lost(now=10.0) == ()
-    assert table.sharers(now=100.0) == 2
+    assert table.pop_lost(now=10.0) == ()
+    assert table.budget_sharers(now=100.0) == 2
 
 
 def test_now_and_then_another_domain_is_told(table):
@@ -112,7 +112,7 @@
 def test_relay_that_lists_a_peer_shows_that_it_lives(table):
     hear(table, now=0.0)
     table.note_alive("vm-2", now=2.5)
-    assert table.take_lost(now=3.0) == ()
+    assert table.pop_lost(now=3.0) == ()
     assert table.neighbours() == ("vm-2",)
 
 
