--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -337,7 +337,7 @@
         parts.admission_floor.record_admission(
             self._call.route.profile.name, now=now
         )
-        work = loads.Work(
+        work = loads.InFlightRequest(
             upstream=choice.upstream.id,
             new_tokens=choice.new_tokens,
             sensitivity=choosing.sensitivity_of(self._call),
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -52,7 +52,9 @@
     """Own and told loads, failures and recent prompt tokens by upstream."""
 
     def __init__(self) -> None:
-        self._own_by_upstream: dict[types.UpstreamId, list[loads.Work]] = {}
+        self._own_by_upstream: dict[
+            types.UpstreamId, list[loads.InFlightRequest]
+        ] = {}
         # The one that told longest ago comes first.
         self._told_by_peer: dict[types.LoadReporter, _Told] = {}
         self._told_sum_by_upstream: dict[
@@ -70,7 +72,7 @@
 
     # Own work.
 
-    def begin(self, work: loads.Work, *, now: float) -> None:
+    def begin(self, work: loads.InFlightRequest, *, now: float) -> None:
         """Count a request that is about to be sent."""
         self._own_by_upstream.setdefault(work.upstream, []).append(work)
         self.add_prefill(work.upstream, work.new_tokens, now=now)
@@ -78,13 +80,13 @@
         if work.new_tokens >= URGENT_TOKENS:
             self.urgent_change = True
 
-    def first_event(self, work: loads.Work) -> None:
+    def first_event(self, work: loads.InFlightRequest) -> None:
         """Count the request's prompt as read."""
         if work.waiting:
             work.waiting = False
             self._note_change(work)
 
-    def end(self, work: loads.Work) -> None:
+    def end(self, work: loads.InFlightRequest) -> None:
         """Count the request no more."""
         own = self._own_by_upstream.get(work.upstream, [])
         if work in own:
@@ -98,7 +100,7 @@
         self.changed = False
         self.urgent_change = False
 
-    def _note_change(self, work: loads.Work) -> None:
+    def _note_change(self, work: loads.InFlightRequest) -> None:
         # Plain services have no prompts; their requests are over before
         # others would hear of them.
         if work.new_tokens:
@@ -315,7 +317,9 @@
         )
 
 
-def _sum_of(works: Iterable[loads.Work], *, now: float) -> loads.Load:
+def _sum_of(
+    works: Iterable[loads.InFlightRequest], *, now: float
+) -> loads.Load:
     waiting_by_tier: list[float] = []
     running = 0
     sensitive = 0.0
--- a/packages/router/src/lagoonrun_router/loads.py
+++ b/packages/router/src/lagoonrun_router/loads.py
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class Work:
+class InFlightRequest:
     """One request at one upstream, from its sending to its end.
 
     Two that are alike are two all the same, and each ends once.
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -69,7 +69,7 @@
         exchange: exchanges.Exchange,
         relay: stream_relay.StreamRelay,
         choice: choosing.Choice,
-        work: loads.Work,
+        work: loads.InFlightRequest,
         last: bool,
         parts: router_parts.Parts,
     ) -> None:
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -143,7 +143,9 @@
 
 
 def begin(vm, tokens, now):
-    work = loads.Work(upstream="u-1", new_tokens=tokens, sensitivity=0.0)
+    work = loads.InFlightRequest(
+        upstream="u-1", new_tokens=tokens, sensitivity=0.0
+    )
     vm.ledger.begin(work, now=now)
 
 
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -72,7 +72,9 @@
 
     def begin(self, tokens=2000.0, upstream="u-1", now=0.0):
         """Send a request to an upstream."""
-        work = loads.Work(upstream=upstream, new_tokens=tokens, sensitivity=1.0)
+        work = loads.InFlightRequest(
+            upstream=upstream, new_tokens=tokens, sensitivity=1.0
+        )
         self.ledger.begin(work, now=now)
         return work
 
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -13,7 +13,7 @@
 
 
 def work(upstream="u-1", tokens=1000.0, sensitivity=2.0):
-    return loads.Work(
+    return loads.InFlightRequest(
         upstream=upstream, new_tokens=tokens, sensitivity=sensitivity
     )
 
@@ -91,7 +91,7 @@
     there as well.
     """
     at = loads.overdue_at(now=0.0, expected_seconds=0.5)
-    one = loads.Work(
+    one = loads.InFlightRequest(
         upstream="u-1", new_tokens=10.0, sensitivity=0.0, overdue_at=at
     )
     ledger.begin(one, now=0.0)
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -91,7 +91,9 @@
 
 
 def begin(ledger, tokens):
-    work = loads.Work(upstream="u-1", new_tokens=tokens, sensitivity=0.0)
+    work = loads.InFlightRequest(
+        upstream="u-1", new_tokens=tokens, sensitivity=0.0
+    )
     ledger.begin(work, now=0.0)
     return work
 
