--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -182,7 +182,7 @@
         self._table = peer_table.PeerTable(
             entry_vm=configured.entry_vm, domain=configured.domain
         )
-        self.beliefs = store_replica.StoreReplica(
+        self.replica = store_replica.StoreReplica(
             layout=self._layout,
             directory=self.directory,
             peers=self._table,
@@ -193,7 +193,7 @@
         )
         self.follower = store_follower.StoreFollower(
             store=self._store,
-            reader=self.beliefs,
+            reader=self.replica,
             rng=self._rng,
             clock=self._clock,
         )
@@ -203,7 +203,7 @@
             processor_cores=configured.processor_cores,
             table=self._table,
             domains=self._domains,
-            known=self.beliefs,
+            known=self.replica,
             follower=self.follower,
             clock=self._clock,
         )
@@ -211,7 +211,7 @@
             configured=configured,
             key=configured.store.host.encode(),
             table=self._table,
-            known=self.beliefs,
+            known=self.replica,
             directory=self.directory,
             ledger=self._ledger,
             prompt_locations=self._prompt_locations,
@@ -270,7 +270,7 @@
             router_endpoints.ReadinessEndpoint(router=self),
         )
         self._peer_server = self._server(
-            configured.peer, router_endpoints.PeerEndpoint(known=self.beliefs)
+            configured.peer, router_endpoints.PeerEndpoint(known=self.replica)
         )
         self._metrics_server = None
         if configured.metrics is not None:
@@ -294,15 +294,15 @@
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here."""
-        known = self.beliefs.revision > 0 and self.beliefs.upstreams_known
+        known = self.replica.revision > 0 and self.replica.upstreams_known
         ready = known and not self._stopping
         if ready != self._was_ready:
             self._was_ready = ready
             logs.emit(
                 events.LogEvent.READINESS_CHANGED,
                 ready=ready,
-                revision=self.beliefs.revision,
-                upstreams_known=self.beliefs.upstreams_known,
+                revision=self.replica.revision,
+                upstreams_known=self.replica.upstreams_known,
                 stopping=self._stopping,
             )
         return ready
@@ -424,7 +424,7 @@
             self._client.lose(
                 before.host, before.port, opened_until=restarted.heard_at
             )
-        if self.beliefs.upstreams_known:
+        if self.replica.upstreams_known:
             self._ingress.take_upstreams_known()
         known = frozenset(one.id for one in self.directory.registrations)
         self._ledger.forget_upstreams(known)
