--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -95,7 +95,7 @@
         configured: settings.RouterSettings,
         key: bytes,
         table: peer_table.PeerTable,
-        known: store_replica.StoreReplica,
+        replica: store_replica.StoreReplica,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
@@ -113,8 +113,8 @@
             key=key, on_message=self._take_message
         )
         self._table = table
-        self._known = known
-        known.on_changes = self._tell_changes
+        self._known = replica
+        replica.on_changes = self._tell_changes
         self._directory = directory
         self._ledger = ledger
         self._prompt_locations = prompt_locations
@@ -139,7 +139,7 @@
             configured=configured,
             start=start,
             table=table,
-            known=known,
+            known=replica,
             directory=directory,
             ledger=ledger,
             prompt_locations=prompt_locations,
@@ -167,7 +167,7 @@
             port=configured.peer.port,
             start=start,
             table=table,
-            known=known,
+            known=replica,
             relays=self._relays,
             gathered=gathered,
             ledger=ledger,
@@ -215,7 +215,7 @@
             domain=configured.domain,
             table=table,
             relays=self._relays,
-            known=known,
+            known=replica,
             clock=clock,
         )
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -211,7 +211,7 @@
             configured=configured,
             key=configured.store.host.encode(),
             table=self._table,
-            known=self.replica,
+            replica=self.replica,
             directory=self.directory,
             ledger=self._ledger,
             prompt_locations=self._prompt_locations,
