--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -101,7 +101,7 @@
         prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         pressed: pressure.Pressure,
-        gathered: domain_aggregate.DomainAggregate,
+        aggregate: domain_aggregate.DomainAggregate,
         crashing: crashing_requests.CrashingRequests,
         counters: metrics.RouterMetrics,
         usage: usage_exchange.UsageExchange | None = None,
@@ -120,7 +120,7 @@
         self._prompt_locations = prompt_locations
         self._domains = domains
         self._pressed = pressed
-        self._gathered = gathered
+        self._gathered = aggregate
         self._usage = usage
         self._clock = clock
         self._rng = rng
@@ -152,7 +152,7 @@
             entry_vm=configured.entry_vm,
             port=configured.peer.port,
             start=start,
-            gathered=gathered,
+            gathered=aggregate,
             table=table,
             ledger=ledger,
             pressed=pressed,
@@ -169,7 +169,7 @@
             table=table,
             known=replica,
             relays=self._relays,
-            gathered=gathered,
+            gathered=aggregate,
             ledger=ledger,
             prompt_locations=prompt_locations,
             pressed=pressed,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -217,7 +217,7 @@
             prompt_locations=self._prompt_locations,
             domains=self._domains,
             pressed=self._pressed,
-            gathered=self._gathered,
+            aggregate=self._gathered,
             crashing=self.crashing,
             counters=self.metrics,
             usage=self._usage,
