--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -193,7 +193,7 @@
         self._pools: tuple[declarations.Pool, ...] = ()
         self._order = roster.Roster(
             duty="duties",
-            places=_TRYING_DOMAINS,
+            wanted_count=_TRYING_DOMAINS,
             own=configured.domain,
             others=domains,
         )
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -130,7 +130,7 @@
         start = secrets.randbits(63)
         self._relays = roster.Roster(
             duty="relay",
-            places=_RELAYS,
+            wanted_count=_RELAYS,
             own=configured.entry_vm,
             own_size=peer_table.rounded_cores(configured.processor_cores),
             others=table,
--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -83,7 +83,7 @@
         self,
         *,
         duty: str,
-        places: int,
+        wanted_count: int,
         most: int | None = None,
         fills: Fills | None = None,
         own: Member,
@@ -91,8 +91,8 @@
         others: Members,
     ) -> None:
         self._duty = duty
-        self._places = places
-        self._most = most or places
+        self._places = wanted_count
+        self._most = most or wanted_count
         self._fills = fills
         self._own = own
         self._own_size = own_size
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -97,7 +97,7 @@
         self._looks_behind = 0
         self._reading_domains = roster.Roster(
             duty="store",
-            places=WATCHERS,
+            wanted_count=WATCHERS,
             most=MOST_TRYING_DOMAINS,
             fills=self._domain_reads_or_may,
             own=domain,
@@ -105,7 +105,7 @@
         )
         self._readers = roster.Roster(
             duty="store",
-            places=WATCHERS,
+            wanted_count=WATCHERS,
             most=MOST_TRYING,
             fills=self._reads_or_may,
             own=entry_vm,
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -27,7 +27,7 @@
 def relays_of(name, table):
     return roster.Roster(
         duty="relay",
-        places=2,
+        wanted_count=2,
         own=name,
         others=table,
     )
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_telling.py
@@ -74,7 +74,7 @@
         prompt_locations=prompt_locations.PromptLocations(reuse_seconds=10.0),
         pressed=pressure.Pressure(),
         relays=roster.Roster(
-            duty="relay", places=2, own="vm-1", own_size=0.5, others=table
+            duty="relay", wanted_count=2, own="vm-1", own_size=0.5, others=table
         ),
         rng=random.Random(1),
     )
