--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -104,7 +104,7 @@
         """Whether this entry VM is about to end and takes up no duty."""
 
     def on_duty(
-        self, *, now: float, places: int | None = None
+        self, *, now: float, wanted_count: int | None = None
     ) -> tuple[Member, ...]:
         """Return who has the duty, in their order.
 
@@ -113,20 +113,22 @@
         places
             Members that are to do it; None for as many as usual.
         """
-        places = places or self._places
+        wanted_count = wanted_count or self._places
         chosen: list[Member] = []
         done = 0
         since_by_id = {}
         for one in self._in_order():
-            if len(chosen) >= places and done >= places:
+            if len(chosen) >= wanted_count and done >= wanted_count:
                 break
-            if len(chosen) >= max(places, self._most):
+            if len(chosen) >= max(wanted_count, self._most):
                 break
             since = self._relied_on_since.get(one, now)
             since_by_id[one] = since
             if self._is_silent(one, since=since, now=now):
                 continue
-            done += self._does_duty(one, since, first=len(chosen) < places)
+            done += self._does_duty(
+                one, since, first=len(chosen) < wanted_count
+            )
             chosen.append(one)
         # Those behind are trusted anew when they are needed.
         self._relied_on_since = since_by_id
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -142,7 +142,7 @@
         domains = self._reading_domains.on_duty(now=now)
         # Two domains with one each; a fleet of one domain has two there.
         places = max(1, WATCHERS + 1 - len(domains))
-        readers = self._readers.on_duty(now=now, places=places)
+        readers = self._readers.on_duty(now=now, wanted_count=places)
         if self._domain not in domains or self._entry_vm not in readers:
             self._use(store_follower.Duty.STAND_BY, readers)
         elif self._entry_vm in readers[:places]:
