--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -84,7 +84,7 @@
         *,
         duty: str,
         wanted_count: int,
-        most: int | None = None,
+        max_count: int | None = None,
         fills: Fills | None = None,
         own: Member,
         own_size: float = 1.0,
@@ -92,7 +92,7 @@
     ) -> None:
         self._duty = duty
         self._places = wanted_count
-        self._most = most or wanted_count
+        self._most = max_count or wanted_count
         self._fills = fills
         self._own = own
         self._own_size = own_size
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -98,7 +98,7 @@
         self._reading_domains = roster.Roster(
             duty="store",
             wanted_count=WATCHERS,
-            most=MOST_TRYING_DOMAINS,
+            max_count=MOST_TRYING_DOMAINS,
             fills=self._domain_reads_or_may,
             own=domain,
             others=domains,
@@ -106,7 +106,7 @@
         self._readers = roster.Roster(
             duty="store",
             wanted_count=WATCHERS,
-            most=MOST_TRYING,
+            max_count=MOST_TRYING,
             fills=self._reads_or_may,
             own=entry_vm,
             own_size=peer_table.rounded_cores(processor_cores),
