--- a/packages/router/tests/test_execution.py
+++ b/packages/router/tests/test_execution.py
@@ -33,7 +33,7 @@
         for id, answer in upstreams.items()
     ]
     await world.ready()
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     return started
 
 
@@ -445,7 +445,7 @@
     await world.declare(make_stream_route(), revision=2)
     await world.register_at("u-1", port)
     await world.ready()
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     caller = await world.caller()
     caller.send(
         "/lookups/1", method="POST", body=b"x", headers=["Connection: close"]
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -24,7 +24,7 @@
     await world.declare(make_route(public=True), revision=2)
     await world.add_upstream()
     await world.ready()
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     caller = await world.caller()
     caller.writer.write(
         b"GET /lookups/1 HTTP/1.1\r\nHost: portal.test\r\n"
@@ -83,7 +83,7 @@
     caller = await world.caller()
     assert (await caller.ask("/lookups/1")).status == 200
     await world.declare(revision=2, organisations_by_id={"x": _other()})
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     assert (await caller.ask("/lookups/1", id="r-2")).status == 401
 
 
@@ -108,7 +108,7 @@
     """
     world = await world_of()
     await world.declare()
-    await wait_for(lambda: world.router.beliefs.revision == 1)
+    await wait_for(lambda: world.router.replica.revision == 1)
     caller = await world.caller()
     caller.send("/lookups/1")
     await world.add_upstream()
@@ -127,7 +127,7 @@
         engine=declarations.Engine(slots=8, cache_tokens=100_000),
     )
     await world.declare(revision=2, pools_by_name={"portal": pool})
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     for number in range(5):
         refused = await world.ask("/lookups/1", id=f"r-{number}")
         assert refused.status == 503
--- a/packages/router/tests/test_resting_upstreams.py
+++ b/packages/router/tests/test_resting_upstreams.py
@@ -110,7 +110,7 @@
     upstream = RestingUpstream(rest=5.0)
     world = await start_one(world_of, upstream)
     await world.declare(make_route(maximum_attempts=1), revision=3)
-    await wait_for(lambda: world.router.beliefs.revision == 3)
+    await wait_for(lambda: world.router.replica.revision == 3)
     turned_away = await ask(world)
     assert turned_away.headers["lagoonrun-reason"] == "upstream-refused"
     assert 4.0 < float(turned_away.headers["retry-after"]) <= 5.5 * 2
--- a/packages/router/tests/test_router.py
+++ b/packages/router/tests/test_router.py
@@ -27,7 +27,7 @@
     world = await world_of()
     assert (await get(world.settings.readiness, "/ready")).status == 503
     await world.declare()
-    await wait_for(lambda: world.router.beliefs.revision == 1)
+    await wait_for(lambda: world.router.replica.revision == 1)
     assert (await get(world.settings.readiness, "/ready")).status == 503
     await world.add_upstream()
     await world.ready()
@@ -83,7 +83,7 @@
     await world.declare(make_stream_route(limit_seconds=20.0), revision=2)
     await world.add_upstream(stream)
     await world.ready()
-    await wait_for(lambda: world.router.beliefs.revision == 2)
+    await wait_for(lambda: world.router.replica.revision == 2)
     kept = await world.caller()
     assert (await kept.ask("/lookups/1")).status == 200
     streaming = await world.caller()
@@ -109,10 +109,10 @@
     await world.add_upstream()
     await world.ready()
     await world.declare(revision=5)
-    await wait_for(lambda: world.router.beliefs.revision == 5)
+    await wait_for(lambda: world.router.replica.revision == 5)
     await world.declare(revision=4)
     await world.add_upstream(id="later")
-    assert world.router.beliefs.revision == 5
+    assert world.router.replica.revision == 5
 
 
 async def test_declarations_that_make_no_sense_change_nothing(world):
@@ -121,7 +121,7 @@
     await world.put(world.layout.declarations_key, b"nonsense")
     await world.put("upstreams/u-9", b"nonsense")
     await world.add_upstream(id="later")
-    assert world.router.beliefs.revision == 1
+    assert world.router.replica.revision == 1
     assert (await world.ask("/lookups/1")).status == 200
 
 
@@ -154,8 +154,8 @@
     first.layout.declared_by_revision[2] = first.layout.declared_by_revision[1]
     await second.router.follower.close()
     await first.declare(revision=2)
-    await wait_for(lambda: first.router.beliefs.revision == 2)
-    await wait_for(lambda: second.router.beliefs.revision == 2)
+    await wait_for(lambda: first.router.replica.revision == 2)
+    await wait_for(lambda: second.router.replica.revision == 2)
 
 
 async def test_entry_vm_starts_by_its_peers_while_the_store_is_away(world_of):
@@ -165,7 +165,7 @@
     await first.ready()
     first.store.stop()
     second = await world_of("vm-2", seeds=(first.settings.peer,))
-    await wait_for(lambda: second.router.beliefs.revision == 1)
+    await wait_for(lambda: second.router.replica.revision == 1)
     await second.ready()
     assert (await second.ask("/lookups/1")).status == 200
 
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -488,7 +488,7 @@
     await world.declare(revision=2)
     for one in fleet:
         await wait_for(lambda one=one: one.knows("later"))
-        await wait_for(lambda one=one: one.router.beliefs.revision == 2)
+        await wait_for(lambda one=one: one.router.replica.revision == 2)
     assert len(readers(fleet)) == 2
     await world.remove("upstreams/later")
     for one in fleet:
