--- a/packages/router/tests/test_roster.py
+++ b/packages/router/tests/test_roster.py
@@ -32,7 +32,7 @@
             )
         self.roster = roster.Roster(
             duty="relay",
-            **{"places": 2, **options},
+            **{"wanted_count": 2, **options},
             own=name,
             own_size=CORES[name],
             others=self.table,
@@ -124,7 +124,7 @@
         del since, first
         return member in filled
 
-    vm = Vm("vm-0", most=4, fills=fills)
+    vm = Vm("vm-0", max_count=4, fills=fills)
     order = vm.roster.order_of(CORES)
     assert vm.on_duty(0.0) == order[:4]
     filled.add(order[0])
