--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -41,7 +41,7 @@
         """Return whether a member has said that it is about to end."""
 
 
-class Fills(Protocol):
+class PerformsTask(Protocol):
     """Whether a member does its duty, as far as others can see."""
 
     def __call__(self, member: Member, *, since: float, first: bool) -> bool:
@@ -85,7 +85,7 @@
         duty: str,
         wanted_count: int,
         max_count: int | None = None,
-        fills: Fills | None = None,
+        fills: PerformsTask | None = None,
         own: Member,
         own_size: float = 1.0,
         others: Members,
