--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -13,7 +13,7 @@
     upstreams,
 )
 from lagoonrun_router import call as calls
-from lagoonrun_router import parts as router_parts
+from lagoonrun_router import components as router_components
 
 _LOGGED_CANDIDATES = 4
 
@@ -69,8 +69,8 @@
         Shared parts of the process.
     """
 
-    def __init__(self, *, parts: router_parts.Parts) -> None:
-        self._parts = parts
+    def __init__(self, *, components: router_components.Components) -> None:
+        self._components = components
 
     def choose(
         self, call: calls.Call, *, excluded: Container[types.UpstreamId]
@@ -82,12 +82,12 @@
         excluded
             Upstreams of earlier attempts.
         """
-        now = self._parts.clock.monotonic()
-        registered = self._parts.directory.usable(call.pool.name, now=now)
+        now = self._components.clock.monotonic()
+        registered = self._components.directory.usable(call.pool.name, now=now)
         by_id = {one.id: one for one in registered if one.id not in excluded}
         if not by_id:
             return None
-        available = self._parts.notices.availability.among(
+        available = self._components.notices.availability.among(
             by_id, call.tier, now=now
         )
         if not available.open_by_id:
@@ -112,7 +112,7 @@
             )
             return best
         reread_tokens = ranking.reread_tokens(best)
-        self._parts.metrics.reread_tokens.labels(call.pool.name).inc(
+        self._components.metrics.reread_tokens.labels(call.pool.name).inc(
             reread_tokens
         )
         self._log(
@@ -135,9 +135,9 @@
         self, call: calls.Call
     ) -> tuple[availability.ClosedUpstream, ...]:
         """Return the upstreams of the pool if each takes nothing; else none."""
-        now = self._parts.clock.monotonic()
-        registered = self._parts.directory.usable(call.pool.name, now=now)
-        available = self._parts.notices.availability.among(
+        now = self._components.clock.monotonic()
+        registered = self._components.directory.usable(call.pool.name, now=now)
+        available = self._components.notices.availability.among(
             {one.id: one for one in registered}, call.tier, now=now
         )
         return () if available.open_by_id else available.closed
@@ -155,14 +155,14 @@
         wanted: set[types.UpstreamId] = set()
         if home is not None:
             wanted.update(
-                self._parts.prompt_locations.holders(home.id, now=now)
+                self._components.prompt_locations.holders(home.id, now=now)
             )
             if not self._shared_lately(call):
                 wanted.add(_pool_of(usable).reader_of(home.id))
         return considered.choose(
             usable,
             request_id=call.request_id,
-            domain=self._parts.domain,
+            domain=self._components.domain,
             wanted=wanted,
         )
 
@@ -210,10 +210,10 @@
             tier=call.tier,
             tiers=call.pool_tiers,
             patience_seconds=call.patience_seconds,
-            higher_turned_away=self._parts.pressed.higher_tier_pressed(
+            higher_turned_away=self._components.pressed.higher_tier_pressed(
                 call.pool.name, call.tier, now=now
             ),
-            floor_due=self._parts.admission_floor.is_due(profile, now=now),
+            floor_due=self._components.admission_floor.is_due(profile, now=now),
         )
         return admission.admit(standing, ranked)
 
@@ -223,7 +223,7 @@
         upstream: upstreams.Registration,
         now: float,
     ) -> placement.Candidate:
-        parts = self._parts
+        components = self._components
         home = call.affinity_part
         return placement.Candidate(
             upstream=upstream.id,
@@ -232,20 +232,24 @@
             if call.pool.engine
             else 0.0,
             has_shared=home is not None
-            and parts.prompt_locations.has(home.id, upstream.id, now=now),
-            same_domain=upstream.domain == parts.domain,
-            load=parts.ledger.load_of(upstream.id, now=now),
-            recent_prefill=parts.ledger.recent_prefill(upstream.id, now=now),
-            failures=parts.ledger.failures(upstream.id, now=now),
-            silent_domain=parts.domains.is_silent(upstream.domain, now=now),
+            and components.prompt_locations.has(home.id, upstream.id, now=now),
+            same_domain=upstream.domain == components.domain,
+            load=components.ledger.load_of(upstream.id, now=now),
+            recent_prefill=components.ledger.recent_prefill(
+                upstream.id, now=now
+            ),
+            failures=components.ledger.failures(upstream.id, now=now),
+            silent_domain=components.domains.is_silent(
+                upstream.domain, now=now
+            ),
         )
 
     def _shared_lately(self, call: calls.Call) -> bool:
         home = call.affinity_part
         if home is None:
             return False
-        now = self._parts.clock.monotonic()
-        return self._parts.prompt_locations.used_lately(home.id, now=now)
+        now = self._components.clock.monotonic()
+        return self._components.prompt_locations.used_lately(home.id, now=now)
 
     def _log(
         self,
--- a/packages/router/src/lagoonrun_router/parts.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Parts:
+class Components:
     """Shared parts of one router process.
 
     Parameters
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -21,7 +21,7 @@
     stream_relay,
 )
 from lagoonrun_router import call as calls
-from lagoonrun_router import parts as router_parts
+from lagoonrun_router import components as router_components
 
 _MOST_PLACES_ASKED = 4
 """Upstreams with a limit that a request asks for a place, each for a few milliseconds,
@@ -56,14 +56,14 @@
         *,
         call: calls.Call,
         exchange: exchanges.Exchange,
-        parts: router_parts.Parts,
+        components: router_components.Components,
     ) -> None:
         self._call = call
         self._exchange = exchange
-        self._parts = parts
-        self._chooser = choosing.Chooser(parts=parts)
+        self._components = components
+        self._chooser = choosing.Chooser(components=components)
         self._relay = stream_relay.StreamRelay(
-            call=call, exchange=exchange, clock=parts.clock
+            call=call, exchange=exchange, clock=components.clock
         )
         self._tried: set[types.UpstreamId] = set()
         self._sends = retrying.SendCounts()
@@ -91,7 +91,7 @@
 
     async def run(self) -> outcomes.Ending:
         """Return how the request ended; the caller has its answer."""
-        left = self._call.limit_at - self._parts.clock.monotonic()
+        left = self._call.limit_at - self._components.clock.monotonic()
         try:
             async with asyncio.timeout(max(0.0, left)):
                 return await self._attempts()
@@ -106,7 +106,7 @@
         while True:
             # Before each send, also of a request that was sent before: what is
             # known of it may have grown meanwhile.
-            block = self._parts.crashing.block_of(self._call.digest)
+            block = self._components.crashing.block_of(self._call.digest)
             if block is not None:
                 return await self._refuse_blocked(block)
             choice = await self._choose()
@@ -129,9 +129,9 @@
             choice = self._choose_among_all()
             if not isinstance(choice, choosing.Choice):
                 return choice
-            if not self._parts.notices.places.is_limited(choice.upstream):
+            if not self._components.notices.places.is_limited(choice.upstream):
                 return choice
-            place = await self._parts.notices.places.acquire(
+            place = await self._components.notices.places.acquire(
                 choice.upstream,
                 self._call.tier,
                 request_id=self._call.request_id,
@@ -178,7 +178,7 @@
     ) -> float:
         """Return when to come back to upstreams that take nothing now."""
         return answers.spread_retry_seconds(
-            self._parts.rng, wait_seconds=closed[0].wait_seconds
+            self._components.rng, wait_seconds=closed[0].wait_seconds
         )
 
     async def _refuse(
@@ -206,7 +206,8 @@
         return await self._end_refused(
             reason=outcomes.Reason.CRASHED_UPSTREAMS,
             detail=f"{len(block.crashes)} upstreams ended while they ran it",
-            retry_after_seconds=block.until - self._parts.clock.monotonic(),
+            retry_after_seconds=block.until
+            - self._components.clock.monotonic(),
             crashes=block.crashes,
         )
 
@@ -250,10 +251,10 @@
     def _note_pressure(self) -> None:
         """Tell lower tiers of the pool to stand back."""
         if self._call.pool.engine is not None:
-            self._parts.pressed.record_rejection(
+            self._components.pressed.record_rejection(
                 self._call.pool.name,
                 self._call.tier,
-                now=self._parts.clock.monotonic(),
+                now=self._components.clock.monotonic(),
             )
 
     def note_caller_left(self) -> None:
@@ -262,7 +263,7 @@
         One that has waited for half of its patience in vain left because of
         the wait.
         """
-        waited = self._parts.clock.monotonic() - self._call.arrived_at
+        waited = self._components.clock.monotonic() - self._call.arrived_at
         if waited >= self._call.patience_seconds / 2:
             self._note_failed_in_overload()
 
@@ -281,15 +282,15 @@
         self, lost: attempt_result.Lost
     ) -> outcomes.Ending | None:
         """Return the end of the request, or None to send it once more."""
-        now = self._parts.clock.monotonic()
+        now = self._components.clock.monotonic()
         self._note_loss(lost, now)
         verdict = retrying.decide(self._call, lost, self._sends, now=now)
         pool = self._call.pool.name
         if verdict is retrying.RetryDecision.PAID:
-            if self._parts.budget.spend(pool, now=now):
-                self._parts.metrics.repeats.labels(pool).inc()
+            if self._components.budget.spend(pool, now=now):
+                self._components.metrics.repeats.labels(pool).inc()
             else:
-                self._parts.metrics.denied_repeats.labels(pool).inc()
+                self._components.metrics.denied_repeats.labels(pool).inc()
                 verdict = retrying.RetryDecision.END
         if verdict is retrying.RetryDecision.END:
             if lost.reason is outcomes.Reason.UPSTREAM_REFUSED:
@@ -301,7 +302,7 @@
             verdict=verdict.value,
             reached=self._sends.reached,
             unreached=self._sends.unreached,
-            budget_left=round(self._parts.budget.left(pool, now=now), 1),
+            budget_left=round(self._components.budget.left(pool, now=now), 1),
             resume_after=self._relay.resume_after,
         )
         return None
@@ -313,12 +314,12 @@
         if lost.ran is not outcomes.Outcome.NOT_RUN:
             self._earlier_may_have_run = True
         if lost.misdirected:
-            self._parts.directory.mark_gone(lost.upstream, source="answer")
+            self._components.directory.mark_gone(lost.upstream, source="answer")
         else:
-            self._parts.ledger.add_failure(
+            self._components.ledger.add_failure(
                 lost.upstream, now=now, unreached=not lost.sent
             )
-        self._parts.metrics.lost_attempts.labels(
+        self._components.metrics.lost_attempts.labels(
             self._call.pool.name, lost.reason.value
         ).inc()
         logs.emit(
@@ -332,9 +333,9 @@
         )
 
     async def _attempt(self, choice: choosing.Choice) -> attempt_result.Result:
-        parts = self._parts
-        now = self._sent_at = parts.clock.monotonic()
-        parts.admission_floor.record_admission(
+        components = self._components
+        now = self._sent_at = components.clock.monotonic()
+        components.admission_floor.record_admission(
             self._call.route.profile.name, now=now
         )
         work = loads.InFlightRequest(
@@ -346,14 +347,14 @@
                 now=now, expected_seconds=choice.wait_seconds
             ),
         )
-        parts.ledger.begin(work, now=now)
+        components.ledger.begin(work, now=now)
         self._foreseen_wait_seconds = choice.wait_seconds
-        parts.metrics.new_tokens.labels(self._call.pool.name).inc(
+        components.metrics.new_tokens.labels(self._call.pool.name).inc(
             choice.new_tokens
         )
         home = self._call.affinity_part
         if home is not None:
-            parts.prompt_locations.record_placement(
+            components.prompt_locations.record_placement(
                 home.id, choice.upstream.id, now=now
             )
         self._sending = sending.Sending(
@@ -363,15 +364,15 @@
             choice=choice,
             work=work,
             last=not self._may_repeat_elsewhere(),
-            parts=parts,
+            components=components,
         )
         try:
             result = await self._sending.run()
         finally:
-            parts.ledger.end(work)
+            components.ledger.end(work)
             self._pause_waiting_tokens = self._sending.pause_waiting_tokens
         if isinstance(result, attempt_result.Delivered):
-            self._whole_at = parts.clock.monotonic()
+            self._whole_at = components.clock.monotonic()
         return result
 
     def _may_repeat_elsewhere(self) -> bool:
@@ -383,7 +384,7 @@
 
     async def _end_lost(self, lost: attempt_result.Lost) -> outcomes.Ending:
         if lost.answer is not None and not self._exchange.started:
-            self._whole_at = self._parts.clock.monotonic()
+            self._whole_at = self._components.clock.monotonic()
             return await answers.pass_on(
                 self._exchange, lost.answer, upstream=lost.upstream
             )
@@ -447,13 +448,13 @@
                 detail=detail,
                 upstream=upstream,
             )
-        left = self._call.limit_at - self._parts.clock.monotonic()
+        left = self._call.limit_at - self._components.clock.monotonic()
         return outcomes.Ending(
             outcome=outcomes.Outcome.NOT_RUN,
             reason=reason,
             detail=detail,
             upstream=upstream,
             retry_after_seconds=answers.retry_after_seconds(
-                self._parts.rng, left_seconds=left
+                self._components.rng, left_seconds=left
             ),
         )
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -18,7 +18,7 @@
     urgency,
 )
 from lagoonrun_router import call as calls
-from lagoonrun_router import parts as router_parts
+from lagoonrun_router import components as router_components
 
 _UNCONFIGURED_WAIT_SECONDS = 0.4
 """How long a request waits for the first declarations and upstreams, below the
@@ -69,8 +69,8 @@
         Shared parts of the process.
     """
 
-    def __init__(self, *, parts: router_parts.Parts) -> None:
-        self._parts = parts
+    def __init__(self, *, components: router_components.Components) -> None:
+        self._components = components
         self._table: route_table.RouteTable | None = None
         self._upstreams_known = False
         self._configured = asyncio.Event()
@@ -91,9 +91,9 @@
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
         """Answer one request; never raises for what a caller does."""
-        arrived_at = self._parts.clock.monotonic()
+        arrived_at = self._components.clock.monotonic()
         try:
-            features = self._parts.dialect.read_attributes(exchange.head)
+            features = self._components.dialect.read_attributes(exchange.head)
         except format_error.FormatError as error:
             await self._reject(exchange, _Fault.MALFORMED, error.detail)
             return
@@ -154,10 +154,10 @@
     async def _serve(
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
-        now = self._parts.clock.monotonic()
-        self._parts.budget.record_request(call.pool.name, now=now)
+        now = self._components.clock.monotonic()
+        self._components.budget.record_request(call.pool.name, now=now)
         run = execution.CallExecution(
-            call=call, exchange=exchange, parts=self._parts
+            call=call, exchange=exchange, components=self._components
         )
         work = asyncio.create_task(run.run())
         left = asyncio.create_task(exchange.caller_left.wait())
@@ -185,11 +185,11 @@
         run: execution.CallExecution,
         ending: outcomes.Ending,
     ) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._components.clock.monotonic()
         first_seconds = None
         if run.first_answer_at is not None:
             first_seconds = run.first_answer_at - call.arrived_at
-        self._parts.metrics.count_ending(
+        self._components.metrics.count_ending(
             call,
             ending,
             first_seconds=first_seconds,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -17,6 +17,7 @@
 from lagoonrun_platform import store_eras
 from lagoonrun_router import (
     admission_floor,
+    components,
     crash_guard,
     declarations,
     dialect,
@@ -27,7 +28,6 @@
     ingress,
     load_ledger,
     metrics,
-    parts,
     peer_exchange,
     peer_table,
     pressure,
@@ -241,7 +241,7 @@
         configured = self._settings
         self._client = edges.upstream_client(clock=self._clock)
         self._ingress = ingress.Ingress(
-            parts=parts.Parts(
+            components=components.Components(
                 domain=configured.domain,
                 dialect=dialect,
                 directory=self.directory,
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -15,7 +15,7 @@
     stream_relay,
 )
 from lagoonrun_router import call as calls
-from lagoonrun_router import parts as router_parts
+from lagoonrun_router import components as router_components
 
 _LARGEST_HELD_ANSWER_BYTES = 4 * 1024 * 1024
 """Largest answer of a plain service. It is held until it is whole, so that a
@@ -71,7 +71,7 @@
         choice: choosing.Choice,
         work: loads.InFlightRequest,
         last: bool,
-        parts: router_parts.Parts,
+        components: router_components.Components,
     ) -> None:
         self._call = call
         self._exchange = exchange
@@ -79,7 +79,7 @@
         self._choice = choice
         self._work = work
         self._last = last
-        self._parts = parts
+        self._components = components
         self.may_have_run = False
         self._written_at = choice.decided_at
         self.pause_waiting_tokens = 0
@@ -94,14 +94,14 @@
             return result
         finally:
             if self._run is not None:
-                self._parts.crashes.end(
+                self._components.crashes.end(
                     self._run, result, self._choice.upstream
                 )
 
     async def _exchange_once(self) -> attempt_result.Result:
         upstream = self._choice.upstream
-        now = self._parts.clock.monotonic()
-        head = self._parts.dialect.upstream_head(
+        now = self._components.clock.monotonic()
+        head = self._components.dialect.upstream_head(
             self._call,
             upstream=upstream,
             remaining_seconds=self._call.limit_at - now,
@@ -112,7 +112,7 @@
         )
         try:
             async with asyncio.timeout(self._head_seconds()):
-                response = await self._parts.client.send(
+                response = await self._components.client.send(
                     http_upstream.UpstreamRequest(
                         head=head,
                         body=self._call.body,
@@ -120,7 +120,7 @@
                     ),
                     address=upstream.host,
                     port=upstream.port,
-                    fresh=self._parts.domains.may_have_dead_connections(
+                    fresh=self._components.domains.may_have_dead_connections(
                         upstream.domain, now=now
                     ),
                     may_write=self._may_write,
@@ -142,22 +142,22 @@
 
     def _take_notice(self, head: http_messages.ResponseHead) -> None:
         """Take in what the upstream says of itself, whatever it answers."""
-        dialect = self._parts.dialect
+        dialect = self._components.dialect
         if dialect.is_misdirected(head):
             return
-        self._parts.notices.apply_answer(
+        self._components.notices.apply_answer(
             self._choice.upstream,
             dialect.read_notice(head),
             sent_at=self._written_at,
         )
 
     def _may_write(self) -> bool:
-        now = self._parts.clock.monotonic()
+        now = self._components.clock.monotonic()
         choice = self._choice
         if now - choice.decided_at > _OLDEST_CHOICE_SECONDS:
             return False
-        may = self._parts.directory.may_send(choice.upstream.id, now=now)
-        may = may and self._parts.notices.may_write(
+        may = self._components.directory.may_send(choice.upstream.id, now=now)
+        may = may and self._components.notices.may_write(
             choice.upstream, has_place=choice.has_place, now=now
         )
         # From here on the request may run; a limit that passes meanwhile
@@ -165,7 +165,7 @@
         self.may_have_run = may
         if may:
             self._written_at = now
-            self._run = self._parts.crashes.begin(
+            self._run = self._components.crashes.begin(
                 self._call.digest,
                 route=self._call.route.name,
                 upstream=choice.upstream,
@@ -190,7 +190,7 @@
         upstream: types.UpstreamId,
     ) -> attempt_result.Result:
         head = response.head
-        dialect = self._parts.dialect
+        dialect = self._components.dialect
         if dialect.is_misdirected(head) or dialect.says_not_run(head):
             return await self._not_run(response, upstream)
         if head.status < _REJECTED_LOW and not dialect.is_genuine(head):
@@ -212,7 +212,7 @@
         if self._run is not None:
             self._run.silent = False
         if self._work.waiting:
-            self._parts.ledger.first_event(self._work)
+            self._components.ledger.first_event(self._work)
             self._note_begun()
         if pause is not None:
             self._note_pause(pause)
@@ -220,8 +220,8 @@
     def _note_begun(self) -> None:
         """Count the request as one that an upstream has begun to run."""
         organisation = self._call.organisation
-        if self._parts.usage is not None and organisation is not None:
-            self._parts.usage.record_started(organisation.id)
+        if self._components.usage is not None and organisation is not None:
+            self._components.usage.record_started(organisation.id)
 
     def _note_pause(self, pause: float) -> None:
         if pause <= self._longest_pause_seconds:
@@ -229,8 +229,8 @@
         self._longest_pause_seconds = pause
         limit = self._call.route.longest_pause_seconds
         if limit is not None and pause > limit:
-            now = self._parts.clock.monotonic()
-            load = self._parts.ledger.load_of(self._work.upstream, now=now)
+            now = self._components.clock.monotonic()
+            load = self._components.ledger.load_of(self._work.upstream, now=now)
             self.pause_waiting_tokens = round(load.waiting_tokens)
 
     async def _not_run(
@@ -245,7 +245,7 @@
             reason=outcomes.Reason.UPSTREAM_REFUSED,
             detail=f"the upstream answered {response.head.status}: not run",
             upstream=upstream,
-            misdirected=self._parts.dialect.is_misdirected(response.head),
+            misdirected=self._components.dialect.is_misdirected(response.head),
         )
 
     async def _take_whole(
