--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -210,7 +210,7 @@
             tier=call.tier,
             tiers=call.pool_tiers,
             patience_seconds=call.patience_seconds,
-            higher_turned_away=self._components.pressed.higher_tier_pressed(
+            higher_turned_away=self._components.pressure.higher_tier_pressed(
                 call.pool.name, call.tier, now=now
             ),
             floor_due=self._components.admission_floor.is_due(profile, now=now),
--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -46,7 +46,7 @@
     ledger: load_ledger.LoadLedger
     peers: peer_table.PeerTable
     admission_floor: admission_floor.AdmissionFloor
-    pressed: pressure.Pressure
+    pressure: pressure.Pressure
     prompt_locations: prompt_locations.PromptLocations
     domains: reach.DomainReach
     budget: retry_budget.RetryBudget
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -251,7 +251,7 @@
     def _note_pressure(self) -> None:
         """Tell lower tiers of the pool to stand back."""
         if self._call.pool.engine is not None:
-            self._components.pressed.record_rejection(
+            self._components.pressure.record_rejection(
                 self._call.pool.name,
                 self._call.tier,
                 now=self._components.clock.monotonic(),
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -248,7 +248,7 @@
                 ledger=self._ledger,
                 peers=self._table,
                 admission_floor=self._let_in,
-                pressed=self._pressed,
+                pressure=self._pressed,
                 prompt_locations=self._prompt_locations,
                 domains=self._domains,
                 budget=self._budget,
