--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -54,7 +54,7 @@
     clock: clocks.Clock
     rng: random.Random
     metrics: metrics.RouterMetrics
-    crashes: crash_watch.CrashWatch
+    crash_watch: crash_watch.CrashWatch
     crashing: crashing_requests.CrashingRequests
     notices: upstream_notices.UpstreamNotices
     usage: usage_exchange.UsageExchange | None = None
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -256,7 +256,7 @@
                 clock=self._clock,
                 rng=self._rng,
                 metrics=self.metrics,
-                crashes=self._crash_guard.watch,
+                crash_watch=self._crash_guard.watch,
                 crashing=self.crashing,
                 notices=self.exchange.notices,
                 usage=self._usage,
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -94,7 +94,7 @@
             return result
         finally:
             if self._run is not None:
-                self._components.crashes.end(
+                self._components.crash_watch.end(
                     self._run, result, self._choice.upstream
                 )
 
@@ -165,7 +165,7 @@
         self.may_have_run = may
         if may:
             self._written_at = now
-            self._run = self._components.crashes.begin(
+            self._run = self._components.crash_watch.begin(
                 self._call.digest,
                 route=self._call.route.name,
                 upstream=choice.upstream,
