--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -55,6 +55,6 @@
     rng: random.Random
     metrics: metrics.RouterMetrics
     crash_watch: crash_watch.CrashWatch
-    crashing: crashing_requests.CrashingRequests
+    crashing_requests: crashing_requests.CrashingRequests
     notices: upstream_notices.UpstreamNotices
     usage: usage_exchange.UsageExchange | None = None
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -106,7 +106,9 @@
         while True:
             # Before each send, also of a request that was sent before: what is
             # known of it may have grown meanwhile.
-            block = self._components.crashing.block_of(self._call.digest)
+            block = self._components.crashing_requests.block_of(
+                self._call.digest
+            )
             if block is not None:
                 return await self._refuse_blocked(block)
             choice = await self._choose()
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -257,7 +257,7 @@
                 rng=self._rng,
                 metrics=self.metrics,
                 crash_watch=self._crash_guard.watch,
-                crashing=self.crashing,
+                crashing_requests=self.crashing,
                 notices=self.exchange.notices,
                 usage=self._usage,
             )
