--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -49,7 +49,7 @@
     pressure: pressure.Pressure
     prompt_locations: prompt_locations.PromptLocations
     domains: reach.DomainReach
-    budget: retry_budget.RetryBudget
+    retry_budget: retry_budget.RetryBudget
     client: http_upstream.UpstreamClient
     clock: clocks.Clock
     rng: random.Random
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -289,7 +289,7 @@
         verdict = retrying.decide(self._call, lost, self._sends, now=now)
         pool = self._call.pool.name
         if verdict is retrying.RetryDecision.PAID:
-            if self._components.budget.spend(pool, now=now):
+            if self._components.retry_budget.spend(pool, now=now):
                 self._components.metrics.repeats.labels(pool).inc()
             else:
                 self._components.metrics.denied_repeats.labels(pool).inc()
@@ -304,7 +304,9 @@
             verdict=verdict.value,
             reached=self._sends.reached,
             unreached=self._sends.unreached,
-            budget_left=round(self._components.budget.left(pool, now=now), 1),
+            budget_left=round(
+                self._components.retry_budget.left(pool, now=now), 1
+            ),
             resume_after=self._relay.resume_after,
         )
         return None
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -155,7 +155,7 @@
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
         now = self._components.clock.monotonic()
-        self._components.budget.record_request(call.pool.name, now=now)
+        self._components.retry_budget.record_request(call.pool.name, now=now)
         run = execution.CallExecution(
             call=call, exchange=exchange, components=self._components
         )
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -251,7 +251,7 @@
                 pressure=self._pressed,
                 prompt_locations=self._prompt_locations,
                 domains=self._domains,
-                budget=self._budget,
+                retry_budget=self._budget,
                 client=self._client,
                 clock=self._clock,
                 rng=self._rng,
