--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Components:
-    """Shared parts of one router process.
+    """Shared components of one router process.
 
     Parameters
     ----------
-    crashes
+    crash_watch
         Follows what runs at the upstreams.
-    crashing
+    crashing_requests
         Requests that end upstreams.
     notices
         What upstreams say of themselves, and what follows from it.
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -47,8 +47,8 @@
         The resolved call.
     exchange
         Where its answer goes.
-    parts
-        Shared parts of the process.
+    components
+        Shared components of the process.
     """
 
     def __init__(
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -65,8 +65,8 @@
 
     Parameters
     ----------
-    parts
-        Shared parts of the process.
+    components
+        Shared components of the process.
     """
 
     def __init__(self, *, components: router_components.Components) -> None:
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/sending.py
@@ -50,8 +50,8 @@
         What the ledger counts for it.
     last
         Whether no other upstream may have the request after this one.
-    parts
-        Shared parts of the process.
+    components
+        Shared components of the process.
 
     Attributes
     ----------
