--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_store_duty.py
@@ -225,7 +225,7 @@
     vm.before = (before + [n for n in OTHER_DOMAINS if n not in before])[:2]
     vm.duty._reading_domains._hash = (*vm.before, "north").index
     for domain in vm.before:
-        vm.domains.hear(domain, now=vm.clock.monotonic())
+        vm.domains.record_contact(domain, now=vm.clock.monotonic())
         vm.domains.note_reading(domain, True)
     return vm
 
@@ -235,7 +235,7 @@
     for _ in range(20):
         clock.advance(0.25)
         for domain in first.before:
-            first.domains.hear(domain, now=clock.monotonic())
+            first.domains.record_contact(domain, now=clock.monotonic())
         assert first.look() is Duty.STAND_BY
 
 
@@ -250,13 +250,13 @@
     first.domains.note_reading(first.before[0], False)
     clock.advance(store_duty.CATCH_UP_SECONDS)
     for domain in first.before:
-        first.domains.hear(domain, now=clock.monotonic())
+        first.domains.record_contact(domain, now=clock.monotonic())
     assert first.look() is Duty.FOR_OTHERS
 
 
 def test_fleet_of_two_domains_has_one_reader_in_each(vms):
     for vm in vms:
-        vm.domains.hear("south", now=vm.clock.monotonic())
+        vm.domains.record_contact("south", now=vm.clock.monotonic())
         vm.domains.note_reading("south", True)
     assert duties(vms) == [Duty.FOR_OTHERS] + [Duty.STAND_BY] * 13
 
