--- a/packages/duties/src/lagoonrun_duties/__init__.py
+++ b/packages/duties/src/lagoonrun_duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one entry VM at a time does for all: usage reports and runner orders."""
+"""Tasks of one entry VM for the fleet: usage reports and runner orders."""
--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -1,10 +1,13 @@
-"""Seek the tenure when it is this entry VM's turn, and do the duties while it lasts.
+"""Acquire the lease of the duties when due, and perform them while it lasts.
 
-The store alone says who holds the duties: whoever has its key under a lease. What
-entry VMs tell each other only says who is to try: the relays, since they hear of
-the whole fleet, in an order that all compute; and that nobody needs to try while a
-holder is heard of. So a holder costs the store one renewal a second or so, and all
-others cost nothing.
+A duty is a task that exactly one entry VM, the lease holder, performs for the
+whole fleet. Its tenure is one uninterrupted period of holding the lease.
+
+Only the store decides who holds the duties: whoever has written the holder's
+key under a lease. Messages between entry VMs only decide who tries: the relays,
+since they receive the state of the whole fleet, in an order that all of them
+compute; and nobody while a holder is reported. So a holder costs the store
+about one renewal a second, and all other entry VMs cost it nothing.
 """
 
 import asyncio
@@ -28,36 +31,41 @@
 from lagoonrun_platform import store_eras
 
 DUTY = types.DutyName("lagoonrun/duties")
-"""One tenure for all duties: one lease to renew, and one entry VM that hears all."""
+"""One tenure for all duties: one lease to renew, and one entry VM that receives
+all counts."""
 
 LEASE_SECONDS = 4.0
-"""Time without a holder after one is lost. Shorter ones end when the store is slow
-for a second; a longer one costs windows of usage, and orders that come too late."""
+"""Time without a holder after one is lost. A shorter lease expires when the
+store is slow for a second; a longer one loses windows of usage and delays
+orders too much."""
 
 MARGIN_SECONDS = 0.5
-"""Taken off the end of the lease, for clocks of different rates."""
+"""Subtracted from the end of the lease, for clocks that run at different
+rates."""
 
-_LONGEST_PAUSE_SECONDS = 1.0
-"""Longest pause between two tries while the store does not answer: a few entry VMs
-try, and what is due waits."""
+_MAX_PAUSE_SECONDS = 1.0
+"""Longest pause between two attempts while the store does not answer. Only a
+few entry VMs try, and due work waits for them."""
 
 _RENEWALS_PER_KEY_CHECK = 6
-"""A key that somebody deletes by hand is noticed within eight seconds."""
+"""The deletion of a key by hand is detected within eight seconds."""
 
 _STEP_SECONDS = 0.25
-"""Time between two looks for something to do: a sixteenth of a boot time."""
+"""Interval between two checks for due work: a sixteenth of a runner's boot
+time."""
 
 _FIRST_WAIT_SECONDS = 0.3
 _RANK_WAIT_SECONDS = 0.8
-"""Waits until the first in the order tries, and longer for each one behind it: a
-try takes some 0.02 s, and a holder is heard of within half a second."""
+"""Wait before the first candidate tries, and the additional wait for each rank
+behind it. An attempt takes about 0.02 s, and a new holder is reported within
+half a second."""
 
-_LAST_STEP_SECONDS = 1.5
-"""Time that a planned stop leaves a call under way to end."""
+_STOP_TIMEOUT_SECONDS = 1.5
+"""Time that a planned stop allows a call in progress to finish."""
 
 
 class Duties:
-    """What this entry VM does for all, if it is the one.
+    """The duties, performed by this entry VM while it holds their lease.
 
     Parameters
     ----------
@@ -66,20 +74,20 @@
     entry_vm
         This entry VM.
     store, platform
-        Where the tenure is kept, and who receives the calls.
+        Where the lease is kept, and what receives the calls.
     exchange
-        Counts of usage, and who is heard to hold the duties.
+        Usage counts, and the reported holder of the duties.
     rank
-        Returns the place of this entry VM among those that are to try; None
-        where it is not.
+        Returns the position of this entry VM among the candidates; None where
+        it is not one.
     is_complete
-        Whether every failure domain was heard lately.
+        Whether every failure domain has reported recently.
     views
         Returns the pools that may be scaled.
     eras
         Eras of the store; None where it is never restored.
     time, clock, rng, sleep
-        Sources of time and of choices.
+        Wall-clock time, monotonic time, random numbers and sleep.
     """
 
     def __init__(
@@ -111,16 +119,16 @@
             order_timeout_seconds=platform_calls.CALL_SECONDS,
             ttl_seconds=LEASE_SECONDS,
             margin_seconds=MARGIN_SECONDS,
-            longest_pause_seconds=_LONGEST_PAUSE_SECONDS,
+            longest_pause_seconds=_MAX_PAUSE_SECONDS,
             reacquire_delay_seconds=configured.reacquire_delay_seconds,
             renewals_per_key_check=_RENEWALS_PER_KEY_CHECK,
             eras=eras,
             sleep=sleep,
         )
-        self._seeks = False
+        self._is_campaigning = False
         self._vacant_since = clock.monotonic()
         self._stopping = False
-        self._stepping = asyncio.Lock()
+        self._step_lock = asyncio.Lock()
         self._reporter = usage_reporter.UsageReporter(
             configured=configured,
             store=store,
@@ -147,24 +155,24 @@
 
     @property
     def usage_report_age(self) -> float | None:
-        """Time since the platform took a report of this entry VM; None for never."""
+        """Age of the last report that the platform accepted, or None."""
         return self._reporter.report_age()
 
     async def start(self) -> None:
-        """Begin to look whether it is this entry VM's turn."""
+        """Start to check regularly whether it is this entry VM's turn."""
         self._task.start()
 
     async def stop(self) -> None:
-        """Give the tenure up, for a planned stop: a successor begins at once.
+        """Release the lease for a planned stop: a successor starts at once.
 
-        Clean only where no call is under way that could arrive in the time of
-        the successor.
+        The release is clean only if no call is in progress that could arrive
+        during the successor's tenure.
         """
         self._stopping = True
         clean = True
         try:
-            async with asyncio.timeout(_LAST_STEP_SECONDS):
-                async with self._stepping:
+            async with asyncio.timeout(_STOP_TIMEOUT_SECONDS):
+                async with self._step_lock:
                     pass
         except TimeoutError:
             clean = False
@@ -173,7 +181,7 @@
         await self._leadership.close(clean=clean)
 
     async def close(self) -> None:
-        """End at once; the lease runs out by itself."""
+        """Stop at once and leave the lease to expire."""
         await self._task.close()
         await self._leadership.close(clean=False)
 
@@ -183,13 +191,13 @@
             await ticks.sleep_to_tick(_STEP_SECONDS)
 
     async def step(self) -> None:
-        """Do what is due now, if it is this entry VM that does it."""
-        async with self._stepping:
+        """Perform the work that is due now, if this VM holds the lease."""
+        async with self._step_lock:
             if not self._stopping:
-                await self._do_what_is_due()
+                await self._perform_due_work()
 
-    async def _do_what_is_due(self) -> None:
-        await self._seek()
+    async def _perform_due_work(self) -> None:
+        await self._update_campaign()
         tenure = self._leadership.tenure
         self._exchange.is_holder = tenure is not None
         if tenure is None or self._clock.monotonic() < tenure.first_order_at:
@@ -199,30 +207,33 @@
         if self._reports_usage:
             await self._reporter.step(tenure)
 
-    async def _seek(self) -> None:
-        """Try for the tenure while it is this entry VM's turn, and only then."""
+    async def _update_campaign(self) -> None:
+        """Try to acquire the lease only while it is this VM's turn."""
         if self._leadership.tenure is not None:
             return
         now = self._clock.monotonic()
-        if self._is_turn(now) is self._seeks:
+        if self._is_turn(now) is self._is_campaigning:
             return
-        self._seeks = not self._seeks
-        if self._seeks:
+        self._is_campaigning = not self._is_campaigning
+        if self._is_campaigning:
             await self._leadership.start()
         else:
             await self._leadership.close(clean=False)
 
     def _is_turn(self, now: float) -> bool:
-        """Return whether nobody holds the duties and no one before tries."""
+        """Return whether nobody holds the duties and lower ranks had time."""
         rank = self._rank(now)
-        heard_at = self._exchange.holder_heard_at
-        if rank is None or now - heard_at < usage_exchange.HOLDER_SECONDS:
+        reported_at = self._exchange.holder_reported_at
+        if (
+            rank is None
+            or now - reported_at < usage_exchange.HOLDER_TIMEOUT_SECONDS
+        ):
             self._vacant_since = now
             return False
         wait = _FIRST_WAIT_SECONDS + rank * _RANK_WAIT_SECONDS
         return now - self._vacant_since >= wait
 
     def _may_call(self, tenure: tenures.Tenure) -> bool:
-        """Return whether a call that is begun now ends within the tenure."""
+        """Return whether a call started now would end within the tenure."""
         remaining = self._leadership.remaining_seconds(tenure)
         return remaining > platform_calls.CALL_SECONDS
--- a/packages/duties/src/lagoonrun_duties/platform_calls.py
+++ b/packages/duties/src/lagoonrun_duties/platform_calls.py
@@ -1,8 +1,8 @@
 """Calls to the platform that only the holder of a duty makes, as a `Protocol`.
 
-The platform checks nothing that would keep a second holder out, and answers
-nothing that could be read back; so whoever calls has to know that it is the only
-one, and what was said before.
+The platform does not reject calls of a second holder, and offers no way to read
+back what was sent. So the caller must know that it is the only one, and what
+was sent before.
 """
 
 import dataclasses
@@ -14,38 +14,39 @@
 from lagoonrun_core import types
 
 UsageWindow = NewType("UsageWindow", int)
-"""Number of a window of true time, counted from the Unix epoch."""
+"""Number of a window of wall-clock time, counted from the Unix epoch."""
 
 
 class Duty(enum.Enum):
-    """A kind of call that only one entry VM makes at a time."""
+    """A kind of call that only one entry VM at a time may make."""
 
     USAGE = "usage"
     RUNNERS = "runners"
 
 
 class RunnerKind(enum.Enum):
-    """How a runner is paid for."""
+    """How a runner is billed."""
 
     LASTING = "lasting"
     RECLAIMABLE = "reclaimable"
-    """Cheap, and may be taken away at any time, all of a domain at once."""
+    """Cheap (spot), but the platform may reclaim all of a domain at once, at
+    any time."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DutySettings:
-    """What a process is told about the duties of its deployment.
+    """Settings of the duties of a deployment.
 
     Parameters
     ----------
     duties
-        Those that the platform asks for.
+        Those that the platform requests.
     window_seconds
         Length of a window of usage.
     report_deadline_seconds
         Time after the end of a window until its report is due.
     reacquire_delay_seconds
-        Time within which two holders must not take turns.
+        Time within which two holders must not alternate.
     """
 
     duties: frozenset[Duty]
@@ -54,13 +55,13 @@
     reacquire_delay_seconds: float
 
     def window_at(self, at: float) -> UsageWindow:
-        """Return the window of an instant of true time."""
+        """Return the window that contains a Unix time."""
         return UsageWindow(math.floor(at / self.window_seconds))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UsageReport:
-    """Requests that began to run in one window, by organisation."""
+    """Number of requests that started to run in a window, by organisation."""
 
     window: UsageWindow
     count_by_organisation: Mapping[types.OrganisationId, int]
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RunnerOrder:
-    """How many runners of one kind a pool is to have in a failure domain."""
+    """Desired number of runners of one kind of a pool in a failure domain."""
 
     pool: types.PoolName
     domain: types.FailureDomain
@@ -78,24 +79,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Accepted:
-    """The platform has taken the call."""
+    """The platform accepted the call."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoneAvailable:
-    """The platform has no more runners of this kind there at the moment."""
+    """The platform has no more runners of this kind in this domain for now."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The platform did not take the call, and nothing came of it."""
+    """The platform rejected the call, which had no effect."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unanswered:
-    """Nobody knows whether the platform took the call."""
+    """Without a usable response: the call may or may not have been accepted."""
 
     detail: str
 
@@ -104,23 +105,23 @@
 
 
 class DutyPlatform(Protocol):
-    """The platform's side of the duties.
+    """The calls of the platform that the duties make.
 
-    No method raises for a fault of the platform or the network.
+    No method raises an exception for a fault of the platform or the network.
     """
 
     async def report_usage(
         self, report: UsageReport, *, fencing: types.FencingNumber
     ) -> CallResult:
-        """Say how many requests began to run in a window."""
+        """Report how many requests started to run in a window."""
 
     async def order_runners(
         self, order: RunnerOrder, *, fencing: types.FencingNumber
     ) -> CallResult:
-        """Ask for a number of runners; it replaces the number before."""
+        """Order a number of runners, which replaces the previous number."""
 
 
 CALL_SECONDS = 0.6
-"""Longest time of one call. The platform answers in 4 ms, and in 0.25 s when it is
-slow; a call is begun only where the tenure surely lasts longer than this, so that
-none arrives in the time of the next holder."""
+"""Time limit of a call. The platform answers in 4 ms, and in 0.25 s when it is
+slow. A call is started only if the tenure is certain to last longer than this,
+so that none arrives during the next holder's tenure."""
--- a/packages/duties/src/lagoonrun_duties/usage_counts.py
+++ b/packages/duties/src/lagoonrun_duties/usage_counts.py
@@ -1,7 +1,8 @@
-"""Requests that began to run, by window and organisation.
+"""Number of requests that started to run, by window and organisation.
 
-Counts only grow, so that any two accounts of the same requests are merged by the
-larger number: one that is told twice, late or by two ways changes nothing.
+Counts only grow, so two reports of the same requests are merged by taking the
+larger number. A report that arrives twice, late or by two paths changes
+nothing.
 """
 
 import dataclasses
@@ -12,97 +13,102 @@
 from lagoonrun_duties import platform_calls
 from lagoonrun_protocol import router_messages
 
-KEPT_WINDOWS = 6
-"""Windows that are kept: those that may still be reported, and one more."""
+RETAINED_WINDOWS = 6
+"""Number of windows retained: those that may still be reported, and one
+more."""
 
-_TELLS = 2
-"""How often each number is told: one datagram may be lost."""
+_SENDS_PER_COUNT = 2
+"""How many times each count is sent, since one datagram may be lost."""
 
 _Key = tuple[platform_calls.UsageWindow, types.OrganisationId]
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Told:
+class _PendingCount:
     count: int
-    tells_left: int = _TELLS
+    sends_left: int = _SENDS_PER_COUNT
 
 
 class UsageCounts:
-    """Counts of one teller, and what of them is still to be told."""
+    """Counts of one source, and which of them are still to be sent."""
 
     def __init__(self) -> None:
-        self._told_by_key: dict[_Key, _Told] = {}
+        self._count_by_key: dict[_Key, _PendingCount] = {}
 
     def add(
         self,
         window: platform_calls.UsageWindow,
         organisation: types.OrganisationId,
     ) -> None:
-        """Count one request that began to run."""
-        known = self._told_by_key.get((window, organisation))
-        count = known.count if known else 0
-        self.raise_to(window, organisation, count + 1)
+        """Count one request that started to run."""
+        entry = self._count_by_key.get((window, organisation))
+        count = entry.count if entry else 0
+        self.merge_count(window, organisation, count + 1)
 
-    def raise_to(
+    def merge_count(
         self,
         window: platform_calls.UsageWindow,
         organisation: types.OrganisationId,
         count: int,
     ) -> None:
-        """Take in that a count is at least `count`."""
-        known = self._told_by_key.get((window, organisation))
-        if known is None:
+        """Raise a count to at least `count`."""
+        entry = self._count_by_key.get((window, organisation))
+        if entry is None:
             self._forget_before(window)
-            self._told_by_key[window, organisation] = _Told(count=count)
-        elif count > known.count:
-            known.count = count
-            known.tells_left = _TELLS
+            self._count_by_key[window, organisation] = _PendingCount(
+                count=count
+            )
+        elif count > entry.count:
+            entry.count = count
+            entry.sends_left = _SENDS_PER_COUNT
 
     def _forget_before(self, newest: platform_calls.UsageWindow) -> None:
         old = [
-            key for key in self._told_by_key if key[0] <= newest - KEPT_WINDOWS
+            key
+            for key in self._count_by_key
+            if key[0] <= newest - RETAINED_WINDOWS
         ]
         for key in old:
-            del self._told_by_key[key]
+            del self._count_by_key[key]
 
     def counts(
         self, window: platform_calls.UsageWindow
     ) -> dict[types.OrganisationId, int]:
         """Return the counts of a window."""
         return {
-            organisation: known.count
-            for (one, organisation), known in self._told_by_key.items()
+            organisation: entry.count
+            for (one, organisation), entry in self._count_by_key.items()
             if one == window
         }
 
     def windows(self) -> frozenset[platform_calls.UsageWindow]:
-        """Return the windows in which anything is counted."""
-        return frozenset(window for window, _ in self._told_by_key)
+        """Return the windows that have any counts."""
+        return frozenset(window for window, _ in self._count_by_key)
 
-    def tell_all_again(self) -> None:
-        """Have everything told anew: to others than before."""
-        for known in self._told_by_key.values():
-            known.tells_left = _TELLS
+    def mark_all_unsent(self) -> None:
+        """Have all counts sent again, to a new receiver."""
+        for entry in self._count_by_key.values():
+            entry.sends_left = _SENDS_PER_COUNT
 
-    def take_rows(self) -> router_messages.UsageRows:
-        """Return what is to be told now, and count it as told once."""
+    def pop_unsent_rows(self) -> router_messages.UsageRows:
+        """Return the counts to be sent now, and mark them as sent once more."""
         due = {
-            key: known
-            for key, known in self._told_by_key.items()
-            if known.tells_left > 0
+            key: entry
+            for key, entry in self._count_by_key.items()
+            if entry.sends_left > 0
         }
-        for known in due.values():
-            known.tells_left -= 1
-        return to_rows({key: known.count for key, known in due.items()})
+        for entry in due.values():
+            entry.sends_left -= 1
+        return to_rows({key: entry.count for key, entry in due.items()})
 
-    def take_in(self, rows: router_messages.UsageRows) -> None:
-        """Merge what was told."""
+    def merge(self, rows: router_messages.UsageRows) -> None:
+        """Merge counts that were received."""
         for (window, organisation), count in from_rows(rows).items():
-            self.raise_to(window, organisation, count)
+            self.merge_count(window, organisation, count)
 
 
 def to_rows(count_by_key: Mapping[_Key, int]) -> router_messages.UsageRows:
-    """Return counts as they are told; numbers that do not fit are cut off."""
+    """Return counts in wire format; numbers that do not fit are clamped."""
     return router_messages.UsageRows(
         windows=tuple(window for window, _ in count_by_key),
         organisations="\n".join(
@@ -116,7 +122,7 @@
 
 
 def from_rows(rows: router_messages.UsageRows) -> dict[_Key, int]:
-    """Return told counts; none where the rows are not of one length."""
+    """Return counts from wire format; none if the row lengths differ."""
     organisations = rows.organisations.split("\n") if rows.windows else []
     length = len(rows.windows)
     if len(organisations) != length or len(rows.counts) != 4 * length:
@@ -130,51 +136,51 @@
     }
 
 
-class GatheredUsage:
-    """Counts of the whole fleet, as far as they were told to this entry VM.
+class AggregatedUsage:
+    """Counts of the whole fleet, as far as this entry VM has received them.
 
-    Kept by teller and start of its process: one that was killed has counted what
-    it told, and starts from zero when it is back.
+    They are kept by source and start number of its process: a process that was
+    killed has counted what it sent, and its next process starts from zero.
     """
 
     def __init__(self) -> None:
-        self._counts_by_teller: dict[tuple[str, int], UsageCounts] = {}
+        self._counts_by_source: dict[tuple[str, int], UsageCounts] = {}
 
-    def take_in(
-        self, teller: str, start: int, rows: router_messages.UsageRows
+    def merge(
+        self, source: str, start: int, rows: router_messages.UsageRows
     ) -> None:
-        """Merge what an entry VM, or the relay of a failure domain, has told."""
+        """Merge counts of an entry VM, or of the relay of a failure domain."""
         if not rows.windows:
             return
-        key = (teller, start)
-        known = self._counts_by_teller.get(key)
-        if known is None:
-            known = self._counts_by_teller[key] = UsageCounts()
-        known.take_in(rows)
+        key = (source, start)
+        entry = self._counts_by_source.get(key)
+        if entry is None:
+            entry = self._counts_by_source[key] = UsageCounts()
+        entry.merge(rows)
 
     def counts(
         self, window: platform_calls.UsageWindow
     ) -> dict[types.OrganisationId, int]:
-        """Return the sums of a window."""
+        """Return the sums of a window by organisation."""
         sums: dict[types.OrganisationId, int] = {}
-        for one in self._counts_by_teller.values():
-            for organisation, count in one.counts(window).items():
+        for counts in self._counts_by_source.values():
+            for organisation, count in counts.counts(window).items():
                 sums[organisation] = sums.get(organisation, 0) + count
         return sums
 
     def windows(self) -> frozenset[platform_calls.UsageWindow]:
-        """Return the windows in which anything is counted."""
-        return merged_windows(self._counts_by_teller.values())
+        """Return the windows that have any counts."""
+        return merged_windows(self._counts_by_source.values())
 
     def forget_before(self, window: platform_calls.UsageWindow) -> None:
-        """Drop tellers that have counted nothing since."""
-        for key, one in tuple(self._counts_by_teller.items()):
-            if max(one.windows(), default=window) < window:
-                del self._counts_by_teller[key]
+        """Drop the sources that have counted nothing since a window."""
+        for key, counts in tuple(self._counts_by_source.items()):
+            if max(counts.windows(), default=window) < window:
+                del self._counts_by_source[key]
 
 
 def merged_windows(
     counts: Iterable[UsageCounts],
 ) -> frozenset[platform_calls.UsageWindow]:
-    """Return the windows in which any of some tellers has counted."""
+    """Return the windows that have any counts of any source."""
     return frozenset().union(*(one.windows() for one in counts))
--- a/packages/duties/src/lagoonrun_duties/usage_exchange.py
+++ b/packages/duties/src/lagoonrun_duties/usage_exchange.py
@@ -1,10 +1,11 @@
-"""How counts of usage get to the holder of the duty.
-
-Each entry VM counts what it saw begin, and tells it with its states to the relay
-of its failure domain and the next in order; the relay sends the domain's sums to
-the holder twice a second. So the holder hears one message from each failure
-domain however many entry VMs there are. Each number is told twice, and all of
-them again whenever there is another relay or another holder.
+"""Collect usage counts of all entry VMs at the holder of the duty.
+
+Each entry VM counts the requests that it saw start, and sends its counts with
+its state to the relay of its failure domain and to the next entry VM in order.
+The relay sends the sums of the domain to the holder twice a second, so the
+holder receives one message from each failure domain however many entry VMs
+there are. Each number is sent twice, and all numbers are sent again whenever
+the relay or the holder changes.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,26 +14,26 @@
 from lagoonrun_duties import platform_calls, usage_counts
 from lagoonrun_protocol import router_messages
 
-_TELL_SECONDS = 0.4
-"""Least time between two tellings. An entry VM that loses power takes the counts
-of so long with it: a twelfth of its part of a window of 5 s."""
+_MIN_SEND_INTERVAL_SECONDS = 0.4
+"""Shortest interval between two sends. An entry VM that loses power loses the
+counts of this period: a twelfth of its share of a window of 5 s."""
 
-HOLDER_SECONDS = 2.0
-"""Silence after which an entry VM is not taken for the holder any more: four of
-the slowest messages that would name it."""
+HOLDER_TIMEOUT_SECONDS = 2.0
+"""Time without reports after which an entry VM is no longer considered the
+holder: four intervals of the slowest messages that would name it."""
 
 _NEVER = float("-inf")
 
 
 class UsageExchange:
-    """Counts, tells, gathers; knows who holds the duties.
+    """Usage counts of this VM, its domain and the fleet, and the duties' holder.
 
     Parameters
     ----------
     entry_vm, domain
         This entry VM.
     current_window
-        Returns the window of this moment.
+        Returns the current window.
     send
         Sends a message to an entry VM.
     """
@@ -47,101 +48,103 @@
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
-        self._window_now = current_window
+        self._current_window = current_window
         self._send = send
         self._own = usage_counts.UsageCounts()
-        self._neighbours = usage_counts.GatheredUsage()
+        self._neighbours = usage_counts.AggregatedUsage()
         self._domain_sums = usage_counts.UsageCounts()
-        self._fleet = usage_counts.GatheredUsage()
+        self._fleet = usage_counts.AggregatedUsage()
         self._newest_window: platform_calls.UsageWindow | None = None
-        self._told_at = _NEVER
-        self._sent_at = _NEVER
-        self._told_to: types.EntryVmId = types.NO_ENTRY_VM
-        self._sent_to: types.EntryVmId = types.NO_ENTRY_VM
-        self._heard_holder: types.EntryVmId = types.NO_ENTRY_VM
-        self._heard_in = domain
-        self.holder_heard_at = _NEVER
-        """When an entry VM that holds the duties was heard of last."""
+        self._relay_sent_at = _NEVER
+        self._holder_sent_at = _NEVER
+        self._sent_relay: types.EntryVmId = types.NO_ENTRY_VM
+        self._sent_holder: types.EntryVmId = types.NO_ENTRY_VM
+        self._reported_holder: types.EntryVmId = types.NO_ENTRY_VM
+        self._reported_holder_domain = domain
+        self.holder_reported_at = _NEVER
+        """Time of the last report of an entry VM that holds the duties."""
         self.is_holder = False
         """Whether this entry VM holds the duties."""
-        self._held_at: float | None = None
+        self._last_held_at: float | None = None
 
     # Counting.
 
     def record_started(self, organisation: types.OrganisationId) -> None:
-        """Count a request that an upstream has begun to run."""
-        self._own.add(self._window_now(), organisation)
+        """Count a request that an upstream has started to run."""
+        self._own.add(self._current_window(), organisation)
 
-    # Telling.
+    # Sending.
 
     def pending_rows(
         self, relay: types.EntryVmId, *, now: float
     ) -> router_messages.UsageRows:
-        """Return what the next state tells; most states tell nothing."""
-        if relay != self._told_to:
-            self._told_to = relay
-            self._own.tell_all_again()
-        elif now - self._told_at < _TELL_SECONDS:
+        """Return the counts that the next state carries; usually none."""
+        if relay != self._sent_relay:
+            self._sent_relay = relay
+            self._own.mark_all_unsent()
+        elif now - self._relay_sent_at < _MIN_SEND_INTERVAL_SECONDS:
             return router_messages.NO_USAGE
-        self._told_at = now
-        return self._own.take_rows()
+        self._relay_sent_at = now
+        return self._own.pop_unsent_rows()
 
     def tick(self, *, now: float, is_relay: bool) -> None:
-        """Send the domain's sums to the holder, as the relay; called often."""
+        """Send the sums of the domain to the holder, if this VM is a relay."""
         holder = self.holder(now=now)
-        if self._held_at is None or holder != types.NO_ENTRY_VM:
-            self._held_at = now
+        if self._last_held_at is None or holder != types.NO_ENTRY_VM:
+            self._last_held_at = now
         if not is_relay or self.is_holder or holder == types.NO_ENTRY_VM:
             return
-        if holder != self._sent_to:
-            self._sent_to = holder
-            self._domain_sums.tell_all_again()
-        elif now - self._sent_at < _TELL_SECONDS:
+        if holder != self._sent_holder:
+            self._sent_holder = holder
+            self._domain_sums.mark_all_unsent()
+        elif now - self._holder_sent_at < _MIN_SEND_INTERVAL_SECONDS:
             return
-        self._sent_at = now
-        self._sum_up()
-        rows = self._domain_sums.take_rows()
+        self._holder_sent_at = now
+        self._update_domain_sums()
+        rows = self._domain_sums.pop_unsent_rows()
         if rows.windows:
             news = router_messages.UsageNews(
                 entry_vm=self._entry_vm, domain=self._domain, rows=rows
             )
             self._send(news, holder)
 
-    def _sum_up(self) -> None:
-        """Bring the sums of the own failure domain up to date."""
+    def _update_domain_sums(self) -> None:
+        """Update the sums of this failure domain."""
         windows = self._neighbours.windows() | self._own.windows()
         for window in windows:
             sums = self._neighbours.counts(window)
             for organisation, count in self._own.counts(window).items():
                 sums[organisation] = sums.get(organisation, 0) + count
             for organisation, count in sums.items():
-                self._domain_sums.raise_to(window, organisation, count)
+                self._domain_sums.merge_count(window, organisation, count)
 
     def _forget_old(self) -> None:
-        """Drop tellers that ended long ago, once a window."""
-        window = self._window_now()
+        """Drop sources that ended long ago, once a window."""
+        window = self._current_window()
         if window == self._newest_window:
             return
         self._newest_window = window
-        oldest = platform_calls.UsageWindow(window - usage_counts.KEPT_WINDOWS)
+        oldest = platform_calls.UsageWindow(
+            window - usage_counts.RETAINED_WINDOWS
+        )
         self._neighbours.forget_before(oldest)
 
-    # Hearing.
+    # Receiving.
 
     def receive_state(
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
-        """Take in what a neighbour has counted, and whether it is the holder."""
-        self._neighbours.take_in(state.entry_vm, state.start, state.usage)
+        """Record the counts of a neighbour, and whether it is the holder."""
+        self._neighbours.merge(state.entry_vm, state.start, state.usage)
         self._forget_old()
         if state.holds_duties:
-            self._note_holder(state.entry_vm, now)
-        elif state.entry_vm == self._heard_holder:
+            self._record_holder(state.entry_vm, now)
+        elif state.entry_vm == self._reported_holder:
             self._forget_holder()
 
     def receive_news(self, news: router_messages.UsageNews) -> None:
-        """Take in the sums of another failure domain, or of the own relay."""
-        self._fleet.take_in(news.domain, 0, news.rows)
+        """Merge the sums of another failure domain, or of this VM's relay."""
+        self._fleet.merge(news.domain, 0, news.rows)
 
     def record_remote_holder(
         self,
@@ -150,45 +153,48 @@
         *,
         now: float,
     ) -> None:
-        """Take in whom the relay of another failure domain names there."""
+        """Record the holder that the relay of another domain names there."""
         if holder != types.NO_ENTRY_VM:
-            self._note_holder(holder, now)
-            self._heard_in = domain
-        elif domain == self._heard_in:
+            self._record_holder(holder, now)
+            self._reported_holder_domain = domain
+        elif domain == self._reported_holder_domain:
             self._forget_holder()
 
-    def _note_holder(self, holder: types.EntryVmId, now: float) -> None:
+    def _record_holder(self, holder: types.EntryVmId, now: float) -> None:
         if holder != self._entry_vm:
-            self._heard_holder = holder
-            self._heard_in = self._domain
-            self.holder_heard_at = now
+            self._reported_holder = holder
+            self._reported_holder_domain = self._domain
+            self.holder_reported_at = now
 
     def _forget_holder(self) -> None:
-        """Take in that the holder has given the duties up."""
-        self._heard_holder = types.NO_ENTRY_VM
-        self.holder_heard_at = _NEVER
+        """Record that the holder has released the duties."""
+        self._reported_holder = types.NO_ENTRY_VM
+        self.holder_reported_at = _NEVER
 
     def holder(self, *, now: float) -> types.EntryVmId:
-        """Return who holds the duties, as far as was heard; empty for none."""
+        """Return the last reported holder of the duties; empty for none."""
         if self.is_holder:
             return self._entry_vm
-        if now - self.holder_heard_at < HOLDER_SECONDS:
-            return self._heard_holder
+        if now - self.holder_reported_at < HOLDER_TIMEOUT_SECONDS:
+            return self._reported_holder
         return types.NO_ENTRY_VM
 
     def vacant_seconds(self, *, now: float) -> float:
-        """Return for how long nobody was known to hold the duties."""
-        if self._held_at is None or self.holder(now=now) != types.NO_ENTRY_VM:
+        """Return for how long no holder of the duties has been known."""
+        if (
+            self._last_held_at is None
+            or self.holder(now=now) != types.NO_ENTRY_VM
+        ):
             return 0.0
-        return now - self._held_at
+        return now - self._last_held_at
 
     def holder_in_domain(
         self, neighbours: Iterable[types.EntryVmId], *, now: float
     ) -> types.EntryVmId:
-        """Return the holder if it is of the own failure domain.
+        """Return the holder if it is in this failure domain.
 
-        Only that is passed on to other domains: what was heard from there would
-        go round and keep a lost holder alive.
+        Only that is forwarded to other domains: forwarding what they reported
+        would circulate between domains and keep a lost holder alive.
         """
         holder = self.holder(now=now)
         if holder == self._entry_vm or holder in neighbours:
@@ -200,9 +206,9 @@
     def counts(
         self, window: platform_calls.UsageWindow
     ) -> dict[types.OrganisationId, int]:
-        """Return what is known of a window in the whole fleet."""
-        self._sum_up()
-        self._fleet.take_in(
+        """Return the known counts of a window in the whole fleet."""
+        self._update_domain_sums()
+        self._fleet.merge(
             self._domain,
             0,
             usage_counts.to_rows(
--- a/packages/duties/tests/test_usage_counts.py
+++ b/packages/duties/tests/test_usage_counts.py
@@ -1,4 +1,4 @@
-"""Counts that are told twice, late, by several ways or by killed entry VMs."""
+"""Counts received twice, late, by several paths or from killed entry VMs."""
 
 import hypothesis
 from hypothesis import strategies
@@ -17,36 +17,36 @@
     return router_codec.decode(router_codec.encode(news)).rows
 
 
-def test_each_count_is_told_twice_and_then_not_again():
+def test_each_count_is_sent_twice_and_then_not_again():
     own = usage_counts.UsageCounts()
     count(own, 7, "house", 3)
     count(own, 7, "trust", 1)
-    first = over_the_wire(own.take_rows())
+    first = over_the_wire(own.pop_unsent_rows())
     assert usage_counts.from_rows(first) == {(7, "house"): 3, (7, "trust"): 1}
-    assert own.take_rows() == first
-    assert own.take_rows() == router_messages.NO_USAGE
+    assert own.pop_unsent_rows() == first
+    assert own.pop_unsent_rows() == router_messages.NO_USAGE
     count(own, 7, "trust", 1)
-    assert usage_counts.from_rows(own.take_rows()) == {(7, "trust"): 2}
-    own.tell_all_again()
-    assert len(own.take_rows().windows) == 2
+    assert usage_counts.from_rows(own.pop_unsent_rows()) == {(7, "trust"): 2}
+    own.mark_all_unsent()
+    assert len(own.pop_unsent_rows().windows) == 2
 
 
-def test_killed_entry_vm_keeps_what_it_told():
-    """The count of a window falls when an entry VM is restarted.
+def test_killed_entry_vm_keeps_what_it_sent():
+    """Guards against a window whose count falls when an entry VM restarts.
 
-    It counts from zero again, and its new numbers replaced those that it told
-    before it was killed.
+    Its new process counts from zero; its numbers must not replace those that it
+    sent before it was killed.
     """
-    gathered = usage_counts.GatheredUsage()
+    aggregated = usage_counts.AggregatedUsage()
     before, after = usage_counts.UsageCounts(), usage_counts.UsageCounts()
     count(before, 7, "house", 5)
     count(after, 7, "house", 2)
-    gathered.take_in("vm", 1, before.take_rows())
-    gathered.take_in("vm", 2, after.take_rows())
-    assert gathered.counts(7) == {"house": 7}
+    aggregated.merge("vm", 1, before.pop_unsent_rows())
+    aggregated.merge("vm", 2, after.pop_unsent_rows())
+    assert aggregated.counts(7) == {"house": 7}
 
 
-def test_rows_of_different_lengths_say_nothing():
+def test_rows_of_different_lengths_are_ignored():
     rows = router_messages.UsageRows(
         windows=(1, 2), organisations="a", counts=b"\1\0\0\0"
     )
@@ -55,13 +55,13 @@
 
 def test_old_windows_are_forgotten():
     own = usage_counts.UsageCounts()
-    gathered = usage_counts.GatheredUsage()
+    aggregated = usage_counts.AggregatedUsage()
     for window in range(40):
         count(own, window, "house", 1)
-        gathered.take_in("vm", window, own.take_rows())
-        gathered.forget_before(window - usage_counts.KEPT_WINDOWS)
-    assert len(own.windows()) == usage_counts.KEPT_WINDOWS
-    assert len(gathered.windows()) <= usage_counts.KEPT_WINDOWS + 2
+        aggregated.merge("vm", window, own.pop_unsent_rows())
+        aggregated.forget_before(window - usage_counts.RETAINED_WINDOWS)
+    assert len(own.windows()) == usage_counts.RETAINED_WINDOWS
+    assert len(aggregated.windows()) <= usage_counts.RETAINED_WINDOWS + 2
 
 
 @hypothesis.given(
@@ -74,23 +74,23 @@
     ),
     strategies.randoms(),
 )
-def test_lost_and_overtaken_rows_never_give_too_much(steps, rng):
-    """Never more than was counted, and all of it once all is told again."""
+def test_lost_and_reordered_rows_never_overcount(steps, rng):
+    """Counts are never too high, and complete once all rows are sent again."""
     own = usage_counts.UsageCounts()
-    gathered = usage_counts.GatheredUsage()
-    told = []
-    for window, organisation, tell in steps:
+    aggregated = usage_counts.AggregatedUsage()
+    sent = []
+    for window, organisation, send in steps:
         count(own, window, organisation, 1)
-        if tell:
-            told.append(own.take_rows())
-    rng.shuffle(told)
-    for rows in told[: len(told) // 2]:
-        gathered.take_in("vm", 1, rows)
-        gathered.take_in("vm", 1, rows)
+        if send:
+            sent.append(own.pop_unsent_rows())
+    rng.shuffle(sent)
+    for rows in sent[: len(sent) // 2]:
+        aggregated.merge("vm", 1, rows)
+        aggregated.merge("vm", 1, rows)
     for window in range(4):
-        for organisation, known in gathered.counts(window).items():
+        for organisation, known in aggregated.counts(window).items():
             assert known <= own.counts(window)[organisation]
-    own.tell_all_again()
-    gathered.take_in("vm", 1, own.take_rows())
+    own.mark_all_unsent()
+    aggregated.merge("vm", 1, own.pop_unsent_rows())
     for window in range(4):
-        assert gathered.counts(window) == own.counts(window)
+        assert aggregated.counts(window) == own.counts(window)
--- a/packages/duties/tests/test_usage_exchange.py
+++ b/packages/duties/tests/test_usage_exchange.py
@@ -1,4 +1,4 @@
-"""How counts get from all entry VMs to the one that reports them."""
+"""Collection of counts from all entry VMs at the one that reports them."""
 
 import pytest
 
@@ -36,7 +36,7 @@
             self.by_id[to].receive_news(news)
 
     def round(self, seconds=0.5, *, start=1):
-        """All tell their relay, and relays what they know of the holder."""
+        """Have all VMs send their state, and the relays name the holder."""
         self.now += seconds
         for name, one in self.by_id.items():
             domain = name.partition("-")[0]
@@ -51,16 +51,16 @@
                 holds_duties=one.is_holder,
             )
             for number in (1, 2):
-                heard = self.by_id[f"{domain}-{number}"]
-                if heard is not one:
-                    heard.receive_state(state, now=self.now)
+                receiver = self.by_id[f"{domain}-{number}"]
+                if receiver is not one:
+                    receiver.receive_state(state, now=self.now)
         for domain, other in (("north", "south"), ("south", "north")):
-            near = [one for one in self.by_id if one.startswith(domain)]
-            named = self.by_id[f"{domain}-1"].holder_in_domain(
-                near, now=self.now
+            neighbours = [one for one in self.by_id if one.startswith(domain)]
+            holder = self.by_id[f"{domain}-1"].holder_in_domain(
+                neighbours, now=self.now
             )
             self.by_id[f"{other}-1"].record_remote_holder(
-                domain, named, now=self.now
+                domain, holder, now=self.now
             )
         for name, one in self.by_id.items():
             one.tick(now=self.now, is_relay=name.endswith("-1"))
@@ -85,11 +85,11 @@
     assert holder.counts(WINDOW) == {"house": 6}
 
 
-def test_new_holder_is_told_everything_again(fleet):
-    """The report of a window lacks a failure domain after a planned stop.
+def test_new_holder_is_sent_everything_again(fleet):
+    """Guards against a report that lacks a failure domain after a planned stop.
 
-    Its relay had told its counts to the entry VM that held the duties before,
-    and told the next one only what grew since.
+    The relay of the domain had sent its counts to the previous holder, and sent
+    the next one only the increments.
     """
     before, after = fleet.by_id["north-1"], fleet.by_id["south-2"]
     before.is_holder = True
@@ -103,7 +103,7 @@
     assert after.counts(WINDOW) == {"house": 6}
 
 
-def test_lost_message_to_the_holder_is_made_up_for(fleet):
+def test_lost_message_to_the_holder_is_repeated(fleet):
     holder = fleet.by_id["north-1"]
     holder.is_holder = True
     count_all(fleet)
@@ -116,9 +116,9 @@
 
 
 def test_lost_holder_is_forgotten_after_seconds(fleet):
-    """Nobody does the duties any more.
+    """Guards against duties that nobody performs any more.
 
-    Two domains tell each other of a holder that is long gone.
+    Two domains keep reporting to each other a holder that is long gone.
     """
     fleet.by_id["north-1"].is_holder = True
     for _ in range(4):
@@ -131,21 +131,21 @@
         assert one.holder(now=fleet.now) == types.NO_ENTRY_VM
 
 
-def test_nothing_is_told_more_often_than_twice_a_second(fleet):
+def test_nothing_is_sent_more_often_than_twice_a_second(fleet):
     one = fleet.by_id["north-3"]
-    told = 0
+    sends = 0
     for step in range(100):
         one.record_started("house")
-        told += bool(one.pending_rows("north-1", now=step * 0.05).windows)
-    assert told <= 13
+        sends += bool(one.pending_rows("north-1", now=step * 0.05).windows)
+    assert sends <= 13
 
 
 def test_ended_entry_vms_are_forgotten(fleet):
-    """Memory grows with each restart of a neighbour, for as long as one runs."""
+    """Guards against memory that grows with each restart of a neighbour."""
     relay = fleet.by_id["north-1"]
     for start in range(50):
         fleet.window += 1
         count_all(fleet)
         fleet.round(start=start)
-    known = relay._neighbours._counts_by_teller
+    known = relay._neighbours._counts_by_source
     assert len(known) <= 2 * 8
