--- a/packages/duties/src/lagoonrun_duties/runner_model.py
+++ b/packages/duties/src/lagoonrun_duties/runner_model.py
@@ -1,4 +1,4 @@
-"""What an order of runners rests on, and what it asks for: plain data."""
+"""Input and output of runner planning, as plain data classes."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -9,18 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Scaling:
-    """How many runners a pool may have, and what they cost.
+    """Limits and prices of a pool's runners.
 
     Parameters
     ----------
     minimum, maximum
-        Runners in each failure domain, of both kinds together.
+        Number of runners in each failure domain, both kinds together.
     boot_seconds
-        Time from an order until a new runner serves.
+        Time from an order until a new runner serves requests.
     reclaimable_price
-        Price of a reclaimable runner, as a part of that of a lasting one.
+        Price of a reclaimable (spot) runner, as a fraction of that of a lasting
+        (on-demand) one.
     price_by_domain
-        Price of a second of a lasting runner.
+        Price of a lasting runner per second.
     """
 
     minimum: int
@@ -37,7 +38,7 @@
     Parameters
     ----------
     lasting, reclaimable
-        Those that serve.
+        Number of those that serve requests.
     """
 
     domain: types.FailureDomain
@@ -45,7 +46,7 @@
     reclaimable: int = 0
 
     def of_kind(self, kind: platform_calls.RunnerKind) -> int:
-        """Return how many serve of one kind."""
+        """Return the number of serving runners of one kind."""
         if kind is platform_calls.RunnerKind.LASTING:
             return self.lasting
         return self.reclaimable
@@ -53,16 +54,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PoolDemand:
-    """Work that a pool was sent lately.
+    """Load of a pool in the recent past.
 
     Parameters
     ----------
     prompt_tokens_per_second
-        Prompt tokens that its runners were given to read.
+        Prompt tokens that its runners were sent for prefill.
     running
-        Requests without an end.
+        Requests in flight.
     waiting_tokens
-        Prompt tokens of requests without a first event.
+        Prompt tokens of requests that have had no first event yet.
     """
 
     prompt_tokens_per_second: float = 0.0
@@ -72,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PoolView:
-    """A pool as it is when orders are planned."""
+    """State of a pool at the time when orders are planned."""
 
     pool: types.PoolName
     scaling: Scaling
@@ -81,15 +82,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WantedRunners:
-    """How many runners a pool is to have in a failure domain."""
+class DesiredRunners:
+    """Desired number of runners of a pool in a failure domain."""
 
     domain: types.FailureDomain
     lasting: int
     reclaimable: int
 
     def of_kind(self, kind: platform_calls.RunnerKind) -> int:
-        """Return how many are wanted of one kind."""
+        """Return the desired number of runners of one kind."""
         if kind is platform_calls.RunnerKind.LASTING:
             return self.lasting
         return self.reclaimable
--- a/packages/duties/src/lagoonrun_duties/runner_orders.py
+++ b/packages/duties/src/lagoonrun_duties/runner_orders.py
@@ -1,4 +1,4 @@
-"""Send the orders that a plan asks for, as the holder of the duty."""
+"""Send runner orders according to a plan, as the holder of the duty."""
 
 import dataclasses
 import logging
@@ -11,60 +11,61 @@
 from lagoonrun_orders import tenure as tenures
 
 _KINDS = (
-    # Reclaimable ones first: they are cheap, and serve before others leave.
+    # Reclaimable runners first: they are cheap, and serve before lasting ones
+    # are removed.
     platform_calls.RunnerKind.RECLAIMABLE,
     platform_calls.RunnerKind.LASTING,
 )
 
-UNAVAILABLE_SECONDS = 2.0
-"""Time for which an answer that none are to be had is believed. Each try is a call
-that is paid for; a shortage lasts for some ten seconds."""
+SHORTAGE_PAUSE_SECONDS = 2.0
+"""Pause after the platform had no runners available. Each attempt is a billed
+call, and a shortage lasts about ten seconds."""
 
-_REFUSED_SECONDS = 1.0
-"""Pause after a call that was refused or not answered."""
+_FAILURE_PAUSE_SECONDS = 1.0
+"""Pause after a call that was refused or had no response."""
 
-_OVERDUE_SECONDS = 2.0
-"""Time beyond the boot time after which runners that were ordered and have not come
-are ordered again: they were taken away again, or the order was lost."""
+_BOOT_SLACK_SECONDS = 2.0
+"""Time beyond the boot time after which missing runners are ordered again: they
+were reclaimed while booting, or the order was lost."""
 
 
 class RunnerPlan(Protocol):
-    """Decides how many runners there are to be."""
+    """Computes the desired number of runners."""
 
-    def wanted(
+    def desired(
         self, view: runner_model.PoolView
-    ) -> tuple[runner_model.WantedRunners, ...]:
-        """Return what each failure domain of a pool is to have."""
+    ) -> tuple[runner_model.DesiredRunners, ...]:
+        """Return the desired runners of a pool in each failure domain."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Place:
+class _Target:
     pool: types.PoolName
     domain: types.FailureDomain
     kind: platform_calls.RunnerKind
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Ordered:
+class _LastOrder:
     count: int
     at: float
 
 
 class RunnerOrders:
-    """Compares what is wanted with what was ordered.
+    """Compares the desired runners with the last orders, and sends new orders.
 
     Parameters
     ----------
     platform
         Receives the orders.
     views
-        Returns the pools that may be scaled, as they are now.
+        Returns the current state of the pools that may be scaled.
     plan
-        Decides how many runners there are to be.
+        Computes the desired number of runners.
     may_call
-        Whether the tenure lasts for a call from now on.
+        Whether a call started now would end within the tenure.
     clock
-        Source of time.
+        Source of monotonic time.
     """
 
     def __init__(
@@ -82,57 +83,59 @@
         self._may_call = may_call
         self._clock = clock
         self._tenure: tenures.Tenure | None = None
-        self._ordered_by_place: dict[_Place, _Ordered] = {}
-        self._not_before_by_place: dict[_Place, float] = {}
+        self._last_order_by_target: dict[_Target, _LastOrder] = {}
+        self._retry_at_by_target: dict[_Target, float] = {}
 
     async def step(self, tenure: tenures.Tenure) -> None:
-        """Send what is due now; called a few times a second."""
+        """Send the orders that are due now; called a few times a second."""
         if tenure != self._tenure:
-            # What others ordered meanwhile shows in the runners that there are.
+            # Orders of earlier holders show in the number of serving runners.
             self._tenure = tenure
-            self._ordered_by_place.clear()
-            self._not_before_by_place.clear()
+            self._last_order_by_target.clear()
+            self._retry_at_by_target.clear()
         for view in self._views():
-            await self._bring_up(view, tenure)
+            await self._reconcile(view, tenure)
 
-    async def _bring_up(
+    async def _reconcile(
         self, view: runner_model.PoolView, tenure: tenures.Tenure
     ) -> None:
         now = self._clock.monotonic()
-        wanted = self._plan.wanted(view)
+        desired = self._plan.desired(view)
         present_by_domain = {one.domain: one for one in view.domains}
         for kind in _KINDS:
-            for one in wanted:
-                place = _Place(pool=view.pool, domain=one.domain, kind=kind)
-                present = present_by_domain[one.domain].of_kind(kind)
-                count = one.of_kind(kind)
-                if not self._is_due(place, count, present, view, now):
+            for runners in desired:
+                target = _Target(
+                    pool=view.pool, domain=runners.domain, kind=kind
+                )
+                present = present_by_domain[runners.domain].of_kind(kind)
+                count = runners.of_kind(kind)
+                if not self._is_due(target, count, present, view, now):
                     continue
                 if not self._may_call(tenure):
                     return
-                await self._send(place, count, present, view, tenure)
+                await self._send(target, count, present, view, tenure)
 
     def _is_due(
         self,
-        place: _Place,
+        target: _Target,
         count: int,
         present: int,
         view: runner_model.PoolView,
         now: float,
     ) -> bool:
-        if now < self._not_before_by_place.get(place, 0.0):
+        if now < self._retry_at_by_target.get(target, 0.0):
             return False
-        ordered = self._ordered_by_place.get(place)
-        if ordered is None:
+        last_order = self._last_order_by_target.get(target)
+        if last_order is None:
             return count != present
-        if ordered.count != count:
+        if last_order.count != count:
             return True
-        patience = view.scaling.boot_seconds + _OVERDUE_SECONDS
-        return present < count and now - ordered.at > patience
+        boot_timeout = view.scaling.boot_seconds + _BOOT_SLACK_SECONDS
+        return present < count and now - last_order.at > boot_timeout
 
     async def _send(
         self,
-        place: _Place,
+        target: _Target,
         count: int,
         present: int,
         view: runner_model.PoolView,
@@ -140,9 +143,9 @@
     ) -> None:
         result = await self._platform.order_runners(
             platform_calls.RunnerOrder(
-                pool=place.pool,
-                domain=place.domain,
-                kind=place.kind,
+                pool=target.pool,
+                domain=target.domain,
+                kind=target.kind,
                 count=count,
             ),
             fencing=tenure.fencing,
@@ -150,17 +153,17 @@
         now = self._clock.monotonic()
         accepted = isinstance(result, platform_calls.Accepted)
         if accepted:
-            self._ordered_by_place[place] = _Ordered(count=count, at=now)
+            self._last_order_by_target[target] = _LastOrder(count=count, at=now)
         elif isinstance(result, platform_calls.NoneAvailable):
-            self._not_before_by_place[place] = now + UNAVAILABLE_SECONDS
+            self._retry_at_by_target[target] = now + SHORTAGE_PAUSE_SECONDS
         else:
-            self._not_before_by_place[place] = now + _REFUSED_SECONDS
+            self._retry_at_by_target[target] = now + _FAILURE_PAUSE_SECONDS
         logs.emit(
             events.LogEvent.RUNNERS_ORDERED,
             level=logging.INFO if accepted else logging.WARNING,
-            pool=place.pool,
-            domain=place.domain,
-            kind=place.kind.value,
+            pool=target.pool,
+            domain=target.domain,
+            kind=target.kind.value,
             count=count,
             present=present,
             fencing=tenure.fencing,
--- a/packages/duties/src/lagoonrun_duties/runner_plan.py
+++ b/packages/duties/src/lagoonrun_duties/runner_plan.py
@@ -1,42 +1,44 @@
-"""How many runners a pool is to have, of which kind, where: a pure decision.
+"""How many runners of which kind a pool should have in which domain; no I/O.
 
 Reclaimable runners cost a fraction of lasting ones and serve as well, but the
-platform takes all of a failure domain away at once, with two seconds' notice, and
-has none to give there for ten seconds and more; two domains may lose theirs within
-seconds. So most runners are reclaimable, as many as the pool may have, and a fifth
-is lasting.
-
-The number does not follow the demand. Runners that leave take along what they have
-read, and those that are ordered for a burst serve when it is over, since a boot takes
-as long as half of a burst: with a number that did, 0.87 of the requests of a heavy day
-were served in time in place of 0.96, at no lower price.
+platform reclaims all of a failure domain at once, with two seconds' notice, and
+then has none available there for ten seconds or longer. Two domains may lose
+theirs within seconds of each other. So the pool is kept at its maximum size,
+with a fifth of the runners lasting and the rest reclaimable.
+
+The number does not follow the demand. A runner that is removed loses its prefix
+cache, and one that is ordered for a burst serves only when the burst is over,
+since booting takes half as long as a burst. A number that followed the demand
+had 0.87 of the requests of a day of heavy load served in time, instead of 0.96,
+at no lower cost.
 """
 
 import math
 
 from lagoonrun_duties import runner_model
 
-LASTING_PART = 0.2
-"""Part of the runners that are lasting. In heavy load with two domains reclaimed,
-0.93 of the requests were served in time with a fifth, 0.84 with none; on a calm day
-0.99 with either, and a lasting runner costs as much as five and a half others."""
+LASTING_SHARE = 0.2
+"""Fraction of the runners that are lasting. Under heavy load with two domains
+reclaimed, 0.93 of the requests were served in time with a fifth and 0.84 with
+none; on a day of low load 0.99 with either. A lasting runner costs five and a
+half times as much as a reclaimable one."""
 
 
 class MixedPlan:
-    """A fifth lasting, the rest reclaimable, up to the most."""
+    """A fifth lasting, the rest reclaimable, up to the maximum of the pool."""
 
-    def wanted(
+    def desired(
         self, view: runner_model.PoolView
-    ) -> tuple[runner_model.WantedRunners, ...]:
-        """Return what each failure domain of a pool is to have."""
+    ) -> tuple[runner_model.DesiredRunners, ...]:
+        """Return the desired runners of a pool in each failure domain."""
         scaling = view.scaling
         if scaling.reclaimable_price >= 1.0:
-            # Nothing is saved by runners that may be taken away.
+            # Reclaimable runners would save nothing.
             lasting = scaling.maximum
         else:
-            lasting = math.ceil(LASTING_PART * scaling.maximum)
+            lasting = math.ceil(LASTING_SHARE * scaling.maximum)
         return tuple(
-            runner_model.WantedRunners(
+            runner_model.DesiredRunners(
                 domain=one.domain,
                 lasting=lasting,
                 reclaimable=scaling.maximum - lasting,
--- a/packages/duties/tests/test_runner_orders.py
+++ b/packages/duties/tests/test_runner_orders.py
@@ -1,4 +1,4 @@
-"""Sending orders: few of them, none again and again, and nothing from zero."""
+"""Runner orders: few, not repeated, and based on the existing runners."""
 
 import dataclasses
 
@@ -28,9 +28,9 @@
         self.lasting = 2
         self.reclaimable = 0
 
-    def wanted(self, view):
+    def desired(self, view):
         return tuple(
-            runner_model.WantedRunners(
+            runner_model.DesiredRunners(
                 domain=one.domain,
                 lasting=self.lasting,
                 reclaimable=self.reclaimable,
@@ -84,7 +84,7 @@
     return _Holder(clock)
 
 
-async def test_nothing_is_ordered_where_all_is_as_wanted(holder):
+async def test_nothing_is_ordered_where_all_is_as_desired(holder):
     await holder.pass_time(30.0)
     assert not holder.platform.orders
 
@@ -104,11 +104,11 @@
     assert kinds == [RECLAIMABLE, LASTING]
 
 
-async def test_runners_that_do_not_come_are_ordered_again(holder):
-    """Too few runners for the rest of a day.
+async def test_runners_that_do_not_appear_are_ordered_again(holder):
+    """Guards against a pool that stays too small.
 
-    The platform took the order, and took the runners away again before they
-    served; nothing says so.
+    The platform accepts an order and reclaims the runners before they serve,
+    without any message.
     """
     holder.plan.reclaimable = 5
     await holder.pass_time(BOOT_SECONDS + 1.0)
@@ -117,8 +117,8 @@
     assert holder.counts(RECLAIMABLE) == [5, 5]
 
 
-async def test_shortage_is_not_asked_about_again_and_again(holder):
-    """Each try is a call that is paid for, and a shortage lasts ten seconds."""
+async def test_shortage_is_not_queried_again_and_again(holder):
+    """Each attempt is a billed call, and a shortage lasts ten seconds."""
     holder.plan.reclaimable = 5
     holder.platform.result = platform_calls.NoneAvailable()
     await holder.pass_time(10.0)
@@ -150,8 +150,8 @@
     assert not holder.platform.orders
 
 
-async def test_new_tenure_goes_on_from_the_runners_that_there_are(holder):
-    """A new holder sends away what the one before it ordered a moment ago."""
+async def test_new_tenure_starts_from_the_existing_runners(holder):
+    """Guards against a new holder that removes runners just ordered."""
     holder.plan.reclaimable = 5
     await holder.pass_time(1.0)
     holder.north = dataclasses.replace(holder.north, reclaimable=5)
--- a/packages/duties/tests/test_runner_plan.py
+++ b/packages/duties/tests/test_runner_plan.py
@@ -1,8 +1,8 @@
-"""How many runners of which kind a pool is to have.
+"""How many runners of which kind a pool should have.
 
 The load is that of a fleet of three failure domains with up to 47 runners each:
-1.0 million prompt tokens a second in calm, 2.4 million in bursts, and two domains
-that lose their reclaimable runners within three seconds.
+1.0 million prompt tokens a second at low load, 2.4 million in bursts, and two
+domains that lose their reclaimable runners within three seconds.
 """
 
 import dataclasses
@@ -12,9 +12,9 @@
 from lagoonrun_core import types
 from lagoonrun_duties import runner_model, runner_plan
 
-MOST = 47
+MAX_RUNNERS = 47
 TOKENS_PER_SECOND = 40_000.0
-"""Prompt tokens that a runner reads in a second."""
+"""Prefill rate of a runner."""
 
 BURST = runner_model.PoolDemand(prompt_tokens_per_second=2.4e6)
 
@@ -22,63 +22,64 @@
 def view(**scaling):
     values = {
         "minimum": 1,
-        "maximum": MOST,
+        "maximum": MAX_RUNNERS,
         "boot_seconds": 4.0,
         "reclaimable_price": 0.18,
         "price_by_domain": {"north": 0.85, "south": 1.2, "west": 1.0},
     }
-    made = runner_model.Scaling(**{**values, **scaling})
+    limits = runner_model.Scaling(**{**values, **scaling})
     return runner_model.PoolView(
         pool=types.PoolName("readers"),
-        scaling=made,
+        scaling=limits,
         domains=tuple(
             runner_model.DomainRunners(domain=name)
-            for name in made.price_by_domain
+            for name in limits.price_by_domain
         ),
         demand=BURST,
     )
 
 
-def wanted(**scaling):
-    return runner_plan.MixedPlan().wanted(view(**scaling))
+def desired(**scaling):
+    return runner_plan.MixedPlan().desired(view(**scaling))
 
 
 def test_pool_outlasts_the_loss_of_two_domains_in_a_burst():
-    """A third of the callers are late or refused for ten seconds.
+    """Guards against a third of the requests failing for ten seconds.
 
-    Two of three domains lose their reclaimable runners in a burst, and none are
-    to be had. What is left has to read all prompts of the burst.
+    They are late or refused when two of three domains lose their reclaimable
+    runners in a burst, and none are available. The remaining runners must
+    prefill all prompts of the burst.
     """
-    first, *others = wanted()
+    first, *others = desired()
     left = first.lasting + first.reclaimable
     left += sum(one.lasting for one in others)
     assert left * TOKENS_PER_SECOND >= BURST.prompt_tokens_per_second
 
 
 def test_pool_costs_a_third_of_what_it_costs_with_lasting_runners():
-    """Runners are the largest price of a calm day."""
-    price = sum(one.lasting + 0.18 * one.reclaimable for one in wanted())
-    assert price < 0.36 * 3 * MOST
+    """Runners are the largest cost of a day of low load."""
+    price = sum(one.lasting + 0.18 * one.reclaimable for one in desired())
+    assert price < 0.36 * 3 * MAX_RUNNERS
 
 
 def test_no_domain_gets_more_than_the_pool_may_have():
-    for most in range(1, 60):
-        for one in wanted(maximum=most):
-            assert one.lasting + one.reclaimable == most
+    for maximum in range(1, 60):
+        for one in desired(maximum=maximum):
+            assert one.lasting + one.reclaimable == maximum
             assert one.lasting >= 1
 
 
 def test_runners_that_save_nothing_are_not_ordered():
-    for one in wanted(reclaimable_price=1.0):
-        assert (one.lasting, one.reclaimable) == (MOST, 0)
+    for one in desired(reclaimable_price=1.0):
+        assert (one.lasting, one.reclaimable) == (MAX_RUNNERS, 0)
 
 
-@pytest.mark.parametrize("lasting", [0, 3, MOST])
-def test_what_is_there_changes_nothing(lasting):
-    """Orders that follow what has come would chase themselves.
+@pytest.mark.parametrize("lasting", [0, 3, MAX_RUNNERS])
+def test_existing_runners_change_nothing(lasting):
+    """Guards against orders that follow the runners already registered.
 
-    The plan that was the first took for wanted what had registered by then,
-    and sent away runners that had registered a moment later.
+    An earlier plan took the number of registered runners as the desired number,
+    and so removed runners that registered a moment later.
     """
     known = view()
     present = dataclasses.replace(
@@ -88,4 +89,4 @@
         ),
     )
     plan = runner_plan.MixedPlan()
-    assert plan.wanted(present) == plan.wanted(known)
+    assert plan.desired(present) == plan.desired(known)
