--- a/packages/duties/src/lagoonrun_duties/usage_record.py
+++ b/packages/duties/src/lagoonrun_duties/usage_record.py
@@ -1,8 +1,9 @@
-"""What the store keeps of usage reports: the windows that were settled last.
+"""The record of usage reports in the store: the windows that were settled last.
 
-A window is written before it is reported, under the condition that nobody has
-written since. So whoever holds the duty next says exactly the same of it, and
-nobody ever says anything else, whatever was lost on the way.
+A window is settled when its counts are final. Before it is reported it is
+written to the store, on the condition that nobody else has written since. So
+the next holder reports exactly the same counts, and nobody ever reports others,
+whatever message was lost.
 """
 
 import dataclasses
@@ -14,18 +15,19 @@
 
 KEY = "lagoonrun/usage"
 
-KEPT = 3
-"""Windows that are kept: those whose report may still be under way."""
+MAX_WINDOWS = 3
+"""Number of windows kept: those whose report may still be in progress."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SettledWindow:
-    """What is said of one window, by whoever says it.
+    """The final counts of one window.
 
     Parameters
     ----------
     reported
-        Whether the platform has confirmed it, as far as the writer knew.
+        Whether the platform has confirmed the report, as far as the writer
+        knew.
     """
 
     window: platform_calls.UsageWindow
@@ -40,8 +42,8 @@
     Parameters
     ----------
     era
-        Era of the store in which it was written: an older one says that the store
-        has come back from an older copy since.
+        Era of the store in which the record was written. An older one means
+        that the store has been restored from a backup since.
     """
 
     windows: tuple[SettledWindow, ...] = ()
@@ -56,22 +58,24 @@
         self, settled: SettledWindow, *, era: int
     ) -> "UsageRecord":
         """Return the record with one more window, as it is to be written."""
-        return UsageRecord(windows=(*self.windows, settled)[-KEPT:], era=era)
+        return UsageRecord(
+            windows=(*self.windows, settled)[-MAX_WINDOWS:], era=era
+        )
 
-    def with_remembered(
+    def with_missing_windows(
         self,
         settled_by_window: Mapping[platform_calls.UsageWindow, SettledWindow],
     ) -> "UsageRecord":
-        """Return the record with windows that it lacks."""
+        """Return the record completed by windows that it lacks."""
         by_window = dict(settled_by_window)
         by_window.update((one.window, one) for one in self.windows)
         windows = tuple(by_window[one] for one in sorted(by_window))
-        return dataclasses.replace(self, windows=windows[-KEPT:])
+        return dataclasses.replace(self, windows=windows[-MAX_WINDOWS:])
 
     def with_reported(
         self, window: platform_calls.UsageWindow
     ) -> "UsageRecord":
-        """Return the record with a window that the platform has confirmed."""
+        """Return the record with a window marked as confirmed."""
         return dataclasses.replace(
             self,
             windows=tuple(
@@ -92,12 +96,12 @@
 
 
 def decode(value: bytes) -> UsageRecord:
-    """Read a record back.
+    """Decode a record.
 
     Raises
     ------
     LagoonrunError
-        When the value is not such a record.
+        If the value is not a valid record.
     """
     try:
         table = json.loads(value)
--- a/packages/duties/src/lagoonrun_duties/usage_reporter.py
+++ b/packages/duties/src/lagoonrun_duties/usage_reporter.py
@@ -1,4 +1,7 @@
-"""Settle and report the usage of each window, as the holder of the duty."""
+"""Settle and report the usage of each window, as the holder of the duty.
+
+A window is settled when its counts are final and written to the store.
+"""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -15,35 +18,35 @@
 from lagoonrun_platform import store_eras
 
 SETTLE_SECONDS = 1.5
-"""Time after the end of a window until it is settled. Counts are told within a
-second; what is settled is not lost when all entry VMs lose power."""
+"""Time from the end of a window until it is settled. Counts arrive within a
+second, and a settled window survives a power loss of all entry VMs."""
 
-LONGEST_SETTLE_SECONDS = 5.0
-"""The same while a failure domain is silent: half of the time until the report is
-due, so that a successor still has the other half."""
+MAX_SETTLE_SECONDS = 5.0
+"""The same while a failure domain is silent: half of the time until the report
+is due, which leaves the other half to a successor."""
 
 
 class UsageReporter:
-    """Reports windows, one after the other.
+    """Reports windows in order.
 
     Parameters
     ----------
     configured
         Length of a window, and when its report is due.
     store
-        Keeps what was settled.
+        Keeps the settled windows.
     platform
         Receives the reports.
     may_call
-        Whether the tenure lasts for a call from now on.
+        Whether a call started now would end within the tenure.
     counts_of
-        Returns what is known of a window.
+        Returns the known counts of a window.
     is_complete
-        Whether every part of the fleet has told lately.
+        Whether every failure domain has reported recently.
     eras
         Eras of the store.
     time, clock
-        Sources of true time, and of the time by which eras are dated.
+        Wall-clock time, and the monotonic clock by which eras are dated.
     """
 
     def __init__(
@@ -69,7 +72,7 @@
         self._is_complete = is_complete
         self._eras = eras
         self._clock = clock
-        self._said_by_window: dict[
+        self._settled_by_window: dict[
             platform_calls.UsageWindow, usage_record.SettledWindow
         ] = {}
         self._time = time
@@ -86,15 +89,15 @@
         return self._time.now() - self._reported_at
 
     async def step(self, tenure: tenures.Tenure) -> None:
-        """Do what is due now; called a few times a second."""
+        """Perform the work that is due now; called a few times a second."""
         if tenure != self._tenure or self._revision is None:
             self._tenure = tenure
-            if not await self._read():
+            if not await self._read_record():
                 return
         await self._report_settled(tenure)
         await self._settle_next(tenure)
 
-    async def _read(self) -> bool:
+    async def _read_record(self) -> bool:
         """Read what was settled before; return whether the store answered."""
         self._revision = None
         item = await self._store.get(usage_record.KEY)
@@ -104,9 +107,11 @@
         self._record = usage_record.UsageRecord()
         if item.found is not None:
             self._revision = item.found.modified
-            self._record = _decoded(item.found.value)
-        # A store that came back from an older copy lacks what was settled since.
-        self._record = self._record.with_remembered(self._said_by_window)
+            self._record = _decode_or_empty(item.found.value)
+        # A store restored from a backup lacks the windows settled since.
+        self._record = self._record.with_missing_windows(
+            self._settled_by_window
+        )
         return True
 
     async def _report_settled(self, tenure: tenures.Tenure) -> None:
@@ -145,10 +150,10 @@
         window = self._next_window()
         end = (window + 1) * self._configured.window_seconds
         waited = self._time.now() - end
-        patience = LONGEST_SETTLE_SECONDS
+        settle_delay = MAX_SETTLE_SECONDS
         if self._is_complete():
-            patience = SETTLE_SECONDS
-        if waited < patience:
+            settle_delay = SETTLE_SECONDS
+        if waited < settle_delay:
             return
         settled = usage_record.SettledWindow(
             window=window,
@@ -173,13 +178,13 @@
             ],
         )
         if not isinstance(result, store_module.Committed):
-            # Written or not, by this entry VM or another: read before anything
-            # else is said.
+            # This write or another VM's may have been applied: read the record
+            # before anything else is reported.
             self._revision = None
             return
         self._revision = result.revision
         self._record = record
-        self._remember(settled)
+        self._keep_settled(settled)
         logs.emit(
             events.LogEvent.USAGE_SETTLED,
             window=window,
@@ -190,16 +195,16 @@
         if self._may_call(tenure):
             await self._report(settled, tenure)
 
-    def _remember(self, settled: usage_record.SettledWindow) -> None:
-        self._said_by_window[settled.window] = settled
-        while len(self._said_by_window) > usage_record.KEPT:
-            del self._said_by_window[min(self._said_by_window)]
+    def _keep_settled(self, settled: usage_record.SettledWindow) -> None:
+        self._settled_by_window[settled.window] = settled
+        while len(self._settled_by_window) > usage_record.MAX_WINDOWS:
+            del self._settled_by_window[min(self._settled_by_window)]
 
     def _next_window(self) -> platform_calls.UsageWindow:
         """Return the window after the last settled one that is not too late.
 
-        What was not settled in time is left out: a report after it was due is
-        worth nothing to anybody.
+        Windows that were not settled in time are skipped: a report past its
+        deadline is of no use.
         """
         newest = self._record.newest
         window = self._first_window if newest is None else newest + 1
@@ -211,28 +216,29 @@
         end = (window + 1) * self._configured.window_seconds
         if self._time.now() > end + self._configured.report_deadline_seconds:
             return True
-        return self._may_be_forgotten(window, end)
+        return self._may_be_lost_by_restore(window, end)
 
-    def _may_be_forgotten(
+    def _may_be_lost_by_restore(
         self, window: platform_calls.UsageWindow, end: float
     ) -> bool:
-        """Return whether a window may have been reported and then forgotten.
+        """Return whether a window may have been reported and lost by a restore.
 
-        The store came back from an older copy after the window's end: another
-        entry VM may have settled and reported it, with other counts. Nothing is
-        said of such a window, but by the one that remembers what it said.
+        The store was restored from a backup after the end of the window.
+        Another entry VM may have settled and reported it with other counts. So
+        nobody reports such a window, except the entry VM that still knows what
+        it reported.
         """
         seen_at = self._eras.seen_at
         if seen_at is None or self._record.era == self._eras.newest:
-            # Written since the last restore, if there ever was one.
+            # The record was written since the last restore, if there was any.
             return False
-        if window in self._said_by_window:
+        if window in self._settled_by_window:
             return False
         era_age = self._clock.monotonic() - seen_at
         return end < self._time.now() - era_age
 
 
-def _decoded(value: bytes) -> usage_record.UsageRecord:
+def _decode_or_empty(value: bytes) -> usage_record.UsageRecord:
     try:
         return usage_record.decode(value)
     except errors.LagoonrunError as error:
--- a/packages/duties/tests/test_usage_reporter.py
+++ b/packages/duties/tests/test_usage_reporter.py
@@ -1,4 +1,4 @@
-"""Settling and reporting windows while answers, holders and the store are lost."""
+"""Settling and reporting windows under lost responses, holders and store."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 class _Holder:
-    """One entry VM that holds the duty, with what it knows of the counts."""
+    """One entry VM that holds the duty, with the counts that it knows."""
 
     def __init__(self, configured, store, platform, clock):
         self.count = 0
@@ -49,7 +49,7 @@
             clock=clock,
         )
 
-    async def take_office(self):
+    async def begin_tenure(self):
         key = tenures.holder_key(DUTY)
         written = await self.store.transact(
             comparisons=(), puts=[store_module.Put(key=key, value=b"")]
@@ -75,7 +75,7 @@
 @pytest.fixture
 async def holder(make_holder):
     made = make_holder()
-    await made.take_office()
+    await made.begin_tenure()
     return made
 
 
@@ -98,10 +98,10 @@
 async def test_unanswered_report_is_repeated_with_the_same_counts(
     holder, platform, clock
 ):
-    """The answer to a report is lost, and more counts come in meanwhile.
+    """The response to a report is lost, and more counts arrive meanwhile.
 
-    A second report with other counts would be a contradiction; nobody knows
-    whether the first was taken.
+    A second report with other counts would contradict the first, which may have
+    been accepted.
     """
     platform.result = platform_calls.Unanswered(detail="lost")
     holder.count = 3
@@ -114,19 +114,19 @@
     assert [one[0] for one in platform.reports[-1:]] == [200]
 
 
-async def test_successor_says_what_was_settled_and_goes_on(
+async def test_successor_reports_what_was_settled_and_continues(
     holder, make_holder, platform, clock
 ):
-    """A holder is killed between the settling of a window and its report.
+    """A holder is killed between settling a window and reporting it.
 
-    Its successor counted something else, since it heard others.
+    Its successor has other counts, since it received other messages.
     """
     holder.count = 3
     holder.may_call = False
     await pass_time(clock, 7.0, holder)
     successor = make_holder()
     successor.count = 9
-    await successor.take_office()
+    await successor.begin_tenure()
     await pass_time(clock, 5.0, successor)
     assert [one[:2] for one in platform.reports] == [
         (200, {"house": 3}),
@@ -137,17 +137,17 @@
 async def test_holder_that_lost_its_key_settles_nothing(
     holder, make_holder, platform, clock, store
 ):
-    """A holder wakes up after its lease and settles a window once more."""
+    """Guards against a holder that wakes after its lease and settles again."""
     successor = make_holder()
     await pass_time(clock, 4.0, holder)
-    await successor.take_office()
+    await successor.begin_tenure()
     await pass_time(clock, 4.0, holder)
     assert (await store.get(usage_record.KEY)).found is None
     assert not platform.reports
 
 
 @pytest.mark.parametrize("fault", ["lost_replies", "lost_requests"])
-async def test_lost_write_is_read_back_before_anything_is_said(
+async def test_lost_write_is_read_back_before_anything_is_reported(
     holder, platform, clock, store, fault
 ):
     holder.count = 3
@@ -161,7 +161,7 @@
     assert [one[:2] for one in platform.reports] == [(200, {"house": expected})]
 
 
-async def test_windows_of_an_outage_are_caught_up_within_their_time(
+async def test_windows_of_an_outage_are_reported_within_their_deadline(
     holder, platform, clock, store
 ):
     await pass_time(clock, 4.0, holder)
@@ -173,7 +173,7 @@
     assert [one[0] for one in platform.reports] == [200, 201]
 
 
-async def test_window_that_is_due_no_more_is_left_out(
+async def test_window_past_its_deadline_is_skipped(
     holder, platform, clock, store
 ):
     store.stop()
@@ -183,7 +183,7 @@
     assert [one[0] for one in platform.reports] == [201, 202]
 
 
-async def test_silent_domain_is_waited_for_but_not_past_its_time(
+async def test_silent_domain_is_waited_for_up_to_a_limit(
     holder, platform, clock
 ):
     holder.complete = False
@@ -202,21 +202,21 @@
     assert [one[0] for one in platform.reports] == [200]
 
 
-async def test_holder_remembers_what_a_restored_store_has_forgotten(
+async def test_holder_knows_what_a_restored_store_has_lost(
     holder, platform, clock, store
 ):
-    """The store comes back from a copy without the window that was reported.
+    """The store is restored from a backup without the window that was reported.
 
-    A second report of it, with the counts that came in since, would contradict.
+    A second report, with the counts received since, would contradict the first.
     """
     holder.eras.take(1)
-    copy = store.revision
+    backup = store.revision
     holder.count = 3
     await pass_time(clock, 7.0, holder)
-    store.restore(copy)
+    store.restore(backup)
     holder.eras.take(2)
     holder.count = 8
-    await holder.take_office()
+    await holder.begin_tenure()
     await pass_time(clock, 6.0, holder)
     counts_by_window = {}
     for window, counts, _ in platform.reports:
@@ -225,20 +225,20 @@
     assert set(counts_by_window[200]) == {3}
 
 
-async def test_successor_leaves_out_what_may_have_been_said_and_forgotten(
+async def test_successor_skips_what_may_have_been_reported_and_lost(
     make_holder, platform, clock, store
 ):
-    """The holder has reported a window and ended; the store has forgotten both."""
+    """The holder has reported a window and ended; the restore has lost both."""
     first, second = make_holder(), make_holder()
     first.eras.take(1)
-    copy = store.revision
-    await first.take_office()
+    backup = store.revision
+    await first.begin_tenure()
     first.count = 3
     await pass_time(clock, 7.0, first)
-    store.restore(copy)
+    store.restore(backup)
     second.eras.take(2)
     second.count = 8
-    await second.take_office()
+    await second.begin_tenure()
     await pass_time(clock, 6.0, second)
     reports = [(window, one["house"]) for window, one, _ in platform.reports]
     assert set(reports) == {(200, 3), (201, 8)}
@@ -247,13 +247,13 @@
 async def test_successor_that_has_just_started_catches_up_without_a_restore(
     make_holder, platform, clock
 ):
-    """All entry VMs were killed; the record says that nothing was forgotten."""
+    """All VMs were killed; the record's era shows that nothing was lost."""
     first, second = make_holder(), make_holder()
     first.eras.take(4)
-    await first.take_office()
+    await first.begin_tenure()
     await pass_time(clock, 7.0, first)
     clock.advance(5.0)
     second.eras.take(4)
-    await second.take_office()
+    await second.begin_tenure()
     await pass_time(clock, 2.0, second)
     assert {window for window, _, _ in platform.reports} >= {200, 201}
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -37,7 +37,7 @@
     reacquire_delay_seconds=3.0,
 )
 STEP_SECONDS = 0.25
-WRONG_SECONDS = filtered_clock.LASTING_SECONDS / 2
+WRONG_SECONDS = filtered_clock.STEP_ACCEPTANCE_SECONDS / 2
 
 
 def pool(now):
