--- a/packages/orders/src/lagoonrun_orders/assignment.py
+++ b/packages/orders/src/lagoonrun_orders/assignment.py
@@ -1,7 +1,7 @@
-"""Which upstreams are to hold which models, in which role. Pure.
+"""Assign models and roles to upstreams; no I/O.
 
-The assignment follows what upstreams already hold, so that it moves as
-little as it can and stays as it is once it is reached.
+The assignment follows what the upstreams already hold, so that it moves as few
+models as possible and is stable once it is reached.
 """
 
 import dataclasses
@@ -13,15 +13,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Wanted:
-    """What one upstream is to hold.
+class DesiredState:
+    """Desired models and role of one upstream.
 
     Parameters
     ----------
     role
-        None where no placement needs the upstream: its role stays.
+        None where no placement needs the upstream: its role stays as it is.
     placement_by_model
-        Models and adapters that it is to hold.
+        Models and adapters to be loaded.
     """
 
     role: str | None
@@ -30,15 +30,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Assignment:
-    """What every usable upstream of a pool is to hold.
+    """Desired state of every usable upstream of a pool.
 
     Parameters
     ----------
     missing_by_role
-        Upstreams that a role lacks because the pool has too few.
+        Number of upstreams that a role lacks because the pool has too few.
     """
 
-    wanted_by_id: Mapping[types.UpstreamId, Wanted]
+    desired_by_id: Mapping[types.UpstreamId, DesiredState]
     missing_by_role: Mapping[str, int]
 
 
@@ -51,30 +51,31 @@
     Parameters
     ----------
     state_by_id
-        Usable upstreams of the pool: neither leaving nor long unheard of.
+        Usable upstreams of the pool: neither leaving nor silent for a long
+        time.
     """
     ids_by_role, missing_by_role = _assign_roles(placements, state_by_id)
     chosen_by_id: dict[types.UpstreamId, dict[str, model.Placement]] = {
         upstream: {} for upstream in state_by_id
     }
-    for placement in _in_order(placements):
+    for placement in _sorted(placements):
         candidates = ids_by_role.get(placement.role, ())
-        for upstream in _choose(
+        for upstream in _choose_upstreams(
             placement, candidates, state_by_id, chosen_by_id
         ):
             chosen_by_id[upstream][placement.model] = placement
     role_by_id = {
         upstream: role for role, ids in ids_by_role.items() for upstream in ids
     }
-    wanted_by_id = {
-        upstream: Wanted(
+    desired_by_id = {
+        upstream: DesiredState(
             role=role_by_id.get(upstream),
             placement_by_model=chosen_by_id[upstream],
         )
         for upstream in state_by_id
     }
     return Assignment(
-        wanted_by_id=wanted_by_id, missing_by_role=missing_by_role
+        desired_by_id=desired_by_id, missing_by_role=missing_by_role
     )
 
 
@@ -82,26 +83,28 @@
     placements: Sequence[model.Placement],
     state_by_id: Mapping[types.UpstreamId, upstream_orders.UpstreamState],
 ) -> tuple[dict[str, list[types.UpstreamId]], dict[str, int]]:
-    """Give each role as many upstreams as its largest placement needs."""
+    """Assign to each role as many upstreams as its largest placement needs."""
     needed_by_role: dict[str, int] = {}
     models_by_role: dict[str, set[str]] = {}
-    for one in _in_order(placements):
+    for one in _sorted(placements):
         largest = max(one.count, needed_by_role.get(one.role, 0))
         needed_by_role[one.role] = largest
         models_by_role.setdefault(one.role, set()).add(one.model)
     free = set(state_by_id)
     ids_by_role: dict[str, list[types.UpstreamId]] = {}
-    # Those that have a role keep it, before any role takes from the rest.
+    # Upstreams keep their role before any role takes from the rest.
     for role, needed in needed_by_role.items():
         holders = [one for one in free if state_by_id[one].role == role]
-        ids_by_role[role] = _most_loaded(
+        ids_by_role[role] = _by_models_loaded(
             holders, models_by_role[role], state_by_id
         )[:needed]
         free.difference_update(ids_by_role[role])
     missing_by_role: dict[str, int] = {}
     for role, needed in needed_by_role.items():
         lacking = needed - len(ids_by_role[role])
-        added = _most_loaded(free, models_by_role[role], state_by_id)[:lacking]
+        added = _by_models_loaded(free, models_by_role[role], state_by_id)[
+            :lacking
+        ]
         ids_by_role[role].extend(added)
         free.difference_update(added)
         if lacking > len(added):
@@ -109,12 +112,12 @@
     return ids_by_role, missing_by_role
 
 
-def _most_loaded(
+def _by_models_loaded(
     ids: Iterable[types.UpstreamId],
     models: set[str],
     state_by_id: Mapping[types.UpstreamId, upstream_orders.UpstreamState],
 ) -> list[types.UpstreamId]:
-    """Order by how many of the models are loaded already, then by id."""
+    """Sort by how many of the models are loaded already, then by id."""
     return sorted(
         ids,
         key=lambda one: (
@@ -124,7 +127,7 @@
     )
 
 
-def _choose(
+def _choose_upstreams(
     placement: model.Placement,
     candidates: Iterable[types.UpstreamId],
     state_by_id: Mapping[types.UpstreamId, upstream_orders.UpstreamState],
@@ -142,7 +145,7 @@
     return sorted(candidates, key=rank)[: placement.count]
 
 
-def _in_order(
+def _sorted(
     placements: Sequence[model.Placement],
 ) -> list[model.Placement]:
     return sorted(placements, key=lambda one: (one.role, one.model))
--- a/packages/orders/src/lagoonrun_orders/orderer.py
+++ b/packages/orders/src/lagoonrun_orders/orderer.py
@@ -1,9 +1,11 @@
-"""The orderer of a failure domain: reads states, plans, sends orders.
-
-Every entry VM runs one; only that with the tenure does anything. An order to
-an upstream that checks fencing numbers is guarded there. To one that does
-not, an order goes only while the lease outlasts the order's timeout by a
-margin, and a new tenure first waits out what its predecessor may have sent.
+"""The orderer of a failure domain: reads states, plans, and sends orders.
+
+Orders bring upstreams to their declared placement. Every entry VM runs an
+orderer; only the holder of the duty's lease is active. An upstream that checks
+fencing numbers rejects orders of an earlier holder. To one that does not, an
+order is sent only while the lease outlasts the order's time limit by a margin,
+and a new tenure first waits until its predecessor's orders can no longer take
+effect.
 """
 
 import asyncio
@@ -37,16 +39,16 @@
     Parameters
     ----------
     leadership
-        Started and closed by the orderer; sought once there are placements.
+        Started and closed by the orderer; started once there are placements.
     placements, upstreams
-        Return what is in force now.
+        Return those currently in force.
     is_leaving
-        Whether any source says that an upstream is leaving.
+        Whether any source reports that an upstream is leaving.
     order_timeout_seconds
-        As given to the leadership.
+        The same as for the leadership.
     forget_seconds
-        How long an upstream that does not answer keeps its place in the
-        plan; a short silence moves no models.
+        How long an upstream that does not answer stays in the plan, so that a
+        short silence moves no models.
     """
 
     def __init__(
@@ -82,23 +84,23 @@
         self._reloading_share = reloading_share
         self._sleep = sleep
         self._task: asyncio.Task[None] | None = None
-        self._seen_by_id: dict[types.UpstreamId, _Seen] = {}
+        self._last_state_by_id: dict[types.UpstreamId, _LastState] = {}
         self._sending_by_id: dict[types.UpstreamId, asyncio.Task[None]] = {}
-        self._unsettled_until_by_id: dict[types.UpstreamId, float] = {}
-        self._told_by_id: dict[types.UpstreamId, plan_module.Decision] = {}
+        self._uncertain_until_by_id: dict[types.UpstreamId, float] = {}
+        self._logged_by_id: dict[types.UpstreamId, plan_module.Decision] = {}
 
     @property
     def fencing(self) -> types.FencingNumber | None:
-        """Return the number that orders carry now; None when none may go."""
+        """The fencing number of orders sent now; None if none may be sent."""
         tenure = self._leadership.tenure
         return None if tenure is None else tenure.fencing
 
     async def start(self) -> None:
-        """Begin the rounds; the tenure is sought once it is of use."""
+        """Start the rounds; the lease is acquired once there are placements."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Finish the orders under way and give the tenure up."""
+        """Finish the orders in progress and release the lease."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -107,9 +109,9 @@
         if self._sending_by_id:
             await asyncio.wait(self._sending_by_id.values())
         now = self._clock.monotonic()
-        unsettled = self._unsettled_until_by_id.values()
+        uncertain = self._uncertain_until_by_id.values()
         await self._leadership.close(
-            clean=all(until <= now for until in unsettled)
+            clean=all(until <= now for until in uncertain)
         )
 
     async def _run(self) -> None:
@@ -120,10 +122,10 @@
             tenure = self._leadership.tenure
             if tenure is not None:
                 try:
-                    await self._round(tenure)
+                    await self._run_round(tenure)
                 except Exception as error:
-                    # A fault in one round must not end the orderer of the
-                    # domain while its process goes on holding the lease.
+                    # A fault in one round must not stop the orderer while its
+                    # process keeps holding the lease.
                     logs.emit(
                         events.LogEvent.TASK_FAILED,
                         task="orderer",
@@ -134,35 +136,35 @@
     def _has_work(self) -> bool:
         """Return whether the domain has placements.
 
-        Without any, no entry VM of it holds a lease or watches for one.
+        Without any, none of its entry VMs acquires a lease or watches for one.
         """
         return any(one.domain == self._domain for one in self._placements())
 
-    async def _round(self, tenure: tenure_module.Tenure) -> None:
+    async def _run_round(self, tenure: tenure_module.Tenure) -> None:
         placements = [
             one for one in self._placements() if one.domain == self._domain
         ]
-        upstreams = self._managed_upstreams({one.pool for one in placements})
+        upstreams = self._upstreams_of_pools({one.pool for one in placements})
         reading = self._begin_reading(tenure)
         states = await asyncio.gather(
             *(self._upstream_orders.state(one) for one in upstreams)
         )
         views = []
-        unheard_pools = set()
+        unknown_pools = set()
         for upstream, state in zip(upstreams, states, strict=True):
             view = self._view(upstream, state, reading)
             if view is not None:
                 views.append(view)
             elif not self._is_forgotten(upstream):
-                unheard_pools.add(upstream.pool)
+                unknown_pools.add(upstream.pool)
         available = self._budget.available_bytes()
         planned = plan_module.plan(
             domain=self._domain,
             placements=[
-                one for one in placements if one.pool not in unheard_pools
+                one for one in placements if one.pool not in unknown_pools
             ],
             views=views,
-            affords=lambda size, spent: self._budget.affords(
+            allows=lambda size, spent: self._budget.allows(
                 size, available=available - spent
             ),
             reloading_share=self._reloading_share,
@@ -170,10 +172,10 @@
         upstream_by_id = {one.id: one for one in upstreams}
         for decision in planned.decisions:
             upstream = upstream_by_id[decision.order.upstream]
-            self._follow(tenure, upstream, decision)
-        self._forget_settled(planned)
+            self._execute(tenure, upstream, decision)
+        self._forget_finished(planned)
 
-    def _managed_upstreams(
+    def _upstreams_of_pools(
         self, pools: Collection[types.PoolName]
     ) -> list[model.Upstream]:
         return [
@@ -183,13 +185,13 @@
         ]
 
     def _begin_reading(self, tenure: tenure_module.Tenure) -> "_Reading":
-        """Note what may make a state that is asked for now an old one."""
+        """Record what could make the states that are read now outdated."""
         now = self._clock.monotonic()
-        unsettled = self._unsettled_until_by_id
+        uncertain = self._uncertain_until_by_id
         return _Reading(
             changing=frozenset(self._sending_by_id)
-            | {one for one, until in unsettled.items() if until > now},
-            predecessor_over=now >= tenure.first_order_at,
+            | {one for one, until in uncertain.items() if until > now},
+            predecessor_done=now >= tenure.first_order_at,
         )
 
     def _view(
@@ -198,19 +200,21 @@
         state: upstream_orders.StateResult,
         reading: "_Reading",
     ) -> plan_module.View | None:
-        """Return what is known of an upstream, None when nothing is."""
+        """Return the known state of an upstream, or None."""
         now = self._clock.monotonic()
         current = isinstance(state, upstream_orders.UpstreamState)
         if current:
-            self._seen_by_id[upstream.id] = _Seen(state=state, at=now)
-        seen = self._seen_by_id.setdefault(
-            upstream.id, _Seen(state=None, at=now)
+            self._last_state_by_id[upstream.id] = _LastState(
+                state=state, at=now
+            )
+        seen = self._last_state_by_id.setdefault(
+            upstream.id, _LastState(state=None, at=now)
         )
         if seen.state is None or self._is_forgotten(upstream):
             return None
-        # The predecessor's last orders may still change an upstream that
-        # does not check, so its state is not the last word until then.
-        settled = upstream.checks_fencing or reading.predecessor_over
+        # The predecessor's last orders may still change an upstream that does
+        # not check fencing numbers, so its state is not final until then.
+        settled = upstream.checks_fencing or reading.predecessor_done
         leaving = seen.state.leaving or self._is_leaving(upstream.id)
         return plan_module.View(
             upstream=upstream,
@@ -221,21 +225,21 @@
 
     def _is_forgotten(self, upstream: model.Upstream) -> bool:
         """Return whether an upstream has been silent for too long."""
-        seen = self._seen_by_id[upstream.id]
+        seen = self._last_state_by_id[upstream.id]
         return self._clock.monotonic() - seen.at > self._forget_seconds
 
-    def _follow(
+    def _execute(
         self,
         tenure: tenure_module.Tenure,
         upstream: model.Upstream,
         decision: plan_module.Decision,
     ) -> None:
         if decision.verdict is not plan_module.Verdict.SEND:
-            self._tell(tenure, decision)
+            self._log_decision(tenure, decision)
             return
         if not self._may_send(tenure, upstream):
             return
-        self._tell(tenure, decision)
+        self._log_decision(tenure, decision)
         self._budget.spend(decision.weight_bytes)
         self._sending_by_id[upstream.id] = asyncio.create_task(
             self._send(tenure, upstream, decision)
@@ -246,17 +250,19 @@
     ) -> bool:
         """Return whether an order's first byte may be written now.
 
-        An upstream that does not check takes an order whenever it comes. So
-        it must have taken effect before the store lets the lease lapse, and
-        the predecessor's must have as well: its lease was over when this
-        tenure began, and its orders' timeout is waited out on top of that.
+        An upstream that does not check fencing numbers accepts an order
+        whenever it arrives. So the order must take effect before the lease
+        expires in the store, and those of the predecessor must have taken
+        effect: its lease had expired when this tenure began, and the time limit
+        of its orders is waited for in addition.
         """
-        left = self._leadership.remaining_seconds(tenure)
+        remaining = self._leadership.remaining_seconds(tenure)
         if upstream.checks_fencing:
-            return left > 0
+            return remaining > 0
         needed = self._order_timeout_seconds + self._margin_seconds
         return (
-            left >= needed and self._clock.monotonic() >= tenure.first_order_at
+            remaining >= needed
+            and self._clock.monotonic() >= tenure.first_order_at
         )
 
     async def _send(
@@ -281,15 +287,15 @@
             result,
             upstream_orders.OrderUnknown | upstream_orders.RefusedOldFencing,
         ):
-            # It may take effect until its timeout has passed; only a state
-            # that is read after that says what became of it. One refused is
-            # not sent again each round either.
-            self._unsettled_until_by_id[upstream.id] = (
+            # The order may take effect until its time limit has passed; only a
+            # state read after that shows the result. A refused order is not
+            # repeated every round either.
+            self._uncertain_until_by_id[upstream.id] = (
                 self._clock.monotonic() + self._order_timeout_seconds
             )
         if isinstance(result, upstream_orders.NotSent):
             self._budget.spend(-decision.weight_bytes)
-        self._told_by_id.pop(upstream.id, None)
+        self._logged_by_id.pop(upstream.id, None)
         logs.emit(
             events.LogEvent.ORDER_ENDED,
             fencing=tenure.fencing,
@@ -298,14 +304,14 @@
             **_fields(decision.order),
         )
 
-    def _tell(
+    def _log_decision(
         self, tenure: tenure_module.Tenure, decision: plan_module.Decision
     ) -> None:
-        """Write one line per decision, not one per round that repeats it."""
+        """Log a decision once, not in each round that repeats it."""
         upstream = decision.order.upstream
-        if self._told_by_id.get(upstream) == decision:
+        if self._logged_by_id.get(upstream) == decision:
             return
-        self._told_by_id[upstream] = decision
+        self._logged_by_id[upstream] = decision
         logs.emit(
             events.LogEvent.ORDER_DECIDED,
             domain=self._domain,
@@ -315,22 +321,22 @@
             **_fields(decision.order),
         )
 
-    def _forget_settled(self, planned: plan_module.Plan) -> None:
+    def _forget_finished(self, planned: plan_module.Plan) -> None:
         due = {one.order.upstream for one in planned.decisions}
-        for upstream in list(self._told_by_id):
+        for upstream in list(self._logged_by_id):
             if upstream not in due and upstream not in self._sending_by_id:
-                del self._told_by_id[upstream]
+                del self._logged_by_id[upstream]
         now = self._clock.monotonic()
-        for upstream, until in list(self._unsettled_until_by_id.items()):
+        for upstream, until in list(self._uncertain_until_by_id.items()):
             if until <= now:
-                del self._unsettled_until_by_id[upstream]
+                del self._uncertain_until_by_id[upstream]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Seen:
-    """An upstream's last state and the monotonic reading of its arrival.
+class _LastState:
+    """Last state of an upstream and the monotonic time of its arrival.
 
-    Without a state, the reading is that of the first unanswered question.
+    Without a state, it is the time of the first request that had no response.
     """
 
     state: upstream_orders.UpstreamState | None
@@ -339,10 +345,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Reading:
-    """What was under way when a round asked for states."""
+    """What was in progress when a round requested the states."""
 
     changing: frozenset[types.UpstreamId]
-    predecessor_over: bool
+    predecessor_done: bool
 
 
 def _fields(order: upstream_orders.Order) -> dict[str, str]:
--- a/packages/orders/src/lagoonrun_orders/plan.py
+++ b/packages/orders/src/lagoonrun_orders/plan.py
@@ -1,7 +1,8 @@
-"""The next orders that bring upstreams to their declared placement. Pure.
+"""The next orders that bring upstreams to their declared placement; no I/O.
 
-Each round looks at what upstreams report and gives each of them one order at
-most. What may not go out now is a decision as well, with its reason.
+Each round compares the reported states with the placements and plans at most
+one order for each upstream. An order that must wait is a decision as well, with
+its reason.
 """
 
 import collections
@@ -18,7 +19,7 @@
 
 
 class Verdict(enum.Enum):
-    """What becomes of a due order in this round."""
+    """What happens to a due order in this round."""
 
     SEND = "send"
     WAIT_FOR_RELOADS = "wait-for-reloads"
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Decision:
-    """One due order and whether it goes out now."""
+    """One due order and whether it is sent now."""
 
     order: upstream_orders.Order
     verdict: Verdict
@@ -38,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class View:
-    """What is known of one upstream.
+    """The known state of one upstream.
 
     Parameters
     ----------
     state
         Last state that it reported.
     current
-        Whether the state is from this round and no order is under way.
+        Whether the state is from this round and no order is in progress.
     changing
-        Whether an order is under way or its result is not known.
+        Whether an order is in progress or its result is unknown.
     """
 
     upstream: model.Upstream
@@ -58,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """Decisions of one round and what the pools lack."""
+    """Decisions of one round, and the upstreams that the pools lack."""
 
     decisions: tuple[Decision, ...]
     missing_by_role_by_pool: Mapping[types.PoolName, Mapping[str, int]]
@@ -69,7 +70,7 @@
     domain: types.FailureDomain,
     placements: Sequence[model.Placement],
     views: Sequence[View],
-    affords: Callable[[int, int], bool],
+    allows: Callable[[int, int], bool],
     reloading_share: float = DEFAULT_RELOADING_SHARE,
 ) -> Plan:
     """Return the decisions of one round.
@@ -77,27 +78,27 @@
     Parameters
     ----------
     placements, views
-        Those of other domains are ignored. Pools without a placement are
-        left alone; so are upstreams that leave.
-    affords
-        Says whether a load of the first number of bytes is let through
-        after loads of the second number in the same round.
+        Those of other domains are ignored. Pools without a placement are not
+        changed; neither are upstreams that are leaving.
+    allows
+        Returns whether a load of the first number of bytes is allowed after
+        loads of the second number in the same round.
     reloading_share
-        Part of a pool that may change at once; one upstream may always.
+        Fraction of a pool that may change at once; one upstream always may.
     """
     decisions: list[Decision] = []
     missing: dict[types.PoolName, Mapping[str, int]] = {}
-    here = [one for one in placements if one.domain == domain]
+    local = [one for one in placements if one.domain == domain]
     spent = 0
-    for pool in sorted({one.pool for one in here}):
-        found = _Pool(
-            placements=[one for one in here if one.pool == pool],
+    for pool in sorted({one.pool for one in local}):
+        pool_round = _PoolRound(
+            placements=[one for one in local if one.pool == pool],
             views=_usable(views, domain, pool),
             reloading_share=reloading_share,
         )
-        if found.assignment.missing_by_role:
-            missing[pool] = found.assignment.missing_by_role
-        for decision in found.decide(affords, spent):
+        if pool_round.assignment.missing_by_role:
+            missing[pool] = pool_round.assignment.missing_by_role
+        for decision in pool_round.decide(allows, spent):
             decisions.append(decision)
             if decision.verdict is Verdict.SEND:
                 spent += decision.weight_bytes
@@ -119,8 +120,8 @@
     )
 
 
-class _Pool:
-    """The round of one pool."""
+class _PoolRound:
+    """One round of one pool."""
 
     def __init__(
         self,
@@ -139,35 +140,35 @@
             _Holding(model=one.model, role=one.role): one.count
             for one in placements
         }
-        # Holders that this round leaves as they are.
-        self._ready = collections.Counter(
+        # Number of upstreams with each holding that this round does not change.
+        self._ready_by_holding = collections.Counter(
             holding for view in views for holding in self._holdings(view)
         )
 
     def decide(
-        self, affords: Callable[[int, int], bool], spent: int
+        self, allows: Callable[[int, int], bool], spent: int
     ) -> Iterator[Decision]:
         changing = sum(view.changing for view in self._views)
         for view in self._views:
             if view.changing:
                 continue
-            due = self._due(view)
+            due = self._next_decision(view)
             if due is None:
                 continue
-            verdict = self._judge(view, due, changing, affords, spent)
+            verdict = self._verdict(view, due, changing, allows, spent)
             decision = dataclasses.replace(due, verdict=verdict)
             if verdict is Verdict.SEND:
                 changing += 1
                 spent += decision.weight_bytes
-                self._leave(view, decision.order)
+                self._remove_holdings(view, decision.order)
             yield decision
 
-    def _judge(
+    def _verdict(
         self,
         view: View,
         due: Decision,
         changing: int,
-        affords: Callable[[int, int], bool],
+        allows: Callable[[int, int], bool],
         spent: int,
     ) -> Verdict:
         if not view.current:
@@ -176,25 +177,26 @@
             return due.verdict
         if changing >= self._limit:
             return Verdict.WAIT_FOR_RELOADS
-        if due.weight_bytes and not affords(due.weight_bytes, spent):
+        if due.weight_bytes and not allows(due.weight_bytes, spent):
             return Verdict.WAIT_FOR_WEIGHTS
         return Verdict.SEND
 
-    def _due(self, view: View) -> Decision | None:
+    def _next_decision(self, view: View) -> Decision | None:
         """Return the first due order of one upstream.
 
-        A role comes first, then loads, then unloads: a load order names the
-        role, and an engine that has it takes the model up at once.
+        A change of role comes first, then loads, then unloads: a load order
+        names the role, and an engine that has this role serves the model at
+        once.
         """
-        wanted = self.assignment.wanted_by_id[view.upstream.id]
+        desired = self.assignment.desired_by_id[view.upstream.id]
         state = view.state
-        if wanted.role is not None and state.role != wanted.role:
-            return self._change_role(view, wanted.role)
-        for name, placement in sorted(wanted.placement_by_model.items()):
+        if desired.role is not None and state.role != desired.role:
+            return self._change_role(view, desired.role)
+        for name, placement in sorted(desired.placement_by_model.items()):
             loaded = state.version_by_model.get(name)
             if loaded is None or placement.version not in ("", loaded):
                 return _load(view, placement)
-        return self._unload(view, wanted)
+        return self._unload(view, desired)
 
     def _change_role(self, view: View, role: str) -> Decision:
         order = upstream_orders.Order(
@@ -202,8 +204,8 @@
             kind=upstream_orders.OrderKind.ROLE,
             role=role,
         )
-        # A change before the replacement is there would leave fewer
-        # upstreams with a model than were declared.
+        # Changing the role before a replacement is loaded would leave fewer
+        # upstreams with a model than declared.
         if all(
             self._is_spare(view, one) for one in view.state.version_by_model
         ):
@@ -211,11 +213,11 @@
         return Decision(order=order, verdict=Verdict.WAIT_FOR_REPLACEMENT)
 
     def _unload(
-        self, view: View, wanted: assignment_module.Wanted
+        self, view: View, desired: assignment_module.DesiredState
     ) -> Decision | None:
         extra = sorted(
             view.state.version_by_model.keys()
-            - wanted.placement_by_model.keys()
+            - desired.placement_by_model.keys()
         )
         if not extra:
             return None
@@ -230,14 +232,14 @@
         return Decision(order=order, verdict=Verdict.WAIT_FOR_REPLACEMENT)
 
     def _is_spare(self, view: View, name: str) -> bool:
-        """Return whether the others leave what is declared of a model."""
+        """Return whether the other upstreams hold enough of a model."""
         holding = _Holding(model=name, role=view.state.role)
         if holding not in self._holdings(view):
             return True
-        return self._ready[holding] - 1 >= self._declared[holding]
+        return self._ready_by_holding[holding] - 1 >= self._declared[holding]
 
     def _holdings(self, view: View) -> list["_Holding"]:
-        """Return the placements that an upstream counts for."""
+        """Return the declared holdings that an upstream counts for."""
         if view.changing:
             return []
         held = [
@@ -246,19 +248,21 @@
         ]
         return [one for one in held if one in self._declared]
 
-    def _leave(self, view: View, order: upstream_orders.Order) -> None:
-        """Count out what an order takes away from its upstream."""
+    def _remove_holdings(
+        self, view: View, order: upstream_orders.Order
+    ) -> None:
+        """Subtract the holdings that an order removes from its upstream."""
         for holding in self._holdings(view):
             if order.kind is upstream_orders.OrderKind.ROLE or (
                 order.kind is upstream_orders.OrderKind.UNLOAD
                 and order.model == holding.model
             ):
-                self._ready[holding] -= 1
+                self._ready_by_holding[holding] -= 1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Holding:
-    """A model in a role, as a placement declares and an upstream holds it."""
+    """A model in a role, as a placement declares it or an upstream holds it."""
 
     model: str
     role: str
--- a/packages/orders/tests/conftest.py
+++ b/packages/orders/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a fake store, a clock and declarations."""
+"""Shared fixtures: an in-memory store, a clock and declarations."""
 
 import pytest
 
--- a/packages/orders/tests/test_fencing.py
+++ b/packages/orders/tests/test_fencing.py
@@ -1,14 +1,14 @@
-"""State machine: two orderers of a domain, either kind of upstream.
+"""State machine: two orderers of a domain, and both kinds of upstream.
 
-Real `Orderer`s and `Leadership`s run over one store. Each step of a process
-(a call before and after its effect, an order before its first byte, a timer)
-may be the one at which it freezes. The oracle stands at the upstreams: once
-an order of a tenure took effect, none of an earlier tenure may.
+Real `Orderer`s and `Leadership`s use one store. A process may freeze at any of
+its steps: a call before or after its effect, an order before its first byte, a
+timer. The oracle is at the upstreams: once an order of a tenure took effect,
+none of an earlier tenure may.
 
-What is assumed of an upstream that does not check: an order takes effect
-within its timeout from its first byte, and an entry VM is not frozen for
-longer than `LONGEST_FREEZE_SECONDS` right between the last check and the
-first byte. Nothing of the kind is assumed of one that checks.
+Assumptions for an upstream that does not check fencing numbers: an order takes
+effect within its time limit from its first byte, and an entry VM is not frozen
+for longer than `LONGEST_FREEZE_SECONDS` between the last check and the first
+byte. Nothing of the kind is assumed for one that checks.
 """
 
 import asyncio
@@ -78,10 +78,14 @@
 
 
 class _SteppedStore:
-    """One process's way to the store."""
+    """The store as one process reaches it."""
 
-    def __init__(self, *, inner, process, late):
-        self._inner, self._process, self._late = inner, process, late
+    def __init__(self, *, inner, process, delayed_calls):
+        self._inner, self._process, self._delayed_calls = (
+            inner,
+            process,
+            delayed_calls,
+        )
         self.delays = 0
 
     def __getattr__(self, name):
@@ -97,7 +101,7 @@
         )
         if self.delays:
             self.delays -= 1
-            self._late.append(call)
+            self._delayed_calls.append(call)
             return _LOST
         result = await call()
         await self._process.step("reply")
@@ -106,7 +110,7 @@
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class _Flight:
-    """An order that is written, or about to be, and not yet in effect."""
+    """An order that is, or will be, written and has not yet taken effect."""
 
     upstream: model.Upstream
     order: upstream_orders.Order
@@ -116,7 +120,7 @@
 
 
 class _Receiver:
-    """Both upstreams: takes orders, applies them, and knows what is wrong."""
+    """Both upstreams: applies orders and checks their fencing numbers."""
 
     def __init__(self, *, clock, checks):
         self.clock, self._checks = clock, checks
@@ -166,7 +170,7 @@
 
 
 class _Sender:
-    """`UpstreamOrders` of one process towards the receiver."""
+    """`UpstreamOrders` of one process, connected to the receiver."""
 
     def __init__(self, *, receiver, process):
         self._receiver, self._process = receiver, process
@@ -211,7 +215,7 @@
 
 
 class _World:
-    """Two entry VMs, both kinds of upstream, one store, time by hand."""
+    """Two entry VMs, both kinds of upstream, one store and a manual clock."""
 
     orderer_type = orderer_module.Orderer
     receiver_checks = True
@@ -227,7 +231,7 @@
         for number, checks in enumerate((True, False)):
             self.add_upstream(f"u{number}", checks)
         self.wanted, self.numbers = 0, 0
-        self.timers, self.late = [], []
+        self.timers, self.delayed_calls = [], []
         self.processes, self.stores, self.senders = {}, {}, {}
         self.orderers, self.holder_by_fencing = {}, {}
         for vm in VMS:
@@ -251,7 +255,7 @@
         self.numbers += 1
         process = self.processes[vm] = _Process()
         self.stores[vm] = _SteppedStore(
-            inner=self.store, process=process, late=self.late
+            inner=self.store, process=process, delayed_calls=self.delayed_calls
         )
         self.senders[vm] = _Sender(receiver=self.receiver, process=process)
         sleep = functools.partial(self.sleep, process)
@@ -409,8 +413,8 @@
         self.stores[data.draw(strategies.sampled_from(VMS))].delays += 1
 
     def apply_late(self, _data):
-        if self.late:
-            self.run(self.late.pop(0)())
+        if self.delayed_calls:
+            self.run(self.delayed_calls.pop(0)())
 
     def outage(self, data):
         self.store.stop()
@@ -431,7 +435,7 @@
                 self.boot(vm)
 
     def teardown(self):
-        """All faults over: orders must come through within minutes."""
+        """Orders must take effect within minutes after all faults."""
         try:
             if self.orderer_type is orderer_module.Orderer:
                 self.check_progress()
@@ -440,21 +444,21 @@
 
 
 class _SendsWhileHeld(orderer_module.Orderer):
-    """Naive: sends whenever its lease still holds at that moment."""
+    """Naive version: sends whenever its lease is still valid."""
 
     def _may_send(self, tenure, _upstream):
         return self._leadership.remaining_seconds(tenure) > 0
 
     def _begin_reading(self, tenure):
         reading = super()._begin_reading(tenure)
-        return dataclasses.replace(reading, predecessor_over=True)
+        return dataclasses.replace(reading, predecessor_done=True)
 
 
 def test_no_old_order_takes_effect_after_a_new_one():
-    """Two entry VMs order the same engine about, and the wrong one wins.
+    """Guards against an engine that follows the older of two orders.
 
-    A holder is frozen at any step, its lease lapses, another takes over, and
-    the first wakes and sends what it had decided on.
+    A holder freezes at any step, its lease expires, another VM takes over, and
+    the first one resumes and sends its order.
     """
     stateful.run_state_machine_as_test(_Fencing, settings=_SETTINGS)
 
@@ -494,11 +498,11 @@
 
 @pytest.mark.parametrize("step", sorted(set(_STEPS)))
 def test_a_holder_may_freeze_at_any_step(step):
-    """A model that was unloaded on purpose is loaded again.
+    """Guards against reloading a model that was unloaded on purpose.
 
-    The holder freezes at this step, before or after its lease is renewed,
-    for less than its lease, about as long, or twice as long. Its successor
-    orders; then the first one wakes and goes on where it stood.
+    The holder freezes at this step, before or after its lease is renewed, for
+    less than its lease, about as long, or twice as long. Its successor sends
+    orders; then the first one resumes where it stopped.
     """
     _sweep(_World, [step])
 
--- a/packages/orders/tests/test_orderer.py
+++ b/packages/orders/tests/test_orderer.py
@@ -1,4 +1,4 @@
-"""Rounds of an orderer that holds the tenure."""
+"""Rounds of an orderer that holds the lease."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 
 
 class _Upstreams:
-    """Answers with prepared states and results; keeps the orders."""
+    """Responds with prepared states and results; records the orders."""
 
     def __init__(self):
         self.state_by_id, self.result, self.sent = {}, DONE, []
@@ -80,7 +80,7 @@
 async def make_rounds(
     clock, upstreams, leadership, make_upstream, make_placement
 ):
-    """Return a function that starts an orderer and lets rounds pass."""
+    """Return a function that starts an orderer and runs rounds."""
     made = []
     wake = asyncio.Event()
 
@@ -135,10 +135,10 @@
 async def test_an_unknown_result_is_read_back_after_its_timeout(
     make_rounds, upstreams, leadership
 ):
-    """An engine loads a model twice, or a slow load is taken for a failure.
+    """Guards against loading a model twice, or taking a slow load for failed.
 
-    The answer was lost. Until the order's timeout is over, the state may be
-    from before its effect, and a second order would cross the first.
+    The response was lost. Until the order's time limit is over, the state may
+    be from before its effect, and a second order would overlap with the first.
     """
     upstreams.result = upstream_orders.OrderUnknown(detail="reset")
     rounds = await make_rounds(count=1)
@@ -166,10 +166,10 @@
 
 
 async def test_a_short_silence_moves_no_model(make_rounds, upstreams):
-    """Models are loaded all over when an orderer takes over.
+    """Guards against loading all models again when an orderer takes over.
 
-    One upstream did not answer the new orderer's first question, so what it
-    holds looked missing.
+    One upstream does not answer the new orderer's first request, so the models
+    that it holds look missing.
     """
     upstreams.state_by_id["u1"] = SILENT
     rounds = await make_rounds(count=1)
--- a/packages/orders/tests/test_plan.py
+++ b/packages/orders/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans of placement: what is ordered, what waits, and that it ends."""
+"""Placement plans: what is ordered, what waits, and that they terminate."""
 
 import dataclasses
 
@@ -22,7 +22,7 @@
         domain=DOMAIN,
         placements=placements,
         views=views,
-        affords=lambda size, spent: size + spent <= room,
+        allows=lambda size, spent: size + spent <= room,
         **options,
     )
 
@@ -165,7 +165,7 @@
     return placements, views
 
 
-def _obey(view, order):
+def _execute(view, order):
     versions = dict(view.state.version_by_model)
     role = view.state.role
     if order.kind is upstream_orders.OrderKind.LOAD:
@@ -183,11 +183,11 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(fleet=_fleets())
 def test_rounds_end_with_the_declared_placement(fleet):
-    """Models are moved to and fro for ever, or a change never finishes.
+    """Guards against models moved to and fro forever, and unfinished changes.
 
-    Rounds are run until no order is due. Each model is loaded on an upstream
-    once at most, no leaving upstream is told anything, limits hold in each
-    round, and what the pool has room for is there in the end.
+    Rounds are run until no order is due. Each model is loaded at most once on
+    an upstream, leaving upstreams get no order, limits hold in each round, and
+    the final state has every placement for which the pool has enough upstreams.
     """
     placements, views = fleet
     limit = max(1, sum(not view.state.leaving for view in views) // 3)
@@ -205,7 +205,7 @@
             if order.kind is upstream_orders.OrderKind.LOAD:
                 assert (order.upstream, order.model) not in loaded
                 loaded.add((order.upstream, order.model))
-            views[views.index(view)] = _obey(view, order)
+            views[views.index(view)] = _execute(view, order)
     assert planned.decisions == ()
     if planned.missing_by_role_by_pool:
         return
--- a/packages/orders/tests/test_weight_budget.py
+++ b/packages/orders/tests/test_weight_budget.py
@@ -14,18 +14,18 @@
 
 def test_bytes_come_back_at_the_rate(budget, clock):
     budget.spend(100.0)
-    assert not budget.affords(20.0, available=budget.available_bytes())
+    assert not budget.allows(20.0, available=budget.available_bytes())
     clock.advance(2.0)
-    assert budget.affords(20.0, available=budget.available_bytes())
+    assert budget.allows(20.0, available=budget.available_bytes())
     clock.advance(1000.0)
     assert budget.available_bytes() == 100.0
 
 
 def test_a_model_larger_than_the_bucket_leaves_a_debt(budget, clock):
-    assert budget.affords(500.0, available=budget.available_bytes())
+    assert budget.allows(500.0, available=budget.available_bytes())
     budget.spend(500.0)
     clock.advance(49.0)
-    assert not budget.affords(500.0, available=budget.available_bytes())
-    assert not budget.affords(95.0, available=budget.available_bytes())
+    assert not budget.allows(500.0, available=budget.available_bytes())
+    assert not budget.allows(95.0, available=budget.available_bytes())
     clock.advance(1.0)
-    assert budget.affords(500.0, available=budget.available_bytes())
+    assert budget.allows(500.0, available=budget.available_bytes())
