--- a/packages/orders/src/lagoonrun_orders/bounded_store.py
+++ b/packages/orders/src/lagoonrun_orders/bounded_store.py
@@ -1,4 +1,4 @@
-"""The store with a bound on each call's time, and no exceptions."""
+"""A key-value store with a time limit on each call, and no exceptions."""
 
 import asyncio
 import contextlib
@@ -12,16 +12,16 @@
 
 
 class BoundedStore:
-    """Calls of a `KeyValueStore` that end within a time.
+    """Calls of a `KeyValueStore` with a time limit.
 
-    A call that does not, or that fails by a fault of the adapter, ends as
-    `Unknown`. Its caller's task would otherwise hang, or end for good, and
-    its entry VM would never again seek what it seeks.
+    A call that exceeds it, or fails by a fault of the adapter, returns
+    `Unknown`. Otherwise the caller's task would hang or end, and its entry VM
+    would never again try to acquire a lease.
 
     Parameters
     ----------
     timeout_seconds
-        Longest time of one call; a watch has none.
+        Time limit of one call; a watch has none.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
             async with asyncio.timeout(self._timeout_seconds):
                 return await call
         except TimeoutError:
-            return store_module.Unknown(detail="no answer in time")
+            return store_module.Unknown(detail="no response in time")
         except Exception as error:
             return store_module.Unknown(detail=f"store failed: {error!r}")
 
--- a/packages/orders/src/lagoonrun_orders/vacancy.py
+++ b/packages/orders/src/lagoonrun_orders/holder_key_watch.py
@@ -1,4 +1,4 @@
-"""Find out whether a key is held, and wait until it is not."""
+"""Read whether a duty's key is held, and wait until it is free."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,12 @@
 from lagoonrun_platform import store as store_module
 
 _POLL_SECONDS = 15.0
-_SPREAD_SECONDS = 0.2
-_BROKEN_WATCH_SECONDS = 5.0
+_JITTER_SECONDS = 0.2
+_BROKEN_WATCH_JITTER_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Vacant:
+class Free:
     """Nobody holds the key, or this process does."""
 
 
@@ -33,18 +33,18 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class NotKnown:
+class Undetermined:
     """The store did not answer."""
 
 
-class Vacancy:
-    """Looks at the key of a holder.
+class HolderKeyWatch:
+    """Observes the key of a duty's holder.
 
     Parameters
     ----------
-    is_mine
-        Whether a value that is found is this process's: an acquisition
-        whose reply was lost, or that arrived late.
+    is_own
+        Whether a value was written by this process: an acquisition whose reply
+        was lost or late.
     """
 
     def __init__(
@@ -52,49 +52,50 @@
         *,
         store: bounded_store.BoundedStore,
         key: str,
-        is_mine: Callable[[store_module.KeyValue], bool],
+        is_own: Callable[[store_module.KeyValue], bool],
         random: random.Random,
         sleep: Callable[[float], Awaitable[None]],
     ) -> None:
         self._store = store
         self._key = key
-        self._is_mine = is_mine
+        self._is_own = is_own
         self._random = random
         self._sleep = sleep
 
-    async def find(self) -> Vacant | Held | NotKnown:
-        """Read the key; never an old value, as a comparison is not."""
+    async def read(self) -> Free | Held | Undetermined:
+        """Read the key by a comparison, which never sees an old value."""
         result = await self._store.transact(
             comparisons=[bounded_store.compare(self._key, store_module.ABSENT)]
         )
         match result:
             case store_module.Committed():
-                return Vacant()
+                return Free()
             case store_module.Rejected():
                 holder = result.item(self._key)
-                if holder is not None and self._is_mine(holder):
-                    return Vacant()
+                if holder is not None and self._is_own(holder):
+                    return Free()
                 return Held(
                     watch_from=store_module.StoreRevision(result.revision + 1)
                 )
-        return NotKnown()
+        return Undetermined()
 
-    async def wait(self, held: Held) -> None:
-        """Wait until the key may be vacant, by a watch and a slow poll."""
-        spread = _SPREAD_SECONDS
-        longest = _POLL_SECONDS * self._random.uniform(0.5, 1.0)
+    async def wait_until_free(self, held: Held) -> None:
+        """Wait until the key may be free, with a watch and a slow poll."""
+        jitter = _JITTER_SECONDS
+        timeout_seconds = _POLL_SECONDS * self._random.uniform(0.5, 1.0)
         with contextlib.suppress(TimeoutError):
             async with (
-                asyncio.timeout(longest),
+                asyncio.timeout(timeout_seconds),
                 contextlib.aclosing(
                     self._store.watch(self._key, from_revision=held.watch_from)
                 ) as messages,
             ):
                 async for message in messages:
                     if not isinstance(message, store_module.WatchBatch):
-                        spread = _BROKEN_WATCH_SECONDS
+                        jitter = _BROKEN_WATCH_JITTER_SECONDS
                         break
                     if any(event.value is None for event in message.events):
                         break
-        # Without it, all entry VMs of the domain ask for a lease at once.
-        await self._sleep(self._random.uniform(0.0, spread))
+        # Without jitter, all entry VMs of the domain would request a lease at
+        # once.
+        await self._sleep(self._random.uniform(0.0, jitter))
--- a/packages/orders/src/lagoonrun_orders/leadership.py
+++ b/packages/orders/src/lagoonrun_orders/leadership.py
@@ -1,9 +1,10 @@
-"""Which entry VM has a duty that only one may have: a lease of the platform.
+"""Leader election for a duty that only one entry VM may perform, by a lease.
 
-The holder's key lives under the holder's lease. Its own view of the lease
-ends before the store's does: it counts from before each renewal was sent, and
-takes a margin off. After every await that view may be old, so whoever sends
-asks `remaining_seconds` at the point of use.
+The leader (the holder of the duty) writes the holder's key under its lease in
+the store. Its own view of the lease ends before the store's: it counts from
+before each renewal was sent, and subtracts a margin. After every await that
+view may be outdated, so code that sends something checks `remaining_seconds`
+right before it sends.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 
 from lagoonrun_core import clock as clock_module
 from lagoonrun_core import errors, events, logs, types
-from lagoonrun_orders import bounded_store, vacancy
+from lagoonrun_orders import bounded_store, holder_key_watch
 from lagoonrun_orders import tenure as tenure_module
 from lagoonrun_platform import store as store_module
 from lagoonrun_platform import store_eras
@@ -22,42 +23,44 @@
 DEFAULT_MARGIN_SECONDS = 2.0
 _RENEWALS_PER_TTL = 3
 _FIRST_PAUSE_SECONDS = 0.5
-DEFAULT_LONGEST_PAUSE_SECONDS = 8.0
-_MAXIMUM_TRIES = 4
+DEFAULT_MAX_PAUSE_SECONDS = 8.0
+_MAX_ATTEMPTS = 4
 _NONCE_BITS = 128
 
 
 class Leadership:
-    """Seeks and keeps the tenure of one duty.
+    """Acquires and keeps the lease of one duty.
+
+    A tenure is one uninterrupted period of holding the lease.
 
     Parameters
     ----------
     duty
-        What only one entry VM may do at a time.
+        Task that only one entry VM may perform at a time.
     random
         Source of jitter and nonces; must differ between processes.
     order_timeout_seconds
-        Longest time that an order sent by this process may take.
+        Time limit of an order sent by this process.
     ttl_seconds
-        Duration of the lease; orders to upstreams that do not check fencing
-        numbers need it well above the order's timeout.
+        Duration of the lease. For upstreams that do not check fencing numbers
+        it must be well above the time limit of an order.
     margin_seconds
-        Taken off the lease's end, and added to waits for others' leases;
-        covers clocks of different rates and short pauses.
+        Subtracted from the end of the lease, and added to the wait for the
+        leases of others; covers clocks of different rates and short pauses.
     longest_pause_seconds
-        Longest pause between two tries while the store does not answer.
+        Longest pause between two attempts while the store does not answer.
     reacquire_delay_seconds
-        Time that a tenure first waits out where this entry VM has had the duty
-        before its predecessor. For receivers that know no fencing numbers, two
-        holders that take turns within a lease look like two at once.
+        Time that a tenure waits first if this entry VM also held the duty
+        before its predecessor. A receiver that does not check fencing numbers
+        takes two holders that alternate within a lease for two holders at once.
     eras
-        Eras of the store; None where it is never restored. A restore frees the
-        holder's key at once, and its holder, which may not know, acts on for what
-        it believes to be left of its lease.
+        Eras of the store; None where it is never restored. A restore deletes
+        the holder's key at once, while the holder may not know and continue for
+        what it believes to be the rest of its lease.
     renewals_per_key_check
-        Renewals of the lease for each look whether the key is still there. Only
-        a hand that deletes the key makes the two differ, and each look costs as
-        much as ten renewals.
+        Number of renewals of the lease between two checks that the key still
+        exists. Lease and key only differ if somebody deletes the key by hand,
+        and a check costs as much as ten renewals.
     """
 
     def __init__(
@@ -71,7 +74,7 @@
         order_timeout_seconds: float,
         ttl_seconds: float = DEFAULT_TTL_SECONDS,
         margin_seconds: float = DEFAULT_MARGIN_SECONDS,
-        longest_pause_seconds: float = DEFAULT_LONGEST_PAUSE_SECONDS,
+        longest_pause_seconds: float = DEFAULT_MAX_PAUSE_SECONDS,
         reacquire_delay_seconds: float = 0.0,
         renewals_per_key_check: int = 1,
         eras: store_eras.StoreEras | None = None,
@@ -93,15 +96,15 @@
         self._sleep = sleep
         self._holder_key = tenure_module.holder_key(duty)
         self._last_key = tenure_module.last_key(duty)
-        self._vacancy = vacancy.Vacancy(
+        self._holder_key_watch = holder_key_watch.HolderKeyWatch(
             store=self._store,
             key=self._holder_key,
-            is_mine=self._is_mine,
+            is_own=self._is_own,
             random=random,
             sleep=sleep,
         )
         self._last: store_module.KeyValue | None = None
-        self._before: tuple[types.EntryVmId, ...] = ()
+        self._earlier_holders: tuple[types.EntryVmId, ...] = ()
         self._lease: store_module.LeaseId | None = None
         self._nonce = ""
         self._tenure: tenure_module.Tenure | None = None
@@ -111,32 +114,32 @@
 
     @property
     def tenure(self) -> tenure_module.Tenure | None:
-        """Return the tenure that holds at this moment."""
+        """The current tenure, or None if this process is not the holder."""
         if self._tenure and self.remaining_seconds(self._tenure) > 0:
             return self._tenure
         return None
 
     def remaining_seconds(self, tenure: tenure_module.Tenure) -> float:
-        """Return how long `tenure` surely lasts from now; 0 when it is over.
+        """Return how long `tenure` is certain to last; 0 if it is over.
 
-        A process that was frozen finds 0 here on waking, since the reading
-        is taken now and the end was fixed before the freeze.
+        A process that was frozen gets 0 on resuming, since the clock is read
+        now and the end was fixed before the freeze.
         """
         if tenure != self._tenure:
             return 0.0
         return max(0.0, self._valid_until - self._clock.monotonic())
 
     async def start(self) -> None:
-        """Start to seek the tenure."""
+        """Start to acquire the lease."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self, *, clean: bool) -> None:
-        """Stop, and give the tenure up so that another takes over at once.
+        """Stop, and release the lease so that another VM takes over at once.
 
         Parameters
         ----------
         clean
-            Whether no order of this process can take effect any more. Else
+            Whether no order of this process can take effect any more. Otherwise
             the successor waits as it does after a crash.
         """
         if self._task is not None:
@@ -152,11 +155,14 @@
     async def _run(self) -> None:
         pause = _FIRST_PAUSE_SECONDS
         while True:
-            found = await self._vacancy.find()
-            if isinstance(found, vacancy.Held):
+            found = await self._holder_key_watch.read()
+            if isinstance(found, holder_key_watch.Held):
                 pause = _FIRST_PAUSE_SECONDS
-                await self._vacancy.wait(found)
-            elif isinstance(found, vacancy.Vacant) and await self._acquire():
+                await self._holder_key_watch.wait_until_free(found)
+            elif (
+                isinstance(found, holder_key_watch.Free)
+                and await self._acquire()
+            ):
                 pause = _FIRST_PAUSE_SECONDS
                 await self._hold()
             else:
@@ -164,11 +170,11 @@
                 pause = min(2 * pause, self._longest_pause_seconds)
 
     async def _acquire(self) -> bool:
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         if not await self._renew_lease():
             return False
-        for _ in range(_MAXIMUM_TRIES):
-            self._before = self._holders_before()
+        for _ in range(_MAX_ATTEMPTS):
+            self._earlier_holders = self._next_earlier_holders()
             result = await self._store.transact(
                 comparisons=[
                     bounded_store.compare(
@@ -191,19 +197,19 @@
             )
             match result:
                 case store_module.Committed(revision=revision):
-                    self._begin(revision, asked)
+                    self._begin(revision, requested_at)
                     return True
                 case store_module.Rejected():
                     holder = result.item(self._holder_key)
                     if holder is not None:
-                        return self._adopt(holder, asked)
-                    if not self._learn_last(result):
+                        return self._adopt(holder, requested_at)
+                    if not self._update_last(result):
                         return False
                 case store_module.Unreachable():
                     return False
                 case store_module.Unknown():
-                    # Sent again as it is: it fails if the first one applied,
-                    # and the refusal shows the holder.
+                    # Repeat it unchanged: if the first attempt was applied,
+                    # this one is rejected and returns the holder.
                     continue
         return False
 
@@ -222,27 +228,31 @@
         self._nonce = f"{self._random.getrandbits(_NONCE_BITS):032x}"
         return granted.ttl_seconds >= self._ttl_seconds
 
-    def _adopt(self, holder: store_module.KeyValue, asked: float) -> bool:
-        if not self._is_mine(holder):
+    def _adopt(
+        self, holder: store_module.KeyValue, requested_at: float
+    ) -> bool:
+        if not self._is_own(holder):
             return False
-        self._begin(holder.created, asked)
+        self._begin(holder.created, requested_at)
         return True
 
-    def _learn_last(self, rejected: store_module.Rejected) -> bool:
-        """Return whether the last tenure's record was news."""
+    def _update_last(self, rejected: store_module.Rejected) -> bool:
+        """Update the last tenure's record; return whether it had changed."""
         found = rejected.item(self._last_key)
         if _modified(found) == _modified(self._last):
-            # The comparisons held: the store has lost the lease.
+            # The comparisons held, so the store no longer has the lease.
             self._lease = None
             return False
         self._last = found
         return True
 
     def _begin(
-        self, revision: store_module.StoreRevision, asked: float
+        self, revision: store_module.StoreRevision, requested_at: float
     ) -> None:
         self._modified = revision
-        self._valid_until = asked + self._ttl_seconds - self._margin_seconds
+        self._valid_until = (
+            requested_at + self._ttl_seconds - self._margin_seconds
+        )
         self._tenure = tenure_module.Tenure(
             duty=self._duty,
             fencing=types.FencingNumber(revision),
@@ -256,16 +266,19 @@
         )
 
     def _wait_seconds(self) -> float:
-        """Return how long a new tenure gives no order."""
-        wait = max(self._predecessor_seconds(), self._unseated_seconds())
-        if self._entry_vm in self._earlier():
+        """Return how long a new tenure must not send orders."""
+        wait = max(
+            self._predecessor_seconds(), self._forgotten_holder_seconds()
+        )
+        if self._entry_vm in self._recorded_earlier_holders():
             return max(self._reacquire_delay_seconds, wait)
         return wait
 
-    def _unseated_seconds(self) -> float:
-        """Return how long a holder that the store has forgotten may still act.
+    def _forgotten_holder_seconds(self) -> float:
+        """Return how long a holder lost by a restore of the store may act.
 
-        Where the last tenure began in this era, nothing was forgotten since.
+        It is 0 if the last tenure began in the current era, since nothing was
+        lost then.
         """
         last = self._last_record()
         seen_at = self._eras.seen_at
@@ -287,7 +300,7 @@
         return longest + self._margin_seconds
 
     def _last_record(self) -> tenure_module.TenureRecord | None:
-        """Return how the last tenure began or ended; None for not readable."""
+        """Return the record of the last tenure; None if not readable."""
         if self._last is None:
             return None
         try:
@@ -295,19 +308,19 @@
         except errors.LagoonrunError:
             return None
 
-    def _earlier(self) -> tuple[types.EntryVmId, ...]:
+    def _recorded_earlier_holders(self) -> tuple[types.EntryVmId, ...]:
         """Return who held the duty before its last holder."""
         last = self._last_record()
         return () if last is None else last.earlier
 
-    def _holders_before(self) -> tuple[types.EntryVmId, ...]:
-        """Return who held the duty before this tenure, this entry VM aside."""
+    def _next_earlier_holders(self) -> tuple[types.EntryVmId, ...]:
+        """Return the holders before this tenure, without this entry VM."""
         last = self._last_record()
         if last is None:
             return ()
         before = dict.fromkeys((last.entry_vm, *last.earlier))
         before.pop(self._entry_vm, None)
-        return tuple(before)[: tenure_module.MOST_EARLIER]
+        return tuple(before)[: tenure_module.MAX_EARLIER_HOLDERS]
 
     async def _hold(self) -> None:
         pause = _FIRST_PAUSE_SECONDS
@@ -316,25 +329,27 @@
             if pause > _FIRST_PAUSE_SECONDS:
                 wait = pause * self._random.uniform(0.5, 1.0)
             await self._sleep(wait)
-            asked = self._clock.monotonic()
+            requested_at = self._clock.monotonic()
             renewed = await self._renew()
             if renewed is None:
                 pause = min(2 * pause, self._longest_pause_seconds)
             elif renewed:
                 pause = _FIRST_PAUSE_SECONDS
-                self._extend(asked)
+                self._extend(requested_at)
             else:
                 self._end("lost")
         self._end("lapsed")
 
-    def _extend(self, asked: float) -> None:
-        # Only a tenure that still holds is extended: one that lapsed during
+    def _extend(self, requested_at: float) -> None:
+        # Only a tenure that still holds is extended: one that expired during
         # the renewal has been seen as over, and another may have begun.
         if self.tenure is not None:
-            self._valid_until = asked + self._ttl_seconds - self._margin_seconds
+            self._valid_until = (
+                requested_at + self._ttl_seconds - self._margin_seconds
+            )
 
     async def _renew(self) -> bool | None:
-        """Return whether lease and key are held; None when not known."""
+        """Return whether lease and key are held; None if unknown."""
         if self._lease is None:
             return False
         kept = await self._store.keep_lease(self._lease)
@@ -346,8 +361,8 @@
         self._renewals += 1
         if self._renewals % self._renewals_per_key_check:
             return True
-        # The lease can be alive without the key, when somebody deleted the
-        # key by hand; then another entry VM holds it by now.
+        # The lease can be valid without the key, if somebody deleted the key by
+        # hand; another entry VM may hold it by now.
         result = await self._store.transact(
             comparisons=[
                 bounded_store.compare(self._holder_key, self._modified)
@@ -376,17 +391,17 @@
             if not isinstance(result, store_module.Unknown):
                 return
 
-    def _end(self, why: str) -> None:
+    def _end(self, reason: str) -> None:
         if self._tenure is None:
             return
         logs.emit(
             events.LogEvent.ORDERER_LOST,
             duty=self._duty,
             fencing=self._tenure.fencing,
-            reason=why,
+            reason=reason,
         )
         self._tenure = None
-        # What the next acquisition finds as the last record is this one.
+        # The next acquisition reads the record of this tenure from the store.
         self._last = None
 
     def _record(self, *, released: bool) -> bytes:
@@ -396,12 +411,12 @@
                 nonce=self._nonce,
                 released=released,
                 order_timeout_seconds=self._order_timeout_seconds,
-                earlier=self._before,
+                earlier=self._earlier_holders,
                 era=self._eras.newest,
             )
         )
 
-    def _is_mine(self, holder: store_module.KeyValue) -> bool:
+    def _is_own(self, holder: store_module.KeyValue) -> bool:
         try:
             record = tenure_module.decode(holder.value)
         except errors.LagoonrunError:
--- a/packages/orders/src/lagoonrun_orders/tenure.py
+++ b/packages/orders/src/lagoonrun_orders/tenure.py
@@ -1,4 +1,4 @@
-"""Records of a holder in the store and the tenure that they stand for."""
+"""Tenures of a duty's holder, and their records in the store."""
 
 import dataclasses
 import json
@@ -7,13 +7,14 @@
 
 _PREFIX = "orders/"
 
-MOST_EARLIER = 4
-"""Earlier holders that a record names: more than change within one lease."""
+MAX_EARLIER_HOLDERS = 4
+"""Number of earlier holders in a record: more than can change within one
+lease."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Tenure:
-    """One unbroken time as the holder of a duty.
+    """One uninterrupted period of holding the lease of a duty.
 
     Parameters
     ----------
@@ -21,8 +22,8 @@
         Store revision at which the tenure began: higher than that of every
         earlier tenure, and never used again.
     first_order_at
-        Monotonic reading before which an upstream that does not check
-        fencing numbers gets no order.
+        Monotonic time before which an upstream that does not check fencing
+        numbers is sent no order.
     """
 
     duty: types.DutyName
@@ -32,22 +33,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TenureRecord:
-    """Value of the holder's key, and of the key that outlives the holder.
+    """Value of the holder's key, and of the key that outlives the lease.
 
     Parameters
     ----------
     nonce
-        Names one lease of one process: the same nonce read back proves
+        Identifies one lease of one process: reading the same nonce back proves
         that a write with a lost reply was applied.
     released
-        The holder ended it knowing that none of its orders is under way.
+        Whether the holder ended the tenure knowing that none of its orders is
+        in progress.
     order_timeout_seconds
-        Longest time that its orders may take.
+        Time limit of its orders.
     earlier
         Other entry VMs that held the duty before, the latest first.
     era
-        Era of the store in which it was written: an older one says that the store
-        has come back from an older copy since.
+        Era of the store in which the record was written. An older one means
+        that the store has been restored from a backup since.
     """
 
     entry_vm: types.EntryVmId
@@ -59,17 +61,17 @@
 
 
 def holder_key(duty: types.DutyName) -> str:
-    """Return the key that the holder has under its lease."""
+    """Return the key that the holder writes under its lease."""
     return f"{_PREFIX}{duty}/holder"
 
 
 def last_key(duty: types.DutyName) -> str:
-    """Return the key that says how the last tenure began or ended."""
+    """Return the key that records how the last tenure began or ended."""
     return f"{_PREFIX}{duty}/last"
 
 
 def duty_of_domain(domain: types.FailureDomain) -> types.DutyName:
-    """Return the duty to order the runners of a failure domain."""
+    """Return the duty of ordering for the upstreams of a failure domain."""
     return types.DutyName(domain)
 
 
@@ -81,12 +83,12 @@
 
 
 def decode(value: bytes) -> TenureRecord:
-    """Read a record back.
+    """Decode a record.
 
     Raises
     ------
     LagoonrunError
-        When the value is not such a record.
+        If the value is not a valid record.
     """
     try:
         table = json.loads(value)
@@ -94,5 +96,5 @@
         return TenureRecord(**table)
     except (ValueError, TypeError, AttributeError) as error:
         raise errors.LagoonrunError(
-            step=errors.Step.ORDER, detail=f"record unreadable: {error}"
+            step=errors.Step.ORDER, detail=f"tenure record unreadable: {error}"
         ) from error
--- a/packages/orders/tests/test_leadership.py
+++ b/packages/orders/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""The tenure of a failure domain under failures of the store."""
+"""Tenures of a failure domain's duty under failures of the store."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class _Timers:
-    """Sleeps that end when the manual clock is moved past them."""
+    """Sleeps that end when the manual clock passes them."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -92,10 +92,10 @@
 
 
 async def test_a_clean_end_is_taken_over_at_once(candidate, timers, clock):
-    """A rolling replacement leaves a domain without orders for half a minute.
+    """Guards against half a minute without orders during a rolling replacement.
 
-    The planned stop gives the key up, and its successor has nothing to wait
-    out, since the stopped one said that none of its orders is under way.
+    The planned stop releases the key, and the successor need not wait, since
+    the stopped process recorded that none of its orders is in progress.
     """
     first, second = await candidate(), await candidate()
     old = first.tenure
@@ -115,7 +115,7 @@
         await timers.advance(TTL_SECONDS - 1.0)
         assert second.tenure is None
         await timers.advance(1.0)
-        await store.get("any")  # lets the fake see that the lease is over
+        await store.get("any")  # makes the fake expire the lease
     else:
         await first.close(clean=False)
     await _settle()
@@ -124,8 +124,8 @@
     assert wait == ORDER_SECONDS + MARGIN_SECONDS
 
 
-async def test_a_frozen_holder_knows_on_waking(candidate, timers, clock):
-    """Two entry VMs give orders, since one of them slept through its lease."""
+async def test_a_frozen_holder_knows_on_resuming(candidate, timers, clock):
+    """Guards against two VMs sending orders, one of them after its lease."""
     first = await candidate()
     tenure = first.tenure
     clock.advance(TTL_SECONDS - MARGIN_SECONDS)
@@ -154,7 +154,7 @@
 async def test_a_lost_reply_does_not_leave_the_domain_without_orders(
     candidate, timers, store, lost
 ):
-    """The key is held, and its holder does not know that it is the one."""
+    """Guards against a holder that does not know that it holds the key."""
     store.lost_replies = lost
     first = await candidate()
     await timers.advance(15.0)
@@ -164,13 +164,13 @@
 
 
 @pytest.mark.parametrize("name", ["transact", "grant_lease", "watch"])
-async def test_a_fault_of_the_adapter_does_not_end_the_search(
+async def test_a_fault_of_the_adapter_does_not_end_the_campaign(
     candidate, timers, store, monkeypatch, name
 ):
-    """A domain has no orderer, though each of its entry VMs is up.
+    """Guards against a domain without orderer while its entry VMs are up.
 
-    The store's client failed once on an answer that it could not read, and
-    the task that seeks the tenure ended with it.
+    The store's client failed once on a response that it could not read, and the
+    task that acquires the lease ended with it.
     """
     holder = await candidate()
 
@@ -184,15 +184,15 @@
     with monkeypatch.context() as patched:
         fault = fail_watch if name == "watch" else fail
         patched.setattr(store, name, fault)
-        seeker = await candidate()
+        successor = await candidate()
         await timers.advance(1.0)
     await holder.close(clean=True)
     await timers.advance(20.0)
-    assert seeker.tenure is not None
+    assert successor.tenure is not None
 
 
 async def test_a_deleted_key_ends_the_tenure(candidate, timers, store):
-    """An operator deletes the key by hand while its holder's lease lives."""
+    """An operator deletes the key by hand while the holder's lease is valid."""
     first, second = await candidate(), await candidate()
     old = first.tenure
     await store.transact(
@@ -218,10 +218,10 @@
 async def test_holder_that_comes_back_waits_for_a_while(
     candidate, timers, clock, returns, waits
 ):
-    """A receiver that knows no numbers sees two entry VMs take turns.
+    """A receiver that checks no fencing numbers sees two entry VMs alternate.
 
-    The first is restarted, the second takes over and is restarted in turn, and
-    the first is back by then.
+    The first one is restarted, the second takes over and is restarted in turn,
+    and the first is back by then.
     """
     options = {"reacquire_delay_seconds": 3.0}
     first = await candidate(1, **options)
@@ -236,21 +236,22 @@
     assert (wait > 1.0) is waits
 
 
-async def test_key_is_looked_at_every_few_renewals(candidate, timers, store):
-    """Each look costs as much as ten renewals."""
+async def test_key_is_checked_every_few_renewals(candidate, timers, store):
+    """Each check of the key costs as much as ten renewals."""
     await candidate(renewals_per_key_check=5)
     before = store.calls_by_kind["transact"]
     await timers.advance(20 * TTL_SECONDS / 3)
-    looks = store.calls_by_kind["transact"] - before
-    assert 3 <= looks <= 4
+    checks = store.calls_by_kind["transact"] - before
+    assert 3 <= checks <= 4
 
 
-async def test_holder_after_a_restore_waits_for_one_that_was_forgotten(
+async def test_holder_after_a_restore_waits_for_the_lost_holder(
     candidate, timers, clock
 ):
-    """The store comes back without the lease; its holder is cut off and acts on.
+    """The store is restored without the lease, and its holder still acts.
 
-    The key is free at once, long before the lease would have run out.
+    It is cut off from the store. The key is free at once, long before the lease
+    would have expired.
     """
     eras = store_eras.StoreEras(clock=clock)
     eras.take(1)
@@ -264,7 +265,7 @@
 async def test_successor_in_the_same_era_waits_no_longer_than_without(
     candidate, timers, clock
 ):
-    """The last tenure began after the last restore: nothing was forgotten."""
+    """The last tenure began after the last restore, so nothing was lost."""
     eras = store_eras.StoreEras(clock=clock)
     eras.take(3)
     first = await candidate(eras=eras)
