--- a/packages/orders/src/lagoonrun_orders/http_orders.py
+++ b/packages/orders/src/lagoonrun_orders/http_orders.py
@@ -1,8 +1,8 @@
-"""Orders and states over HTTP, by the client that requests use as well.
+"""Send orders and read states over HTTP, with the client used for requests.
 
-`GET /state` answers `{"version_by_model", "role", "leaving"}`. `POST /orders`
-takes `{"kind", "model", "version", "role", "fencing"}`; 409 with a `fencing`
-field says that a higher number was seen.
+`GET /state` returns `{"version_by_model", "role", "leaving"}`. `POST /orders`
+takes `{"kind", "model", "version", "role", "fencing"}`; a response with status
+409 and a `fencing` field means that the upstream has seen a higher number.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from lagoonrun_orders import upstream_orders
 
 _STATE_TIMEOUT_SECONDS = 2.0
-_LARGEST_ANSWER_BYTES = 256 * 1024
+_MAX_RESPONSE_BYTES = 256 * 1024
 _OK = 200
 _CONFLICT = 409
 
@@ -32,7 +32,7 @@
     client
         Connections to upstreams.
     entry_vm
-        Goes into the ids of the requests.
+        Part of the ids of the requests.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
         """Read one upstream's state; see `UpstreamOrders`."""
         try:
             async with asyncio.timeout(_STATE_TIMEOUT_SECONDS):
-                answer = await self._call(upstream, "GET", "/state", b"")
+                response = await self._call(upstream, "GET", "/state", b"")
         except TimeoutError:
-            return upstream_orders.StateUnknown(detail="no answer in time")
-        if isinstance(answer, http_upstream.UpstreamFailure):
-            return upstream_orders.StateUnknown(detail=answer.detail)
-        if answer.status != _OK:
+            return upstream_orders.StateUnknown(detail="no response in time")
+        if isinstance(response, http_upstream.UpstreamFailure):
+            return upstream_orders.StateUnknown(detail=response.detail)
+        if response.status != _OK:
             return upstream_orders.StateUnknown(
-                detail=f"status {answer.status}; valid: {_OK}"
+                detail=f"status {response.status}; valid: {_OK}"
             )
-        return _parse_state(answer.body)
+        return _parse_state(response.body)
 
     async def send(
         self,
@@ -74,25 +74,27 @@
         """Send one order; see `UpstreamOrders`."""
         body = _encode(order, fencing)
         try:
-            # Counted from before the connection is made, so that it ends
-            # no later than the promised time after the first byte. Its end
+            # The time limit starts before the connection is made, so that the
+            # order ends no later than promised after its first byte. A timeout
             # resets the connection.
             async with asyncio.timeout(timeout_seconds):
-                answer = await self._call(
+                response = await self._call(
                     upstream, "POST", "/orders", body, may_write=may_send
                 )
         except TimeoutError:
-            return upstream_orders.OrderUnknown(detail="no answer in time")
-        if isinstance(answer, http_upstream.UpstreamFailure):
-            if answer.bytes_left:
-                return upstream_orders.OrderUnknown(detail=answer.detail)
-            return upstream_orders.NotSent(detail=answer.detail)
-        if answer.status == _OK:
+            return upstream_orders.OrderUnknown(detail="no response in time")
+        if isinstance(response, http_upstream.UpstreamFailure):
+            if response.bytes_left:
+                return upstream_orders.OrderUnknown(detail=response.detail)
+            return upstream_orders.NotSent(detail=response.detail)
+        if response.status == _OK:
             return upstream_orders.Done()
-        if answer.status == _CONFLICT:
-            return upstream_orders.RefusedOldFencing(detail=_text(answer.body))
+        if response.status == _CONFLICT:
+            return upstream_orders.RefusedOldFencing(
+                detail=_text(response.body)
+            )
         return upstream_orders.OrderUnknown(
-            detail=f"status {answer.status}: {_text(answer.body)}"
+            detail=f"status {response.status}: {_text(response.body)}"
         )
 
     async def _call(
@@ -103,7 +105,7 @@
         body: bytes,
         *,
         may_write: Callable[[], bool] | None = None,
-    ) -> "_Answer | http_upstream.UpstreamFailure":
+    ) -> "_Response | http_upstream.UpstreamFailure":
         request = http_upstream.UpstreamRequest(
             head=http_messages.RequestHead(
                 method=method,
@@ -121,22 +123,22 @@
             request,
             address=upstream.address,
             port=upstream.port,
-            # A pooled connection may be closed while the order is under
-            # way; an order's end is then unknown for nothing.
+            # A pooled connection may be closed while the order is in progress,
+            # which would make its result unknown for no reason.
             fresh=method == "POST",
             may_write=may_write,
         )
         if isinstance(response, http_upstream.UpstreamFailure):
             return response
-        content = await response.read_all(_LARGEST_ANSWER_BYTES)
+        content = await response.read_all(_MAX_RESPONSE_BYTES)
         if isinstance(content, http_upstream.UpstreamFailure):
             return content
-        return _Answer(status=response.head.status, body=content)
+        return _Response(status=response.head.status, body=content)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Answer:
-    """Status and body of an upstream's answer."""
+class _Response:
+    """Status and body of an upstream's response."""
 
     status: int
     body: bytes
--- a/packages/orders/src/lagoonrun_orders/upstream_orders.py
+++ b/packages/orders/src/lagoonrun_orders/upstream_orders.py
@@ -1,4 +1,4 @@
-"""What upstreams are asked and told, behind a `Protocol`."""
+"""Orders to upstreams and states of upstreams, as a `Protocol`."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an order asks for; the value is that of the wire."""
+    """What an order asks for; the value is that on the wire."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -24,9 +24,9 @@
     Parameters
     ----------
     model, version
-        Subject of a load or unload; empty for a change of role.
+        What is loaded or unloaded; empty for a change of role.
     role
-        Role that the upstream is to have.
+        Desired role of the upstream.
     """
 
     upstream: types.UpstreamId
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamState:
-    """What an upstream says of itself.
+    """State that an upstream reports.
 
     Parameters
     ----------
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StateUnknown:
-    """The upstream did not say what state it is in."""
+    """The upstream did not report a readable state."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Done:
-    """The upstream carried the order out."""
+    """The upstream executed the order."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -72,14 +72,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderUnknown:
-    """Sent without a usable answer: only the upstream's state tells."""
+    """Sent without a usable response: only the upstream's state tells."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotSent:
-    """No byte of the order left."""
+    """No byte of the order was sent."""
 
     detail: str
 
@@ -108,8 +108,8 @@
         Parameters
         ----------
         timeout_seconds
-            After it from the first byte the connection is closed.
+            Time from the first byte after which the connection is closed.
         may_send
-            Asked on an open connection right before the first byte, without
-            an await in between; when it says no, the result is `NotSent`.
+            Called on an open connection right before the first byte, without an
+            await in between; if it returns False, the result is `NotSent`.
         """
--- a/packages/orders/tests/test_http_orders.py
+++ b/packages/orders/tests/test_http_orders.py
@@ -65,7 +65,9 @@
     )
 
 
-async def test_an_order_is_obeyed_and_its_state_read_back(orders, make_runner):
+async def test_an_order_is_executed_and_its_state_read_back(
+    orders, make_runner
+):
     _, declared = await make_runner()
     sent = await _send(orders, declared, fencing=3)
     assert sent == upstream_orders.Done()
@@ -76,7 +78,7 @@
 
 
 @pytest.mark.parametrize("checks", [True, False])
-async def test_an_old_number_is_told(orders, make_runner, checks):
+async def test_an_old_fencing_number_is_reported(orders, make_runner, checks):
     runner, declared = await make_runner(checks_fencing=checks)
     await _send(orders, declared, fencing=3)
     result = await _send(orders, declared, fencing=2)
@@ -98,7 +100,7 @@
     assert isinstance(result, upstream_orders.OrderUnknown)
 
 
-async def test_an_upstream_that_is_gone_was_not_sent_to(orders, make_runner):
+async def test_an_order_to_a_closed_upstream_is_not_sent(orders, make_runner):
     runner, declared = await make_runner()
     await runner.close()
     result = await _send(orders, declared, fencing=3)
