--- a/packages/platform/src/lagoonrun_platform/__init__.py
+++ b/packages/platform/src/lagoonrun_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform's key-value service and VM list."""
+"""Client of the platform's key-value store and VM list."""
--- a/packages/platform/src/lagoonrun_platform/call_budget.py
+++ b/packages/platform/src/lagoonrun_platform/call_budget.py
@@ -1,7 +1,7 @@
-"""Limits the calls of one process to the platform.
+"""Limit on the calls of one process to the platform.
 
-A token bucket bounds the rate in calm; a backoff with jitter bounds it in an
-outage, when each caller would otherwise try again on its own.
+A token bucket limits the rate in normal operation. In an outage, when every
+caller would otherwise retry on its own, a backoff with jitter limits it.
 """
 
 import dataclasses
@@ -10,13 +10,13 @@
 from lagoonrun_core import clock as clock_module
 
 _FIRST_DELAY_SECONDS = 0.1
-_LONGEST_DELAY_SECONDS = 5.0
+_MAX_DELAY_SECONDS = 5.0
 _FAILURES_BEFORE_BACKOFF = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admitted:
-    """The call may be made once `wait_seconds` have passed."""
+    """The call may be made after `wait_seconds`."""
 
     wait_seconds: float
 
@@ -34,13 +34,13 @@
     Parameters
     ----------
     calls_per_second
-        Rate in the long run.
+        Long-term rate.
     burst
-        Calls that may be made at once after a pause.
+        Number of calls that may be made at once after a pause.
     max_wait_seconds
-        A call that would wait longer for its turn is denied.
+        A call that would wait longer is denied.
     clock
-        Drives the bucket.
+        Refills the bucket.
     rng
         Source of the backoff's jitter.
     """
@@ -71,12 +71,12 @@
         Parameters
         ----------
         timeout_seconds
-            Longest time that the call may take; bounds the probe.
+            Time limit of the call, and of the probe in an outage.
         """
         now = self._clock.monotonic()
         if self._failures >= _FAILURES_BEFORE_BACKOFF:
-            # In an outage one call at a time finds out whether it is over;
-            # all others fail at once and cost the platform nothing.
+            # In an outage one call at a time probes whether it is over; all
+            # others fail at once and cost the platform nothing.
             if now < max(self._retry_at, self._probe_until):
                 return Denied(detail="backing off after failed calls")
             self._probe_until = now + timeout_seconds
@@ -88,22 +88,23 @@
         return Admitted(wait_seconds=wait)
 
     def succeeded(self) -> None:
-        """Note that the platform answered."""
+        """Record that the platform answered."""
         self._failures = 0
         self._probe_until = 0.0
 
     def failed(self) -> None:
-        """Note that the platform did not answer."""
+        """Record that the platform did not answer."""
         self._failures += 1
         self._probe_until = 0.0
-        over = max(0, self._failures - _FAILURES_BEFORE_BACKOFF)
+        excess_failures = max(0, self._failures - _FAILURES_BEFORE_BACKOFF)
         ceiling = min(
-            _LONGEST_DELAY_SECONDS, _FIRST_DELAY_SECONDS * 2 ** min(over, 16)
+            _MAX_DELAY_SECONDS,
+            _FIRST_DELAY_SECONDS * 2 ** min(excess_failures, 16),
         )
         delay = ceiling * self._rng.uniform(0.5, 1.0)
         self._retry_at = self._clock.monotonic() + delay
 
     def _refill(self, now: float) -> None:
-        grown = self._tokens + (now - self._filled_at) * self._rate
-        self._tokens = min(self._burst, grown)
+        refilled = self._tokens + (now - self._filled_at) * self._rate
+        self._tokens = min(self._burst, refilled)
         self._filled_at = now
--- a/packages/platform/src/lagoonrun_platform/etcd_gateway.py
+++ b/packages/platform/src/lagoonrun_platform/etcd_gateway.py
@@ -1,4 +1,4 @@
-"""Adapter of the store and the VM list over the etcd v3 HTTP/JSON gateway."""
+"""Adapter of the store and the VM list for the etcd v3 HTTP/JSON gateway."""
 
 import asyncio
 import collections
@@ -17,7 +17,7 @@
 _BURST = 200.0
 _SERVER_ERROR = 500
 _BAD_REQUEST = 400
-_UNANSWERED = (
+_NO_USABLE_RESPONSE = (
     http_client.NotSentError,
     http_client.ResponseLostError,
     gateway_format.FormatError,
@@ -29,29 +29,30 @@
 class EtcdGateway:
     """`KeyValueStore` and `VmList` of the platform, over HTTP.
 
-    Addresses are tried in turn, at first from a random one, so that not all
-    processes depend on the same, then from the one that answered last. A
-    write is tried at another address only while no byte of it was sent.
+    Addresses are tried in order, starting from a random one, so that not all
+    processes depend on the same address, and later from the one that answered
+    last. A write is tried at another address only if no byte of it was sent.
 
     Parameters
     ----------
     addresses
         The gateway's addresses, with `host` and `port`.
     clock
-        Drives the call budget.
+        Refills the call budget.
     rng
         Source of jitter.
     call_timeout_seconds
-        Longest wait for a reply.
+        Time limit for a response.
     calls_per_second, burst
-        The process's budget of calls; a watch counts as one call.
+        The call budget of this process; a watch counts as one call.
 
     Attributes
     ----------
     calls_by_kind
-        Calls tried, by the name of the call; each address counts.
+        Number of attempted calls by name; each address counts.
     failures_by_kind
-        Calls that were not answered, those denied by the budget included.
+        Number of calls without a response, including those denied by the
+        budget.
     """
 
     def __init__(
@@ -81,15 +82,15 @@
             clock=clock,
             rng=rng,
         )
-        self._watches: set[http_client.GatewayConnection] = set()
+        self._watches: set[http_client.HttpConnection] = set()
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.failures_by_kind: collections.Counter[str] = collections.Counter()
 
     async def start(self) -> None:
-        """Do nothing: connections are opened when they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close every connection; waiting watches end."""
+        """Close all connections; waiting watches end."""
         for pool in self._pools:
             pool.close()
         for connection in list(self._watches):
@@ -140,7 +141,7 @@
             parse=gateway_format.lease_granted,
         )
 
-    async def keep_lease(self, lease: store.LeaseId) -> store.LeaseResult:
+    async def renew_lease(self, lease: store.LeaseId) -> store.LeaseResult:
         """Renew a lease; see `KeyValueStore`."""
         request = gateway_format.lease_request(lease)
         return await self._write(
@@ -174,7 +175,7 @@
         from_revision: store.StoreRevision = store.ABSENT,
         max_wait_seconds: float | None = None,
     ) -> AsyncIterator[store.WatchMessage]:
-        """Yield changes; see `KeyValueStore`. One call waits for them all."""
+        """Yield changes; see `KeyValueStore`. All of them come by one call."""
         del max_wait_seconds
         request = gateway_format.watch_request(
             key, prefix=prefix, from_revision=from_revision
@@ -200,7 +201,7 @@
 
     async def _open_watch(
         self, call: http_client.HttpRequest
-    ) -> http_client.GatewayConnection | store.Unreachable:
+    ) -> http_client.HttpConnection | store.Unreachable:
         denied = await self._admit("watch")
         if denied is not None:
             return denied
@@ -210,14 +211,14 @@
             try:
                 connection = await pool.connect()
             except http_client.NotSentError as error:
-                detail = self._next_pool(pool, error)
+                detail = self._rotate_pools(pool, error)
                 continue
             try:
                 async with asyncio.timeout(self._call_timeout_seconds):
                     status = await connection.open_stream(call)
             except (TimeoutError, http_client.ResponseLostError) as error:
                 connection.close()
-                detail = self._next_pool(pool, error)
+                detail = self._rotate_pools(pool, error)
                 continue
             except BaseException:
                 connection.close()
@@ -226,18 +227,18 @@
                 self._budget.succeeded()
                 return connection
             connection.close()
-            detail = self._next_pool(pool, f"status {status}")
-        return self._fail("watch", detail)
+            detail = self._rotate_pools(pool, f"status {status}")
+        return self._fail_unreachable("watch", detail)
 
     async def _messages(
-        self, connection: http_client.GatewayConnection
+        self, connection: http_client.HttpConnection
     ) -> AsyncIterator[store.WatchMessage]:
-        waiting = b""
+        buffer = b""
         try:
             async with contextlib.aclosing(connection.parts()) as parts:
                 async for part in parts:
-                    waiting += part
-                    *lines, waiting = waiting.split(b"\n")
+                    buffer += part
+                    *lines, buffer = buffer.split(b"\n")
                     for line in filter(None, lines):
                         fields = gateway_format.decode(line)
                         yield gateway_format.watch_message(fields)
@@ -256,7 +257,7 @@
         *,
         parse: Callable[[dict], _T],
     ) -> _T | store.Unreachable:
-        """Send a call that changes nothing, to each address if need be."""
+        """Send a read-only call, to each address if necessary."""
         denied = await self._admit(kind)
         if denied is not None:
             return denied
@@ -264,13 +265,13 @@
         for pool in list(self._pools):
             self.calls_by_kind[kind] += 1
             try:
-                reply = await pool.call(
+                response = await pool.call(
                     call, timeout_seconds=self._call_timeout_seconds
                 )
-                return self._answered(reply, parse)
-            except _UNANSWERED as error:
-                detail = self._next_pool(pool, error)
-        return self._fail(kind, detail)
+                return self._parse_response(response, parse)
+            except _NO_USABLE_RESPONSE as error:
+                detail = self._rotate_pools(pool, error)
+        return self._fail_unreachable(kind, detail)
 
     async def _write(
         self,
@@ -279,7 +280,7 @@
         *,
         parse: Callable[[dict], _T],
     ) -> _T | store.Unknown | store.Unreachable:
-        """Send a call that may change something, once."""
+        """Send a call that may change something, only once."""
         denied = await self._admit(kind)
         if denied is not None:
             return denied
@@ -287,17 +288,18 @@
         for pool in list(self._pools):
             self.calls_by_kind[kind] += 1
             try:
-                reply = await pool.call(
+                response = await pool.call(
                     call, timeout_seconds=self._call_timeout_seconds
                 )
-                return self._answered(reply, parse)
+                return self._parse_response(response, parse)
             except http_client.NotSentError as error:
-                detail = self._next_pool(pool, error)
-            except _UNANSWERED as error:
-                # It may have been applied: another try could apply it twice
-                # or report a comparison with its own write as failed.
-                return self._lose(kind, self._next_pool(pool, error))
-        return self._fail(kind, detail)
+                detail = self._rotate_pools(pool, error)
+            except _NO_USABLE_RESPONSE as error:
+                # The write may have been applied: another attempt could apply
+                # it twice, or report a comparison as failed because of its own
+                # first write.
+                return self._fail_unknown(kind, self._rotate_pools(pool, error))
+        return self._fail_unreachable(kind, detail)
 
     async def _admit(self, kind: str) -> store.Unreachable | None:
         admitted = self._budget.admit(
@@ -310,48 +312,48 @@
             await asyncio.sleep(admitted.wait_seconds)
         return None
 
-    def _answered(
-        self, reply: http_client.HttpResponse, parse: Callable[[dict], _T]
+    def _parse_response(
+        self, response: http_client.HttpResponse, parse: Callable[[dict], _T]
     ) -> _T | store.Unreachable:
-        """Return the outcome that an answer tells.
+        """Return the result that a response contains.
 
         Raises
         ------
         http_client.ResponseLostError, gateway_format.FormatError
-            When it tells nothing that can be relied on.
+            If the response does not show whether the call was applied.
         """
-        if reply.status >= _SERVER_ERROR:
-            # "Request timed out" comes as a server error, and such a
+        if response.status >= _SERVER_ERROR:
+            # "Request timed out" is returned as a server error, and such a
             # request may still be applied.
-            raise http_client.ResponseLostError(f"status {reply.status}")
-        fields = gateway_format.decode(reply.body)
+            raise http_client.ResponseLostError(f"status {response.status}")
+        fields = gateway_format.decode(response.body)
         self._budget.succeeded()
-        if reply.status >= _BAD_REQUEST and not gateway_format.is_not_found(
+        if response.status >= _BAD_REQUEST and not gateway_format.is_not_found(
             fields
         ):
-            # A refused call, such as one without permission or over the
-            # rate, was certainly not applied.
+            # A refused call, such as one without permission or over the rate
+            # limit, was certainly not applied.
             message = fields.get("message") or fields.get("error")
             return store.Unreachable(
-                detail=f"status {reply.status}: {message!r:.200}"
+                detail=f"status {response.status}: {message!r:.200}"
             )
         return parse(fields)
 
-    def _next_pool(
+    def _rotate_pools(
         self, failed: http_client.ConnectionPool, error: Exception | str
     ) -> str:
-        """Put the failed address last; return what is to be reported."""
+        """Move a failed address to the end; return the error detail."""
         if len(self._pools) > 1 and self._pools[0] is failed:
             self._pools.rotate(-1)
         address = failed.address
         return f"{address.host}:{address.port}: {error or 'timeout'}"
 
-    def _fail(self, kind: str, detail: str) -> store.Unreachable:
+    def _fail_unreachable(self, kind: str, detail: str) -> store.Unreachable:
         self._budget.failed()
         self.failures_by_kind[kind] += 1
         return store.Unreachable(detail=detail)
 
-    def _lose(self, kind: str, detail: str) -> store.Unknown:
+    def _fail_unknown(self, kind: str, detail: str) -> store.Unknown:
         self._budget.failed()
         self.failures_by_kind[kind] += 1
         return store.Unknown(detail=detail)
--- a/packages/platform/src/lagoonrun_platform/gateway_format.py
+++ b/packages/platform/src/lagoonrun_platform/gateway_format.py
@@ -1,7 +1,7 @@
-"""The published JSON format of the etcd v3 gateway, both ways; no I/O.
+"""The published JSON format of the etcd v3 gateway, both directions; no I/O.
 
-Keys and values are base64, 64-bit integers are strings, and fields at their
-default are absent from answers.
+Keys and values are base64, 64-bit integers are strings, and responses omit
+fields that have their default value.
 """
 
 import base64
@@ -15,23 +15,23 @@
 Json = Mapping[str, object]
 
 _NOT_FOUND_CODE = 5
-"""gRPC status of a call that names a lease the store does not know."""
+"""gRPC status of a call with a lease that the store does not have."""
 
 
 class FormatError(errors.LagoonrunError):
-    """An answer that is not of the published format."""
+    """A response that does not have the published format."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(step=errors.Step.PLATFORM_CALL, detail=detail)
 
 
 def encode(fields: Json) -> bytes:
-    """Return the JSON of a request."""
+    """Return a request as JSON."""
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def decode(body: bytes) -> dict:
-    """Return the JSON object of an answer."""
+    """Return the JSON object of a response."""
     try:
         fields = json.loads(body)
     except ValueError as error:
@@ -42,12 +42,12 @@
 
 
 def get_request(key: str) -> Json:
-    """Return a range request of one key."""
+    """Return a range request for one key."""
     return {"key": _encoded(key)}
 
 
 def list_request(prefix: str, *, keys_only: bool) -> Json:
-    """Return a range request of a prefix."""
+    """Return a range request for a prefix."""
     return {
         "key": _encoded(prefix),
         "range_end": _range_end(prefix),
@@ -61,7 +61,7 @@
     puts: Sequence[store.Put],
     deletes: Sequence[str],
 ) -> Json:
-    """Return a transaction that answers a failure with the compared keys."""
+    """Return a transaction that on failure reads the compared keys."""
     writes = [{"request_put": _put(put)} for put in puts]
     removals = [
         {"request_delete_range": {"key": _encoded(key)}} for key in deletes
@@ -76,7 +76,7 @@
 
 
 def grant_request(ttl_seconds: float) -> Json:
-    """Return a lease request; the format takes whole seconds."""
+    """Return a request for a lease; its duration is in whole seconds."""
     return {"TTL": str(max(1, math.ceil(ttl_seconds))), "ID": "0"}
 
 
@@ -100,21 +100,21 @@
 
 
 def header_revision(fields: Json) -> store.StoreRevision:
-    """Return the store's revision from an answer's header."""
+    """Return the store's revision from the header of a response."""
     header = fields.get("header")
     if not isinstance(header, dict) or not header.get("revision"):
-        # Taken for an answer, "{}" would read as a key that is absent.
+        # Without this check, "{}" would be read as an absent key.
         raise FormatError(detail=f"header: {header!r:.80}; valid: a revision")
     return store.StoreRevision(_integer(header, "revision"))
 
 
 def key_values(fields: Json) -> tuple[store.KeyValue, ...]:
-    """Return the keys of a range answer."""
+    """Return the keys of a range response."""
     return tuple(_key_value(one) for one in _objects(fields, "kvs"))
 
 
 def item(fields: Json) -> store.Item:
-    """Return the outcome of reading one key."""
+    """Return the result of reading one key."""
     items = key_values(fields)
     return store.Item(
         found=items[0] if items else None, revision=header_revision(fields)
@@ -122,21 +122,21 @@
 
 
 def listing(fields: Json) -> store.Listing:
-    """Return the outcome of listing a prefix."""
+    """Return the result of listing a prefix."""
     return store.Listing(
         items=key_values(fields), revision=header_revision(fields)
     )
 
 
 def is_not_found(fields: Json) -> bool:
-    """Return whether a lease of the call is not known to the store."""
+    """Return whether the store does not have a lease of the call."""
     return fields.get("code") == _NOT_FOUND_CODE
 
 
 def transaction_result(fields: Json) -> store.Committed | store.Rejected:
-    """Return the outcome of a transaction."""
+    """Return the result of a transaction."""
     if is_not_found(fields):
-        # A put names a lease that has lapsed; nothing was written.
+        # A put names an expired lease; nothing was written.
         return store.Rejected(items=(), revision=store.ABSENT)
     revision = header_revision(fields)
     if fields.get("succeeded"):
@@ -148,7 +148,7 @@
 
 
 def lease_granted(fields: Json) -> store.LeaseGranted:
-    """Return the outcome of a grant."""
+    """Return the result of a grant."""
     ttl_seconds = _integer(fields, "TTL")
     if ttl_seconds <= 0:
         raise FormatError(detail=f"TTL: {ttl_seconds}; valid: above 0")
@@ -161,7 +161,7 @@
 def lease_kept(
     fields: Json, lease: store.LeaseId
 ) -> store.LeaseGranted | store.LeaseLost:
-    """Return the outcome of a renewal; a lost lease has no time left."""
+    """Return the result of a renewal; a lost lease has no time left."""
     result = fields.get("result")
     if not isinstance(result, dict) and not is_not_found(fields):
         raise FormatError(detail=f"result: {result!r:.80}; valid: an object")
@@ -174,7 +174,7 @@
 def lease_revoked(
     fields: Json, lease: store.LeaseId
 ) -> store.LeaseRevoked | store.LeaseLost:
-    """Return the outcome of a revocation."""
+    """Return the result of a revocation."""
     if is_not_found(fields):
         return store.LeaseLost(lease=lease)
     return store.LeaseRevoked(lease=lease)
@@ -183,7 +183,7 @@
 def watch_message(
     fields: Json,
 ) -> store.WatchBatch | store.WatchCompacted | store.Unreachable:
-    """Return one line of a watch."""
+    """Return the message in one line of a watch."""
     result = fields.get("result")
     if not isinstance(result, dict):
         return store.Unreachable(detail=f"watch failed: {fields!r:.200}")
@@ -199,7 +199,7 @@
 
 
 def vm_listing(fields: Json) -> vm_list.VmListing:
-    """Return the list of VMs; VMs of unknown states are left out."""
+    """Return the list of VMs, without VMs of unknown states."""
     states = {state.value: state for state in vm_list.VmState}
     vms_by_id = {}
     for one in _objects(fields, "vms"):
@@ -292,7 +292,7 @@
 
 
 def _range_end(prefix: str) -> str:
-    """Return the first key after all that begin with `prefix`."""
+    """Return the first key after all keys that start with `prefix`."""
     octets = prefix.encode()
     end = octets[:-1] + bytes([octets[-1] + 1]) if octets else b"\x00"
     return base64.b64encode(end).decode()
--- a/packages/platform/src/lagoonrun_platform/http_client.py
+++ b/packages/platform/src/lagoonrun_platform/http_client.py
@@ -1,7 +1,9 @@
-"""HTTP/1.1 calls to a service of the platform or to a peer: pooled, or a stream.
+"""HTTP/1.1 client for services of the platform and for peers.
 
-It tells a call that was certainly not sent (`NotSentError`) from one whose
-reply was lost (`ResponseLostError`); the caller's promises rest on that.
+A request uses a pooled connection, one of its own, or streams its response. The
+client distinguishes a request that was certainly not sent (`NotSentError`) from
+one whose response was lost (`ResponseLostError`); the guarantees of its callers
+depend on it.
 """
 
 import asyncio
@@ -17,20 +19,20 @@
 from lagoonrun_core import clock as clock_module
 
 _READ_BYTES = 65_536
-_MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
-_MOST_IDLE = 8
-_LONGEST_IDLE_SECONDS = 30.0
+_MAX_BODY_BYTES = 16 * 1024 * 1024
+_MAX_IDLE_CONNECTIONS = 8
+_MAX_IDLE_SECONDS = 30.0
 _KEEPALIVE_IDLE_SECONDS = 10
 _KEEPALIVE_INTERVAL_SECONDS = 5
 _KEEPALIVE_PROBES = 3
 
 
 class NetworkAddress(Protocol):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     @property
     def host(self) -> str:
-        """IP number."""
+        """IP address."""
 
     @property
     def port(self) -> int:
@@ -38,16 +40,16 @@
 
 
 class NotSentError(Exception):
-    """No byte of the call left for the gateway."""
+    """No byte of the request was sent."""
 
 
 class ResponseLostError(Exception):
-    """The call was sent, in part at least, and no whole reply came."""
+    """The request was sent at least in part, and no complete response came."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HttpResponse:
-    """A whole reply.
+    """A complete response.
 
     Parameters
     ----------
@@ -67,7 +69,7 @@
     Parameters
     ----------
     headers
-        Further fields of the head.
+        Additional header fields.
     """
 
     method: str
@@ -76,15 +78,15 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class GatewayConnection:
-    """One connection, used for one call at a time.
+class HttpConnection:
+    """One connection, used for one request at a time.
 
     Parameters
     ----------
     reader, writer
         Streams of the open connection.
     address
-        The other side, for the Host field.
+        Address of the server, for the Host field.
     """
 
     def __init__(
@@ -97,55 +99,55 @@
         self._reader = reader
         self._writer = writer
         self._host = f"{address.host}:{address.port}"
-        self._state = h11.Connection(h11.CLIENT)
+        self._protocol = h11.Connection(h11.CLIENT)
         self.idle_since = 0.0
 
     @property
     def reusable(self) -> bool:
-        """Return whether another call may be sent."""
+        """Whether another request may be sent."""
         return (
-            self._state.our_state is h11.IDLE
+            self._protocol.our_state is h11.IDLE
             and not self._reader.at_eof()
             and not self._writer.is_closing()
         )
 
     async def call(
         self,
-        call: HttpRequest,
+        request: HttpRequest,
         *,
         on_progress: Callable[[], None] | None = None,
     ) -> HttpResponse:
-        """Send a call and return its whole reply.
+        """Send a request and return its complete response.
 
         Parameters
         ----------
         on_progress
-            Called whenever a part of the reply has come.
+            Called whenever a part of the response body has arrived.
 
         Raises
         ------
         ResponseLostError
-            When the connection ends before the reply does.
+            If the connection ends before the response does.
         """
         try:
-            await self._send(call)
+            await self._send(request)
             head = await self._read_head()
             body = bytearray()
             async for part in self._read_body():
                 body += part
                 if on_progress is not None:
                     on_progress()
-                if len(body) > _MAXIMUM_BODY_BYTES:
+                if len(body) > _MAX_BODY_BYTES:
                     raise ResponseLostError(
-                        f"reply over {_MAXIMUM_BODY_BYTES} bytes"
+                        f"response exceeds {_MAX_BODY_BYTES} bytes"
                     )
         except (OSError, h11.ProtocolError) as error:
             raise ResponseLostError(str(error)) from error
-        if self._state.states == {
+        if self._protocol.states == {
             h11.CLIENT: h11.DONE,
             h11.SERVER: h11.DONE,
         }:
-            self._state.start_next_cycle()
+            self._protocol.start_next_cycle()
         return HttpResponse(
             status=head.status_code,
             body=bytes(body),
@@ -155,16 +157,16 @@
             },
         )
 
-    async def open_stream(self, call: HttpRequest) -> int:
-        """Send a call and return its status; `parts` gives the body."""
+    async def open_stream(self, request: HttpRequest) -> int:
+        """Send a request and return its status; `parts` yields the body."""
         try:
-            await self._send(call)
+            await self._send(request)
             return (await self._read_head()).status_code
         except (OSError, h11.ProtocolError) as error:
             raise ResponseLostError(str(error)) from error
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body of a streamed reply as it comes."""
+        """Yield the body of a streamed response as it arrives."""
         try:
             async for part in self._read_body():
                 yield part
@@ -172,33 +174,33 @@
             raise ResponseLostError(str(error)) from error
 
     def close(self) -> None:
-        """Close the connection without waiting for the other side."""
+        """Close the connection without waiting for the server."""
         self._writer.close()
 
     def reset(self) -> None:
-        """Close the connection, and drop what has not been sent yet."""
-        raw = self._writer.get_extra_info("socket")
-        if raw is not None:
+        """Close the connection and discard unsent bytes."""
+        raw_socket = self._writer.get_extra_info("socket")
+        if raw_socket is not None:
             linger = struct.pack("ii", 1, 0)
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self._writer.transport.abort()
 
-    async def _send(self, call: HttpRequest) -> None:
-        request = h11.Request(
-            method=call.method,
-            target=call.path,
+    async def _send(self, request: HttpRequest) -> None:
+        head = h11.Request(
+            method=request.method,
+            target=request.path,
             headers=[
                 ("Host", self._host),
                 ("Content-Type", "application/json"),
-                ("Content-Length", str(len(call.body))),
-                *call.headers,
+                ("Content-Length", str(len(request.body))),
+                *request.headers,
             ],
         )
-        data = self._state.send(request) or b""
-        if call.body:
-            data += self._state.send(h11.Data(data=call.body)) or b""
-        data += self._state.send(h11.EndOfMessage()) or b""
-        self._writer.write(data)
+        payload = self._protocol.send(head) or b""
+        if request.body:
+            payload += self._protocol.send(h11.Data(data=request.body)) or b""
+        payload += self._protocol.send(h11.EndOfMessage()) or b""
+        self._writer.write(payload)
         await self._writer.drain()
 
     async def _read_head(self) -> h11.Response:
@@ -207,7 +209,7 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise ResponseLostError("connection closed before the reply")
+                raise ResponseLostError("connection closed before the response")
 
     async def _read_body(self) -> AsyncIterator[bytes]:
         while True:
@@ -215,15 +217,15 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise ResponseLostError("connection closed within the reply")
+                raise ResponseLostError("connection closed within the response")
             yield bytes(event.data)
 
     async def _next_event(self) -> object:
         while True:
-            event = self._state.next_event()
+            event = self._protocol.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self._state.receive_data(await self._reader.read(_READ_BYTES))
+            self._protocol.receive_data(await self._reader.read(_READ_BYTES))
 
 
 class ConnectionPool:
@@ -232,11 +234,11 @@
     Parameters
     ----------
     address
-        The gateway.
+        Address of the server.
     connect_timeout_seconds
-        Longest wait for a connection.
+        Time limit for opening a connection.
     clock
-        Dates idle connections.
+        Measures how long connections have been idle.
     """
 
     def __init__(
@@ -249,33 +251,33 @@
         self.address = address
         self._connect_timeout_seconds = connect_timeout_seconds
         self._clock = clock
-        self._idle: list[GatewayConnection] = []
+        self._idle: list[HttpConnection] = []
 
     async def call(
         self,
-        call: HttpRequest,
+        request: HttpRequest,
         *,
         timeout_seconds: float,
         stall_seconds: float | None = None,
     ) -> HttpResponse:
-        """Send a call over an idle or a new connection.
+        """Send a request over an idle or a new connection.
 
         Parameters
         ----------
         timeout_seconds
-            Longest wait for the whole reply.
+            Time limit for the complete response.
         stall_seconds
-            Where it is given, the longest pause between two parts of the
-            reply; the time above then holds for its first part only.
+            If given, the longest pause between two parts of the response; the
+            time limit above then holds for the first part only.
 
         Raises
         ------
         NotSentError
-            When no connection could be had.
+            If no connection could be opened.
         ResponseLostError
-            When it was sent and no whole reply came in time.
+            If the request was sent and no complete response came in time.
         """
-        connection = self._take_idle() or await self.connect()
+        connection = self._pop_idle() or await self.connect()
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_seconds) as bound:
@@ -284,47 +286,47 @@
                     if stall_seconds is not None:
                         bound.reschedule(loop.time() + stall_seconds)
 
-                reply = await connection.call(call, on_progress=extend)
+                response = await connection.call(request, on_progress=extend)
         except TimeoutError as error:
             connection.close()
             raise ResponseLostError(
-                f"no reply within {timeout_seconds:g} s, or a pause in it"
+                f"no response within {timeout_seconds:g} s, or a pause in it"
             ) from error
         except BaseException:
             connection.close()
             raise
-        self._give_back(connection)
-        return reply
+        self._release(connection)
+        return response
 
-    async def call_once(self, call: HttpRequest) -> HttpResponse:
-        """Send a call over a connection of its own.
+    async def call_once(self, request: HttpRequest) -> HttpResponse:
+        """Send a request over a connection of its own.
 
-        One that is given up, by its caller's time limit too, is reset: no byte
-        of it arrives later.
+        If the request is cancelled, also by a time limit of the caller, the
+        connection is reset: no byte of it arrives later.
 
         Raises
         ------
         NotSentError
-            When no connection could be had.
+            If no connection could be opened.
         ResponseLostError
-            When it was sent and no whole reply came.
+            If the request was sent and no complete response came.
         """
         connection = await self.connect()
         try:
-            reply = await connection.call(call)
+            response = await connection.call(request)
         except BaseException:
             connection.reset()
             raise
         connection.close()
-        return reply
+        return response
 
-    async def connect(self) -> GatewayConnection:
+    async def connect(self) -> HttpConnection:
         """Open a connection.
 
         Raises
         ------
         NotSentError
-            When it is refused or takes too long.
+            If the connection is refused or takes too long.
         """
         try:
             async with asyncio.timeout(self._connect_timeout_seconds):
@@ -332,10 +334,10 @@
                     self.address.host, self.address.port
                 )
         except (OSError, TimeoutError) as error:
-            text = str(error) or "no connection in time"
-            raise NotSentError(text) from error
-        _watch_liveness(writer)
-        return GatewayConnection(
+            detail = str(error) or "no connection in time"
+            raise NotSentError(detail) from error
+        _enable_keepalive(writer)
+        return HttpConnection(
             reader=reader, writer=writer, address=self.address
         )
 
@@ -345,34 +347,34 @@
             connection.close()
         self._idle.clear()
 
-    def _take_idle(self) -> GatewayConnection | None:
+    def _pop_idle(self) -> HttpConnection | None:
         now = self._clock.monotonic()
         while self._idle:
             connection = self._idle.pop()
             age = now - connection.idle_since
-            # A gateway closes idle connections; a call that is written into
-            # one on its way down has a lost reply for no other reason.
-            if connection.reusable and age < _LONGEST_IDLE_SECONDS:
+            # A server closes idle connections; a request written to one that is
+            # being closed would lose its response for no other reason.
+            if connection.reusable and age < _MAX_IDLE_SECONDS:
                 return connection
             connection.close()
         return None
 
-    def _give_back(self, connection: GatewayConnection) -> None:
-        if not connection.reusable or len(self._idle) >= _MOST_IDLE:
+    def _release(self, connection: HttpConnection) -> None:
+        if not connection.reusable or len(self._idle) >= _MAX_IDLE_CONNECTIONS:
             connection.close()
             return
         connection.idle_since = self._clock.monotonic()
         self._idle.append(connection)
 
 
-def _watch_liveness(writer: asyncio.StreamWriter) -> None:
-    """Have the system probe the connection.
+def _enable_keepalive(writer: asyncio.StreamWriter) -> None:
+    """Have the operating system probe the connection.
 
-    A watch may wait for hours; when the gateway's VM vanishes without a
-    word, only these probes end it.
+    A watch may wait for hours. If the server's VM disappears without closing
+    the connection, only these probes end it.
     """
-    raw = writer.get_extra_info("socket")
-    if raw is None:
+    raw_socket = writer.get_extra_info("socket")
+    if raw_socket is None:
         return
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -386,4 +388,4 @@
     )
     with contextlib.suppress(OSError):
         for level, option, value in options:
-            raw.setsockopt(level, option, value)
+            raw_socket.setsockopt(level, option, value)
--- a/packages/platform/tests/test_etcd_gateway.py
+++ b/packages/platform/tests/test_etcd_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway adapter under faults that only a network has."""
+"""The gateway adapter under faults that only occur on a network."""
 
 import asyncio
 import types
@@ -24,7 +24,7 @@
     committed = await gateway.transact(comparisons=_ABSENT, puts=_PUT)
     assert isinstance(committed, store.Committed)
     await gateway.get("a")
-    # The address that answered is asked first from then on.
+    # From then on the address that answered is tried first.
     assert gateway.calls_by_kind == {"txn": 2, "range": 1}
 
 
@@ -33,8 +33,8 @@
 ):
     """A write is sent, and the gateway hangs before it replies.
 
-    Sent again to another address it could be applied twice, and its own
-    first write would make its comparison fail: "rejected" would be untrue.
+    If it were sent again to another address, it could be applied twice, and its
+    own first write would make its comparison false: `Rejected` would be wrong.
     """
     other = platform_store.PlatformStore(clock=clock)
     await other.start()
@@ -48,13 +48,13 @@
     await other.close()
 
 
-async def test_outage_costs_few_calls_and_ends_without_a_rush(
+async def test_outage_costs_few_calls_and_ends_without_a_burst(
     gateway, platform, clock
 ):
-    """The platform is down and two hundred calls want to be made.
+    """Guards against two hundred calls that hit the platform when it returns.
 
-    Each trying on its own would hit the platform at its return with all at
-    once. One call at a time finds out; the rest fail without being sent.
+    During an outage one call at a time probes the platform; the rest fail
+    without being sent.
     """
     platform.control({"outage": "close"})
     for _ in range(100):
@@ -91,7 +91,7 @@
     await gateway.get("a")
     platform.control({"outage": "close"})
     platform.control({"outage": "none"})
-    # Another client's round trip lets the loop see the closed connection.
+    # Another client's round trip lets the event loop see the closed connection.
     await make_gateway(platform).get("a")
     committed = await gateway.transact(comparisons=_ABSENT, puts=_PUT)
     assert isinstance(committed, store.Committed)
@@ -130,8 +130,8 @@
 
 
 @pytest.fixture
-async def answer_with(make_gateway):
-    """Return a gateway whose every call is answered with the same bytes."""
+async def respond_with(make_gateway):
+    """Return a gateway whose calls all get the same response bytes."""
     servers = []
 
     async def make(reply):
@@ -171,20 +171,20 @@
         (_http_reply(429, b'{"code": 8}'), store.Unreachable),
     ],
 )
-async def test_answer_that_tells_nothing_is_not_relied_on(
-    answer_with, reply, write
+async def test_response_without_a_result_is_not_relied_on(
+    respond_with, reply, write
 ):
-    """The gateway or something before it answers with an error or noise.
+    """The gateway, or something in front of it, returns an error or garbage.
 
-    A write of which nothing is known is `Unknown`; taken for "rejected" or
-    "absent" it could run a request twice. Only a plain refusal says that
+    A write whose result cannot be determined is `Unknown`; taken for "rejected"
+    or "absent" it could run a request twice. Only a plain refusal means that
     nothing was applied.
     """
-    gateway = await answer_with(reply)
+    gateway = await respond_with(reply)
     assert isinstance(await gateway.get("a"), store.Unreachable)
-    gateway = await answer_with(reply)
+    gateway = await respond_with(reply)
     result = await gateway.transact(comparisons=_ABSENT, puts=_PUT)
     assert isinstance(result, write)
-    gateway = await answer_with(reply)
+    gateway = await respond_with(reply)
     watch = [message async for message in gateway.watch("a")]
     assert isinstance(watch[-1], store.Unreachable)
