--- a/packages/duties/tests/test_usage_reporter.py
+++ b/packages/duties/tests/test_usage_reporter.py
@@ -209,12 +209,12 @@
 
     A second report, with the counts received since, would contradict the first.
     """
-    holder.eras.take(1)
+    holder.eras.observe(1)
     backup = store.revision
     holder.count = 3
     await pass_time(clock, 7.0, holder)
     store.restore(backup)
-    holder.eras.take(2)
+    holder.eras.observe(2)
     holder.count = 8
     await holder.begin_tenure()
     await pass_time(clock, 6.0, holder)
@@ -230,13 +230,13 @@
 ):
     """The holder has reported a window and ended; the restore has lost both."""
     first, second = make_holder(), make_holder()
-    first.eras.take(1)
+    first.eras.observe(1)
     backup = store.revision
     await first.begin_tenure()
     first.count = 3
     await pass_time(clock, 7.0, first)
     store.restore(backup)
-    second.eras.take(2)
+    second.eras.observe(2)
     second.count = 8
     await second.begin_tenure()
     await pass_time(clock, 6.0, second)
@@ -249,11 +249,11 @@
 ):
     """All VMs were killed; the record's era shows that nothing was lost."""
     first, second = make_holder(), make_holder()
-    first.eras.take(4)
+    first.eras.observe(4)
     await first.begin_tenure()
     await pass_time(clock, 7.0, first)
     clock.advance(5.0)
-    second.eras.take(4)
+    second.eras.observe(4)
     await second.begin_tenure()
     await pass_time(clock, 2.0, second)
     assert {window for window, _, _ in platform.reports} >= {200, 201}
--- a/packages/orders/src/lagoonrun_orders/bounded_store.py
+++ b/packages/orders/src/lagoonrun_orders/bounded_store.py
@@ -55,11 +55,11 @@
             self._store.grant_lease(ttl_seconds=ttl_seconds)
         )
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: store_module.LeaseId
     ) -> store_module.LeaseResult:
         """Renew a lease; see `KeyValueStore`."""
-        return await self._bound(self._store.keep_lease(lease))
+        return await self._bound(self._store.renew_lease(lease))
 
     async def watch(
         self, key: str, *, from_revision: store_module.StoreRevision
--- a/packages/orders/src/lagoonrun_orders/leadership.py
+++ b/packages/orders/src/lagoonrun_orders/leadership.py
@@ -215,7 +215,7 @@
 
     async def _renew_lease(self) -> bool:
         if self._lease is not None:
-            kept = await self._store.keep_lease(self._lease)
+            kept = await self._store.renew_lease(self._lease)
             if isinstance(kept, store_module.LeaseGranted):
                 return kept.ttl_seconds >= self._ttl_seconds
             if not isinstance(kept, store_module.LeaseLost):
@@ -352,7 +352,7 @@
         """Return whether lease and key are held; None if unknown."""
         if self._lease is None:
             return False
-        kept = await self._store.keep_lease(self._lease)
+        kept = await self._store.renew_lease(self._lease)
         if isinstance(kept, store_module.LeaseLost):
             self._lease = None
             return False
--- a/packages/orders/tests/test_leadership.py
+++ b/packages/orders/tests/test_leadership.py
@@ -254,7 +254,7 @@
     would have expired.
     """
     eras = store_eras.StoreEras(clock=clock)
-    eras.take(1)
+    eras.observe(1)
     seen_at = clock.monotonic()
     successor = await candidate(eras=eras)
     await timers.advance(1.0)
@@ -267,12 +267,12 @@
 ):
     """The last tenure began after the last restore, so nothing was lost."""
     eras = store_eras.StoreEras(clock=clock)
-    eras.take(3)
+    eras.observe(3)
     first = await candidate(eras=eras)
     await timers.advance(50.0)
     await first.close(clean=True)
     fresh = store_eras.StoreEras(clock=clock)
-    fresh.take(3)
+    fresh.observe(3)
     successor = await candidate(eras=fresh)
     await timers.advance(1.0)
     assert successor.tenure.first_order_at <= clock.monotonic()
--- a/packages/platform/src/lagoonrun_platform/memory_store.py
+++ b/packages/platform/src/lagoonrun_platform/memory_store.py
@@ -1,4 +1,4 @@
-"""In-memory store and VM list for tests, with faults on demand."""
+"""In-memory store and VM list for tests, with fault injection."""
 
 import asyncio
 import collections
@@ -13,33 +13,33 @@
 
 
 class MemoryStore:
-    """Fake of `KeyValueStore` that follows the same rules as the real one.
+    """Fake of `KeyValueStore` that follows the same rules as the real store.
 
     Faults are plain attributes that tests set and unset.
 
     Parameters
     ----------
     clock
-        Drives the leases; they end when a call sees them expired.
+        Time of the leases; they expire when a call finds them expired.
     first_revision, first_lease
-        Numbers at the start; they rise by one.
+        Numbers at the start; they increase by one.
 
     Attributes
     ----------
     reachable
-        False: every call ends in `Unreachable` and watches break.
+        If False, every call returns `Unreachable` and watches break.
     lost_replies
-        So many of the next writes are applied and answered `Unknown`.
+        Number of coming writes that are applied and return `Unknown`.
     lost_requests
-        So many of the next writes are answered `Unknown` and not applied.
+        Number of coming writes that return `Unknown` and are not applied.
     stale_revision
-        When set, reads and new watches show the store as of this revision.
+        If set, reads and new watches show the store as of this revision.
     gate
-        When set, each call waits for this event before it takes effect.
+        If set, each call waits for this event before it takes effect.
     reply_gate
-        When set, each write waits for this event after it took effect.
+        If set, each write waits for this event after it took effect.
     calls_by_kind
-        Counts calls; a watch counts as one.
+        Number of calls by kind; a watch counts as one.
     """
 
     def __init__(
@@ -64,12 +64,13 @@
         self._leases: dict[store.LeaseId, _Lease] = {}
         self._first_lease = first_lease
         self._next_lease = first_lease
-        # In their order, so that tests with several watches repeat themselves.
+        # A dict keeps their order, so that tests with several watches are
+        # repeatable.
         self._watchers: dict[_Watcher, None] = {}
 
     @property
     def revision(self) -> store.StoreRevision:
-        """Return the revision of the last write."""
+        """Revision of the last write."""
         return self._revision
 
     def break_watches(self) -> None:
@@ -87,23 +88,25 @@
         self.reachable = True
 
     def restore(self, revision: store.StoreRevision) -> None:
-        """Come back from a copy that was made at `revision`.
+        """Restore the store from a backup that was made at `revision`.
 
-        What was written since is gone, and leases too; revisions and leases are
-        given out again. Watches break.
+        Later writes and leases are lost, and their revisions and lease numbers
+        are assigned again. Watches break.
         """
         self.break_watches()
         self._history = [
-            past for past in self._history if past.revision <= revision
+            snapshot
+            for snapshot in self._history
+            if snapshot.revision <= revision
         ]
-        past = self._history[-1]
-        self._revision = past.revision
-        self._items = dict(past.items)
+        snapshot = self._history[-1]
+        self._revision = snapshot.revision
+        self._items = dict(snapshot.items)
         self._events = [one for one in self._events if one.modified <= revision]
         now = self._clock.monotonic()
         self._leases = {
             lease: _Lease(ttl_seconds=ttl, expires=now + ttl)
-            for lease, ttl in past.ttl_by_lease.items()
+            for lease, ttl in snapshot.ttl_by_lease.items()
         }
         self._next_lease = max(
             (lease.number + 1 for lease in self._leases),
@@ -112,26 +115,28 @@
 
     async def get(self, key: str) -> store.Item | store.Unreachable:
         """Read one key; see `KeyValueStore`."""
-        if fault := await self._enter("get"):
+        if fault := await self._begin_call("get"):
             return fault
-        past = self._visible()
-        return store.Item(found=past.items.get(key), revision=past.revision)
+        snapshot = self._visible_snapshot()
+        return store.Item(
+            found=snapshot.items.get(key), revision=snapshot.revision
+        )
 
     async def list_prefix(
         self, prefix: str, *, keys_only: bool = False
     ) -> store.Listing | store.Unreachable:
         """Read a prefix; see `KeyValueStore`."""
-        if fault := await self._enter("list"):
+        if fault := await self._begin_call("list"):
             return fault
-        past = self._visible()
+        snapshot = self._visible_snapshot()
         items = tuple(
-            dataclasses.replace(past.items[key], value=b"")
+            dataclasses.replace(snapshot.items[key], value=b"")
             if keys_only
-            else past.items[key]
-            for key in sorted(past.items)
+            else snapshot.items[key]
+            for key in sorted(snapshot.items)
             if key.startswith(prefix)
         )
-        return store.Listing(items=items, revision=past.revision)
+        return store.Listing(items=items, revision=snapshot.revision)
 
     async def transact(
         self,
@@ -141,18 +146,18 @@
         deletes: Sequence[str] = (),
     ) -> store.TransactionResult:
         """Compare and write; see `KeyValueStore`."""
-        if fault := await self._enter("transact"):
+        if fault := await self._begin_call("transact"):
             return fault
-        if self._lose_request():
+        if self._pop_lost_request():
             return store.Unknown(detail="request lost")
         result = self._apply(comparisons, puts, deletes)
         return await self._reply(result)
 
     async def grant_lease(self, *, ttl_seconds: float) -> store.LeaseResult:
         """Grant a lease; see `KeyValueStore`."""
-        if fault := await self._enter("lease"):
+        if fault := await self._begin_call("lease"):
             return fault
-        if self._lose_request():
+        if self._pop_lost_request():
             return store.Unknown(detail="request lost")
         lease = store.LeaseId(number=self._next_lease)
         self._next_lease += 1
@@ -164,11 +169,11 @@
             store.LeaseGranted(lease=lease, ttl_seconds=ttl_seconds)
         )
 
-    async def keep_lease(self, lease: store.LeaseId) -> store.LeaseResult:
+    async def renew_lease(self, lease: store.LeaseId) -> store.LeaseResult:
         """Renew a lease; see `KeyValueStore`."""
-        if fault := await self._enter("lease"):
+        if fault := await self._begin_call("lease"):
             return fault
-        if self._lose_request():
+        if self._pop_lost_request():
             return store.Unknown(detail="request lost")
         held = self._leases.get(lease)
         if held is None:
@@ -180,9 +185,9 @@
 
     async def revoke_lease(self, lease: store.LeaseId) -> store.RevokeResult:
         """Revoke a lease; see `KeyValueStore`."""
-        if fault := await self._enter("lease"):
+        if fault := await self._begin_call("lease"):
             return fault
-        if self._lose_request():
+        if self._pop_lost_request():
             return store.Unknown(detail="request lost")
         if lease not in self._leases:
             return store.LeaseLost(lease=lease)
@@ -199,19 +204,21 @@
     ) -> AsyncIterator[store.WatchMessage]:
         """Yield changes; see `KeyValueStore`."""
         del max_wait_seconds
-        if fault := await self._enter("watch"):
+        if fault := await self._begin_call("watch"):
             yield fault
             return
         watcher = _Watcher(key=key, prefix=prefix)
         self._watchers[watcher] = None
         try:
-            past = () if from_revision == store.ABSENT else self._events
-            missed = tuple(
+            replayed = () if from_revision == store.ABSENT else self._events
+            missed_events = tuple(
                 event
-                for event in past
-                if event.modified >= from_revision and watcher.wants(event)
+                for event in replayed
+                if event.modified >= from_revision and watcher.matches(event)
+            )
+            yield store.WatchBatch(
+                events=missed_events, revision=self._revision
             )
-            yield store.WatchBatch(events=missed, revision=self._revision)
             while True:
                 message = await watcher.messages.get()
                 yield message
@@ -220,7 +227,7 @@
         finally:
             self._watchers.pop(watcher, None)
 
-    async def _enter(self, kind: str) -> store.Unreachable | None:
+    async def _begin_call(self, kind: str) -> store.Unreachable | None:
         self.calls_by_kind[kind] += 1
         if self.gate is not None:
             await self.gate.wait()
@@ -229,15 +236,15 @@
         self._expire_leases()
         return None
 
-    def _visible(self) -> "_Past":
+    def _visible_snapshot(self) -> "_Past":
         if self.stale_revision is None:
             return self._history[-1]
-        for past in reversed(self._history):
-            if past.revision <= self.stale_revision:
-                return past
+        for snapshot in reversed(self._history):
+            if snapshot.revision <= self.stale_revision:
+                return snapshot
         return self._history[0]
 
-    def _lose_request(self) -> bool:
+    def _pop_lost_request(self) -> bool:
         if self.lost_requests <= 0:
             return False
         self.lost_requests -= 1
@@ -257,7 +264,7 @@
         puts: Sequence[store.Put],
         deletes: Sequence[str],
     ) -> store.Committed | store.Rejected:
-        if not all(self._holds(one) for one in comparisons):
+        if not all(self._is_true(one) for one in comparisons):
             found = [self._items.get(one.key) for one in comparisons]
             items = tuple(item for item in found if item is not None)
             return store.Rejected(items=items, revision=self._revision)
@@ -269,7 +276,7 @@
         self._write(puts, deletes)
         return store.Committed(revision=self._revision)
 
-    def _holds(self, comparison: store.Comparison) -> bool:
+    def _is_true(self, comparison: store.Comparison) -> bool:
         item = self._items.get(comparison.key)
         modified = store.ABSENT if item is None else item.modified
         return modified == comparison.modified
@@ -309,10 +316,10 @@
         ]
         self._events.extend(events)
         for watcher in self._watchers:
-            wanted = tuple(one for one in events if watcher.wants(one))
-            if wanted:
+            matching = tuple(one for one in events if watcher.matches(one))
+            if matching:
                 watcher.put(
-                    store.WatchBatch(events=wanted, revision=self._revision)
+                    store.WatchBatch(events=matching, revision=self._revision)
                 )
 
     def _expire_leases(self) -> None:
@@ -344,7 +351,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Past:
-    """The store's keys and leases as they were at one revision."""
+    """The store's keys and leases at one revision."""
 
     revision: store.StoreRevision
     items: dict[str, store.KeyValue]
@@ -360,14 +367,14 @@
 
 
 class _Watcher:
-    """One watch: what it wants and the messages that wait for it."""
+    """One watch: which events it matches, and its queued messages."""
 
     def __init__(self, *, key: str, prefix: bool) -> None:
         self._key = key
         self._prefix = prefix
         self.messages: asyncio.Queue[store.WatchMessage] = asyncio.Queue()
 
-    def wants(self, event: store.Event) -> bool:
+    def matches(self, event: store.Event) -> bool:
         if self._prefix:
             return event.key.startswith(self._key)
         return event.key == self._key
--- a/packages/platform/src/lagoonrun_platform/store.py
+++ b/packages/platform/src/lagoonrun_platform/store.py
@@ -1,9 +1,9 @@
-"""The platform's key-value service as a `Protocol` with tagged outcomes.
+"""The platform's key-value store as a `Protocol` with tagged results.
 
-A write has four ends, and they are told apart because callers act
-differently on each: `Committed`, `Rejected` (a comparison did not hold),
-`Unreachable` (certainly not applied) and `Unknown` (sent, reply lost: it may
-or may not have been applied, and only a read tells).
+A write has four possible results, which are distinguished because callers act
+differently on each: `Committed`, `Rejected` (a comparison was false),
+`Unreachable` (certainly not applied) and `Unknown` (sent, but the reply was
+lost: it may or may not have been applied, and only a read tells).
 """
 
 import dataclasses
@@ -11,7 +11,8 @@
 from typing import NewType, Protocol
 
 StoreRevision = NewType("StoreRevision", int)
-"""Number of a write of the whole store; grows with each."""
+"""Number of a write, counted over the whole store; increases with each
+write."""
 
 ABSENT = StoreRevision(0)
 """Modification revision of a key that does not exist."""
@@ -19,15 +20,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeaseId:
-    """Which lease of the store; leases have no order.
+    """Identifier of a lease of the store; leases have no order.
 
     Parameters
     ----------
     number
-        What the store calls it: any whole number above 0.
+        The store's number of the lease: any integer above 0.
     era
-        Era of the store that granted it, since a store that was restored gives
-        its numbers out again; 0 where it tells none.
+        Era of the store that granted it, since a restored store assigns its
+        numbers again; 0 if the store reports no eras.
     """
 
     number: int
@@ -45,7 +46,7 @@
     created
         Store revision of the write that created the key.
     lease
-        Lease with which the key goes away, if any.
+        Lease whose end deletes the key, if any.
     """
 
     key: str
@@ -57,9 +58,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Comparison:
-    """Holds when `key` was last written at `modified`.
+    """True if `key` was last written at `modified`.
 
-    `ABSENT` holds for a key that does not exist.
+    `ABSENT` is true for a key that does not exist.
     """
 
     key: str
@@ -84,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unknown:
-    """A write was sent and its reply lost; it may have been applied."""
+    """A write was sent and its reply was lost; it may have been applied."""
 
     detail: str
 
@@ -96,9 +97,9 @@
     Parameters
     ----------
     found
-        The key, or None when it does not exist.
+        The key, or None if it does not exist.
     revision
-        Store revision of the answer.
+        Store revision of the response.
     """
 
     found: KeyValue | None
@@ -107,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Listing:
-    """Result of listing a prefix, in the order of the keys."""
+    """Result of listing a prefix, ordered by key."""
 
     items: tuple[KeyValue, ...]
     revision: StoreRevision
@@ -115,26 +116,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Committed:
-    """All comparisons held and all writes were applied."""
+    """All comparisons were true and all writes were applied."""
 
     revision: StoreRevision
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """A comparison did not hold and nothing was written.
+    """A comparison was false and nothing was written.
 
     Parameters
     ----------
     items
-        The compared keys as they are; absent ones are left out.
+        The current state of the compared keys, without absent ones.
     """
 
     items: tuple[KeyValue, ...]
     revision: StoreRevision
 
     def item(self, key: str) -> KeyValue | None:
-        """Return the compared key as it is, or None when it is absent."""
+        """Return the current state of a compared key, or None if absent."""
         for item in self.items:
             if item.key == key:
                 return item
@@ -155,14 +156,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeaseLost:
-    """The store does not know the lease (any more)."""
+    """The store does not have the lease, or no longer has it."""
 
     lease: LeaseId
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeaseRevoked:
-    """The lease is over and its keys are gone."""
+    """The lease has ended and its keys are deleted."""
 
     lease: LeaseId
 
@@ -178,9 +179,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WatchBatch:
-    """Changes of one store revision or several, in order.
+    """Changes of one or several store revisions, in order.
 
-    An empty batch says that the watch is established.
+    An empty batch means that the watch is established.
     """
 
     events: tuple[Event, ...]
@@ -189,7 +190,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WatchCompacted:
-    """The wanted revision is no longer kept: read, then watch from there."""
+    """The requested revision is no longer kept: read, then watch from there."""
 
     oldest: StoreRevision
 
@@ -201,19 +202,19 @@
 
 
 class KeyValueStore(Protocol):
-    """Key-value service with compare-and-swap, leases and watches.
+    """Key-value store with compare-and-swap, leases and watches.
 
-    No method raises for a fault of the store or the network; cancelling a
-    call leaves a write in the state that `Unknown` describes.
+    No method raises an exception for a fault of the store or the network.
+    Cancelling a write leaves it in the state that `Unknown` describes.
     """
 
     async def get(self, key: str) -> Item | Unreachable:
-        """Read one key. A lagging store may answer with an old value."""
+        """Read one key. A lagging store may return an old value."""
 
     async def list_prefix(
         self, prefix: str, *, keys_only: bool = False
     ) -> Listing | Unreachable:
-        """Read all keys that begin with `prefix`; values on request only."""
+        """Read all keys that start with `prefix`, with or without values."""
 
     async def transact(
         self,
@@ -222,17 +223,17 @@
         puts: Sequence[Put] = (),
         deletes: Sequence[str] = (),
     ) -> TransactionResult:
-        """Apply all writes if all comparisons hold, else none.
+        """Apply all writes if all comparisons are true, otherwise none.
 
-        The comparison and the items of `Rejected` are never old values, so a
-        transaction without writes is also the read to settle doubts with.
+        The comparison and the items of `Rejected` are never based on old
+        values, so a transaction without writes is also a linearizable read.
         """
 
     async def grant_lease(self, *, ttl_seconds: float) -> LeaseResult:
-        """Ask for a lease; the store may grant another duration."""
+        """Request a lease; the store may grant another duration."""
 
-    async def keep_lease(self, lease: LeaseId) -> LeaseResult:
-        """Renew a lease once: `LeaseGranted` with the time from now on."""
+    async def renew_lease(self, lease: LeaseId) -> LeaseResult:
+        """Renew a lease once; `LeaseGranted` has the time from now on."""
 
     async def revoke_lease(self, lease: LeaseId) -> RevokeResult:
         """End a lease and delete its keys."""
@@ -247,9 +248,9 @@
     ) -> AsyncIterator[WatchMessage]:
         """Yield changes from `from_revision` on (`ABSENT`: from now on).
 
-        Where a watch is a series of calls, each waits for a change for at
-        most `max_wait_seconds` (None: as long as the store's client sees
-        fit); an empty batch then says that the store still answers.
+        If a watch is a series of calls, each waits at most `max_wait_seconds`
+        for a change (None: as long as the store's client chooses); an empty
+        batch then means that the store still answers.
 
         The iterator ends after `Unreachable` or `WatchCompacted`; the caller
         decides when to watch again. Close it with `aclose`.
--- a/packages/platform/src/lagoonrun_platform/store_eras.py
+++ b/packages/platform/src/lagoonrun_platform/store_eras.py
@@ -1,11 +1,12 @@
-"""Numbers of a store that may come back from an older copy of itself.
-
-A store that is restored has lost what came since the copy was made, and gives out
-the same revisions and leases again for other contents. It says so by an era that
-rises each time. Era and revision make one number here, which rises through a
-restore: whoever keeps, compares, tells or logs a revision, and whoever takes one as
-a fencing number, needs to know nothing of eras. Leases have no order; the era stands
-beside them.
+"""Revisions and leases of a store that may be restored from a backup.
+
+A restored store has lost the writes since the backup, and assigns the same
+revisions and lease numbers again for other contents. The store reports this by
+an era (restore epoch), a counter that it increments on each restore. Era and
+revision are combined into one number here, which increases across restores. So
+code that keeps, compares, sends or logs a revision, or uses one as a fencing
+number, need not know about eras. Leases have no order; their era is kept next
+to their number.
 """
 
 import logging
@@ -15,18 +16,18 @@
 from lagoonrun_platform import store
 
 ERA_BITS = 53
-"""Bits below the era: all whole numbers that are exact in JSON."""
+"""Number of bits below the era: all integers that are exact in JSON."""
 
-MOST_ERAS = 1 << 10
-"""Eras above which numbers would not fit into 63 bits, as messages and receivers of
-fencing numbers take them."""
+MAX_ERAS = 1 << 10
+"""Number of eras; a larger era would not fit into 63 bits, the limit in
+messages and for receivers of fencing numbers."""
 
 NO_ERA = 0
-"""Era of a store that tells none."""
+"""Era of a store that reports none."""
 
 
 class NumberRangeError(errors.LagoonrunError):
-    """The store has told a number that doesn't fit beside its era."""
+    """The store has reported a number that does not fit beside its era."""
 
 
 def era_of(number: int) -> int:
@@ -35,7 +36,7 @@
 
 
 class StoreEras:
-    """The newest era of a store, and the numbers of what it says.
+    """The newest era of a store, and the conversion of its numbers.
 
     Parameters
     ----------
@@ -45,41 +46,41 @@
     Attributes
     ----------
     newest
-        The newest era that the store has told.
+        The newest era that the store has reported.
     seen_at
-        Reading of the clock when it was first told; None while none was.
-    restores
-        Restores that were seen: the first era that is told is none.
+        Monotonic time when it was first reported; None while none was.
+    restore_count
+        Number of restores seen; the first reported era is none.
     """
 
     def __init__(self, *, clock: clocks.Clock) -> None:
         self._clock = clock
         self.newest = NO_ERA
         self.seen_at: float | None = None
-        self.restores = 0
+        self.restore_count = 0
 
-    def take(self, era: int) -> bool:
-        """Take in the era of an answer; return whether the answer counts.
+    def observe(self, era: int) -> bool:
+        """Record the era of a response; return whether the response is valid.
 
-        One of an earlier era was under way while the store was restored; what it
-        says is void.
+        A response of an earlier era was on its way while the store was
+        restored, and must be discarded.
 
         Raises
         ------
         NumberRangeError
-            Where the era is too large.
+            If the era is too large.
         """
-        if era >= MOST_ERAS:
-            raise _out_of_range("era", era, MOST_ERAS)
+        if era >= MAX_ERAS:
+            raise _out_of_range("era", era, MAX_ERAS)
         if era < self.newest:
             return False
         if self.seen_at is None or era > self.newest:
-            self._begin(era)
+            self._begin_era(era)
         return True
 
-    def _begin(self, era: int) -> None:
+    def _begin_era(self, era: int) -> None:
         restored = self.seen_at is not None
-        self.restores += restored
+        self.restore_count += restored
         previous, self.newest = self.newest, era
         self.seen_at = self._clock.monotonic()
         logs.emit(
@@ -90,24 +91,24 @@
             restored=restored,
         )
 
-    def revision(self, plain: int) -> store.StoreRevision:
-        """Return the number of a revision of the newest era; 0 stays 0.
+    def revision(self, store_number: int) -> store.StoreRevision:
+        """Return a revision of the newest era as a combined number; 0 stays 0.
 
         Raises
         ------
         NumberRangeError
-            Where the store tells eras, and the revision is too large.
+            If the store reports eras and the revision is too large.
         """
-        if plain == store.ABSENT or self.newest == NO_ERA:
-            return store.StoreRevision(plain)
-        if plain >= 1 << ERA_BITS:
-            raise _out_of_range("revision", plain, 1 << ERA_BITS)
-        return store.StoreRevision(self.newest << ERA_BITS | plain)
+        if store_number == store.ABSENT or self.newest == NO_ERA:
+            return store.StoreRevision(store_number)
+        if store_number >= 1 << ERA_BITS:
+            raise _out_of_range("revision", store_number, 1 << ERA_BITS)
+        return store.StoreRevision(self.newest << ERA_BITS | store_number)
 
-    def plain(self, revision: int) -> int | None:
-        """Return what the store calls a revision; None where it has no such.
+    def store_number(self, revision: int) -> int | None:
+        """Return the store's own number of a revision; None if it is not valid.
 
-        One of an earlier era may mean something else by now.
+        A revision of an earlier era may mean something else by now.
         """
         if revision <= store.ABSENT or self.newest == NO_ERA:
             return revision
@@ -116,11 +117,11 @@
         return revision & ((1 << ERA_BITS) - 1)
 
     def lease(self, number: int) -> store.LeaseId:
-        """Return the lease of the newest era that has a number."""
+        """Return the lease with a number in the newest era."""
         return store.LeaseId(number=number, era=self.newest)
 
-    def knows_lease(self, lease: store.LeaseId) -> bool:
-        """Return whether a lease is of the newest era."""
+    def is_current_lease(self, lease: store.LeaseId) -> bool:
+        """Return whether a lease belongs to the newest era."""
         return lease.era == self.newest
 
 
--- a/packages/platform/src/lagoonrun_platform/vm_list.py
+++ b/packages/platform/src/lagoonrun_platform/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs as a `Protocol`."""
+"""The platform's list of VMs, which may lag, as a `Protocol`."""
 
 import dataclasses
 import enum
@@ -16,7 +16,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says of a VM."""
+    """State of a VM that the platform reports."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Vm:
-    """One VM as the list shows it, which may be seconds old.
+    """One VM in the list, which may be seconds old.
 
     Parameters
     ----------
     id
         Upstream id or entry VM id.
     address
-        IP number; for an entry VM with its peer port.
+        IP address; for an entry VM, `port` is its peer port.
     """
 
     id: str
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VmListing:
-    """One reading of the list."""
+    """The list as of one call."""
 
     vms_by_id: dict[str, Vm]
 
@@ -53,4 +53,4 @@
     """Lagging list of live and leaving VMs."""
 
     async def list_vms(self) -> VmListing | store.Unreachable:
-        """Return the list as the platform has it now."""
+        """Return the list as the platform reports it now."""
--- a/packages/platform/tests/conftest.py
+++ b/packages/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: the platform's stand-in and the adapter that talks to it."""
+"""Fixtures: the platform's stand-in and the adapter that calls it."""
 
 import dataclasses
 import random
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Address:
-    """Where a gateway listens."""
+    """Listening address of a gateway."""
 
     host: str
     port: int
--- a/packages/platform/tests/test_store.py
+++ b/packages/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What every `KeyValueStore` promises, of the fake and of the real one."""
+"""The contract of `KeyValueStore`, for the fake and for the real one."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class MemoryFaults:
-    """Brings faults about in the in-memory store."""
+    """Injects faults into the in-memory store."""
 
     def __init__(self, memory):
         self._memory = memory
@@ -18,7 +18,7 @@
         self._memory.lost_replies = 1
 
     def lag(self):
-        """Let reads show the store as it was one write ago."""
+        """Have reads show the store as of one write ago."""
         self._memory.stale_revision = self._memory.revision - 1
 
     def stop(self):
@@ -27,7 +27,7 @@
 
 
 class StandInFaults:
-    """Brings faults about in the stand-in behind the gateway adapter."""
+    """Injects faults into the stand-in behind the gateway adapter."""
 
     def __init__(self, stand_in):
         self._stand_in = stand_in
@@ -37,7 +37,7 @@
         self._stand_in.control({"lose_replies": 1})
 
     def lag(self):
-        """Let reads show the store as it was one write ago."""
+        """Have reads show the store as of one write ago."""
         self._stand_in.control({"read_lag_revisions": 1})
 
     def stop(self):
@@ -122,8 +122,8 @@
 async def test_lost_reply_is_unknown_and_applied(subject, faults):
     """The reply of a write is lost after the write took effect.
 
-    A caller that took it for a failure would write again, and one that
-    took it for success could be wrong as well.
+    A caller that took it for a failure would write again, and one that took it
+    for a success could be wrong as well.
     """
     await subject.get("a")
     faults.lose_reply()
@@ -151,23 +151,23 @@
     assert isinstance(await _create(subject, "b"), store.Rejected)
 
 
-async def test_lapsed_lease_takes_its_keys(subject, clock):
+async def test_expired_lease_deletes_its_keys(subject, clock):
     granted = await subject.grant_lease(ttl_seconds=2.0)
     await _create(subject, "a", lease=granted.lease)
     clock.advance(1.5)
-    kept = await subject.keep_lease(granted.lease)
+    kept = await subject.renew_lease(granted.lease)
     assert kept == store.LeaseGranted(lease=granted.lease, ttl_seconds=2.0)
     clock.advance(1.5)
     assert (await subject.get("a")).found.lease == granted.lease
     clock.advance(1.0)
     assert (await subject.get("a")).found is None
     lost = store.LeaseLost(lease=granted.lease)
-    assert await subject.keep_lease(granted.lease) == lost
+    assert await subject.renew_lease(granted.lease) == lost
     late = await _create(subject, "b", lease=granted.lease)
     assert isinstance(late, store.Rejected)
 
 
-async def test_revoked_lease_takes_its_keys(subject):
+async def test_revoked_lease_deletes_its_keys(subject):
     granted = await subject.grant_lease(ttl_seconds=60.0)
     await _create(subject, "a", lease=granted.lease)
     revoked = await subject.revoke_lease(granted.lease)
--- a/tests/users_platform/test_store_client.py
+++ b/tests/users_platform/test_store_client.py
@@ -80,12 +80,12 @@
 async def test_lease_takes_its_keys_along(any_store):
     granted = await any_store.grant_lease(ttl_seconds=30.0)
     await put(any_store, "a", lease=granted.lease)
-    kept = await any_store.keep_lease(granted.lease)
+    kept = await any_store.renew_lease(granted.lease)
     assert isinstance(kept, store.LeaseGranted)
     ended = await any_store.revoke_lease(granted.lease)
     assert isinstance(ended, store.LeaseRevoked)
     assert (await any_store.get("a")).found is None
-    lost = await any_store.keep_lease(granted.lease)
+    lost = await any_store.renew_lease(granted.lease)
     assert isinstance(lost, store.LeaseLost)
 
 
@@ -256,8 +256,8 @@
     known = (await client.get("a")).found.modified
     stand_in.restore(copy)
     await put(stand_in.memory, "a", b"other")
-    plain = (await stand_in.memory.get("a")).found.modified
-    assert plain == client.eras.plain(known)
+    store_number = (await stand_in.memory.get("a")).found.modified
+    assert store_number == client.eras.store_number(known)
     await client.get("b")
     result = await client.transact(
         comparisons=[store.Comparison(key="a", modified=known)],
@@ -302,7 +302,7 @@
     other = await stand_in.memory.grant_lease(ttl_seconds=5.0)
     assert other.lease.number == held.lease.number
     await client.get("a")
-    assert isinstance(await client.keep_lease(held.lease), store.LeaseLost)
+    assert isinstance(await client.renew_lease(held.lease), store.LeaseLost)
     assert isinstance(await client.revoke_lease(held.lease), store.LeaseLost)
     result = await client.transact(
         comparisons=(),
@@ -310,7 +310,7 @@
     )
     assert isinstance(result, store.Unreachable)
     assert isinstance(
-        await stand_in.memory.keep_lease(other.lease), store.LeaseGranted
+        await stand_in.memory.renew_lease(other.lease), store.LeaseGranted
     )
 
 
@@ -365,7 +365,7 @@
     granted = await client.grant_lease(ttl_seconds=30.0)
     await put(client, "a", lease=granted.lease)
     assert isinstance(
-        await client.keep_lease(granted.lease), store.LeaseGranted
+        await client.renew_lease(granted.lease), store.LeaseGranted
     )
     assert (await client.get("a")).found.lease == granted.lease
     assert not client.unsent_calls_by_kind
@@ -389,6 +389,6 @@
     stand_in.restore(copy)
     await client.get("a")
     with caplog.at_level(logging.WARNING, logger="lagoonrun"):
-        await client.keep_lease(held.lease)
+        await client.renew_lease(held.lease)
     assert client.unsent_calls_by_kind == {"kv-keep": 1}
     assert 704 in [one.event for one in caplog.records]
