--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -1,9 +1,10 @@
-"""The duties of several entry VMs under failures, seen from the platform.
+"""The duties of several entry VMs under failures, as seen by the platform.
 
 Kills, planned stops, pauses, cuts from the store or from the platform's calls,
-outages, lost answers and wrong clocks come in any order. A judge on the platform's
-side looks for two holders at once, turns within a lease, and contradictions. Each
-of its findings is shown with a fault that is planted on purpose.
+outages, lost responses and wrong clocks occur in any order. A checker on the
+platform's side looks for two holders at once, for holders that alternate within
+a lease, and for contradictions. For each kind of violation a test injects a
+fault that causes it.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 
 
 def pool(now):
-    """Return a pool of which another number is wanted every second."""
+    """Return a pool whose desired number of runners changes every second."""
     return runner_model.PoolView(
         pool=types.PoolName("readers"),
         scaling=runner_model.Scaling(
@@ -56,17 +57,17 @@
 
 
 class _VmClock:
-    """The steady clock of all, and a wall clock that may be wrong."""
+    """The monotonic clock of all VMs, and a wall clock that may be wrong."""
 
-    def __init__(self, steady):
-        self._steady = steady
+    def __init__(self, monotonic):
+        self._monotonic = monotonic
         self.ahead = 0.0
 
     def monotonic(self):
-        return self._steady.monotonic()
+        return self._monotonic.monotonic()
 
     def wall(self):
-        return self._steady.monotonic() + self.ahead
+        return self._monotonic.monotonic() + self.ahead
 
 
 class _VmStore:
@@ -102,8 +103,8 @@
 class _VmPlatform:
     """The platform's calls as one entry VM makes them."""
 
-    def __init__(self, judge, clock, name):
-        self._judge = judge
+    def __init__(self, checker, clock, name):
+        self._checker = checker
         self._clock = clock
         self._name = name
         self.cut = False
@@ -112,7 +113,7 @@
     def _take(self, subject, fencing):
         if self.cut:
             return platform_calls.Refused(detail="cut")
-        self._judge.take(
+        self._checker.record_call(
             standin_duties.Taken(
                 at=self._clock.monotonic(),
                 holder=self._name,
@@ -129,7 +130,7 @@
         result = self._take("usage", fencing)
         if not self.cut:
             counts = dict(report.count_by_organisation)
-            self._judge.take_usage(report.window, counts)
+            self._checker.record_usage(report.window, counts)
         return result
 
     async def order_runners(self, order, *, fencing):
@@ -148,7 +149,7 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Up to five entry VMs before one store and one platform."""
+    """Up to five entry VMs that use one store and one platform."""
 
     names = tuple(f"vm-{number}" for number in range(5))
 
@@ -157,7 +158,7 @@
         self.loop = asyncio.new_event_loop()
         self.clock = clocks.ManualClock()
         self.memory = memory_store.MemoryStore(clock=self.clock)
-        self.judge = standin_duties.DutyJudge(reacquire_delay_seconds=3.0)
+        self.checker = standin_duties.DutyChecker(reacquire_delay_seconds=3.0)
         self.by_name = {}
         self.timers = []
         self.starts = 0
@@ -165,7 +166,7 @@
             self._start(name)
 
     def teardown(self):
-        """End all entry VMs."""
+        """Stop all entry VMs."""
         for name in tuple(self.by_name):
             self._kill(name)
         self.loop.close()
@@ -183,7 +184,7 @@
         self.starts += 1
         clock = _VmClock(self.clock)
         store = _VmStore(self.memory)
-        platform = _VmPlatform(self.judge, self.clock, name)
+        platform = _VmPlatform(self.checker, self.clock, name)
         time = filtered_clock.FilteredClock(clock=clock)
         exchange = usage_exchange.UsageExchange(
             entry_vm=name,
@@ -232,7 +233,7 @@
 
     def _step_all(self):
         self.clock.advance(STEP_SECONDS)
-        # The store in memory sees that a lease is over when it is called.
+        # The in-memory store expires leases when it is called.
         self._run(self.memory.get("any"))
         now = self.clock.monotonic()
         for vm in self.by_name.values():
@@ -241,15 +242,16 @@
         awake = [
             name for name, vm in self.by_name.items() if vm.paused_until <= now
         ]
-        told = [self._state_of(name, self.by_name[name]) for name in awake]
+        states = [self._state_of(name, self.by_name[name]) for name in awake]
         for name in awake:
-            # Each hears of some requests that the others have not heard of.
+            # Each receives some requests that the others do not.
             for _ in range(self.names.index(name) + 1):
                 self.by_name[name].exchange.record_started("house")
-            for state in told:
+            for state in states:
                 self.by_name[name].exchange.receive_state(state, now=now)
             self._run(self.by_name[name].duties.step())
-        # After the steps: a holder that wakes up may act before it renews.
+        # After the steps, since a holder that wakes up may act before it
+        # renews.
         due = [one for one in self.timers if one[0] <= now and one[1] in awake]
         self.timers = [one for one in self.timers if one not in due]
         for _, _, woken in due:
@@ -272,7 +274,7 @@
 
     @stateful.rule(seconds=st.sampled_from([0.25, 0.5, 1.0, 2.0, 4.0, 8.0]))
     def pass_time(self, seconds):
-        """Have time pass."""
+        """Let time pass."""
         for _ in range(int(seconds / STEP_SECONDS)):
             self._step_all()
 
@@ -309,7 +311,7 @@
         if name in self.by_name:
             vm = self.by_name.pop(name)
             self._run(vm.duties.stop())
-            # It goes on telling its state until its last request has ended.
+            # It keeps sending its state until its last request has ended.
             state = self._state_of(name, vm)
             for other in self.by_name.values():
                 other.exchange.receive_state(state, now=self.clock.monotonic())
@@ -320,7 +322,7 @@
         seconds=st.sampled_from([1.0, 3.0, 4.0, 6.0, 9.0]), wait=st.booleans()
     )
     def pause_holder(self, seconds, wait):
-        """Have the holder stand still, and maybe see it wake up."""
+        """Freeze the holder, and maybe wait until it resumes."""
         for vm in self.by_name.values():
             if vm.exchange.is_holder:
                 vm.paused_until = self.clock.monotonic() + seconds
@@ -336,33 +338,33 @@
             vm.platform.cut = not store
 
     @stateful.rule(number=st.integers(0, 4))
-    def mend(self, number):
-        """Mend the links of an entry VM."""
+    def mend_links(self, number):
+        """Restore the links of an entry VM."""
         vm = self.by_name.get(self.names[number])
         if vm is not None:
             vm.store.cut = vm.platform.cut = False
 
     @stateful.rule(lost=st.integers(1, 3), store=st.booleans())
     def lose_answers(self, lost, store):
-        """Lose the next answers of the store, or of the platform."""
+        """Lose the next responses of the store, or of the platform."""
         for vm in self.by_name.values():
             (vm.store if store else vm.platform).lost_answers = lost
 
     @stateful.rule()
     def begin_outage(self):
-        """Have the store be down."""
+        """Take the store down."""
         self.memory.stop()
 
     @stateful.rule()
     def end_outage(self):
-        """Have the store be back."""
+        """Bring the store back."""
         self.memory.resume()
 
     @stateful.rule(ahead=st.sampled_from([-7.0, -2.0, 2.0, 7.0]))
     def step_clock_of_holder(self, ahead):
-        """Have the wall clock of the holder jump, and jump back in time.
+        """Step the wall clock of the holder, and step it back in time.
 
-        One that stays wrong for a minute is believed, and windows are off.
+        A step that lasts for a minute is accepted, and then windows are off.
         """
         for vm in self.by_name.values():
             if vm.exchange.is_holder:
@@ -371,21 +373,21 @@
 
     @stateful.rule(again=st.booleans())
     def stop_holder(self, again):
-        """Stop whoever holds the duties as planned."""
+        """Stop the holder of the duties as planned."""
         for name, vm in tuple(self.by_name.items()):
             if vm.exchange.is_holder:
                 self.stop(number=self.names.index(name), again=again)
 
     @stateful.invariant()
-    def nobody_can_say_anything_against_them(self):
-        """Have a second pass after whatever has happened, and ask the judge."""
+    def no_violation_is_found(self):
+        """Let a second pass after whatever happened, and ask the checker."""
         for _ in range(4):
             self._step_all()
-        assert not self.judge.faults
+        assert not self.checker.violations
 
     @stateful.rule()
     def all_is_well_again_soon(self):
-        """Have nothing fail any more: somebody reports within seconds."""
+        """End all failures: somebody reports within seconds."""
         self.memory.resume()
         for vm in self.by_name.values():
             vm.store.cut = vm.platform.cut = False
@@ -394,7 +396,7 @@
         if not self.by_name:
             self._start(self.names[0])
         self.pass_time(24.0)
-        newest = max(self.judge.counts_by_window, default=0)
+        newest = max(self.checker.counts_by_window, default=0)
         now = CONFIGURED.window_at(self.clock.monotonic())
         assert newest >= now - 2
 
@@ -414,37 +416,39 @@
     stateful.run_state_machine_as_test(Fleet, settings=_SETTINGS)
 
 
-# Planted faults.
+# Injected faults.
 
 
+# hypothesis seeds its choices by the source text of this class. With most texts,
+# not with all, 50 examples find the long tenure: run the tests after a change.
 class Planted(Fleet):
     """The same fleet, of which only the judge speaks."""
 
     all_is_well_again_soon = None
 
 
-def plant_long_view(monkeypatch):
-    """Have a holder believe in its tenure beyond the end of the lease."""
+def inject_long_tenure(monkeypatch):
+    """Have a holder rely on its tenure beyond the end of the lease."""
     monkeypatch.setattr(duties, "MARGIN_SECONDS", -12.0)
 
 
-def plant_one_number(monkeypatch):
-    """Have all holders use one number."""
+def inject_same_number(monkeypatch):
+    """Have all holders use the same fencing number."""
     begin = leadership.Leadership._begin
 
-    def begin_with_one(self, revision, asked):
-        begin(self, revision, asked)
+    def begin_with_one(self, revision, requested_at):
+        begin(self, revision, requested_at)
         self._tenure = dataclasses.replace(self._tenure, fencing=7)
 
     monkeypatch.setattr(leadership.Leadership, "_begin", begin_with_one)
 
 
-def plant_falling_number(monkeypatch):
-    """Have the numbers fall from holder to holder."""
+def inject_decreasing_number(monkeypatch):
+    """Have the fencing numbers decrease from holder to holder."""
     begin = leadership.Leadership._begin
 
-    def begin_with_less(self, revision, asked):
-        begin(self, revision, asked)
+    def begin_with_less(self, revision, requested_at):
+        begin(self, revision, requested_at)
         self._tenure = dataclasses.replace(
             self._tenure, fencing=1_000_000 - revision
         )
@@ -452,8 +456,8 @@
     monkeypatch.setattr(leadership.Leadership, "_begin", begin_with_less)
 
 
-def plant_forgotten_counts(monkeypatch):
-    """Have a window reported as counted now, not as it was settled."""
+def inject_recounted_window(monkeypatch):
+    """Have a window reported with its present counts, not the settled ones."""
     report = usage_reporter.UsageReporter._report
 
     async def report_anew(self, settled, tenure):
@@ -467,20 +471,20 @@
 @pytest.mark.parametrize(
     ("plant", "text"),
     [
-        (plant_long_view, "came late|took turns"),
-        (plant_one_number, " and .*: 7"),
-        (plant_falling_number, "came late"),
-        (plant_forgotten_counts, "window"),
+        (inject_long_tenure, "older fencing number|alternated with"),
+        (inject_same_number, " and .*: 7"),
+        (inject_decreasing_number, "older fencing number"),
+        (inject_recounted_window, "window"),
     ],
 )
-def test_planted_fault_is_found(monkeypatch, plant, text):
+def test_injected_fault_is_found(monkeypatch, plant, text):
     plant(monkeypatch)
     with pytest.raises(AssertionError, match=text):
         stateful.run_state_machine_as_test(Planted, settings=_SETTINGS)
 
 
 class ReturnsAtOnce(Fleet):
-    """A fleet whose holders wait for nothing when they come back."""
+    """A fleet whose holders do not wait before they act again."""
 
     def make_duties(self, **options):
         """Return the duties of one entry VM."""
@@ -494,10 +498,11 @@
     ("fleet_type", "turns"), [(Fleet, False), (ReturnsAtOnce, True)]
 )
 def test_holder_that_comes_back_waits_for_a_while(fleet_type, turns):
-    """The platform takes two entry VMs for holders at once.
+    """Guards against two entry VMs that look like holders at once.
 
-    A rolling restart stops the holder; the next one takes over, orders, and is
-    stopped a second later; the first one is back by then and takes over again.
+    A rolling restart stops the holder; the next one takes over, sends an order,
+    and is stopped a second later; the first one is back by then and takes over
+    again.
     """
     fleet = fleet_type()
     fleet.pass_time(4.0)
@@ -507,8 +512,11 @@
     fleet.stop_holder(again=False)
     fleet.kill(number=2)
     fleet.pass_time(8.0)
-    holders = [one.holder for one in fleet.judge.taken]
+    holders = [one.holder for one in fleet.checker.calls]
     assert holders[0] == holders[-1] == "vm-0"
     assert "vm-1" in holders
-    assert any("took turns" in one for one in fleet.judge.faults) is turns
+    assert (
+        any("alternated with" in one for one in fleet.checker.violations)
+        is turns
+    )
     fleet.teardown()
--- a/tests/users_platform/test_duty_client.py
+++ b/tests/users_platform/test_duty_client.py
@@ -1,4 +1,4 @@
-"""The platform's calls of the duties over the wire."""
+"""The platform's calls for duties over the wire."""
 
 import asyncio
 
@@ -11,13 +11,13 @@
 
 
 @pytest.fixture
-def judge():
-    return standin_duties.DutyJudge(reacquire_delay_seconds=3.0)
+def checker():
+    return standin_duties.DutyChecker(reacquire_delay_seconds=3.0)
 
 
 @pytest.fixture
-async def platform(judge):
-    made = standin_duties.StandInDuties(judge=judge)
+async def platform(checker):
+    made = standin_duties.StandInDuties(checker=checker)
     await made.start()
     yield made
     await made.close()
@@ -40,7 +40,7 @@
     return platform_calls.RunnerOrder(**{**fields, **changes})
 
 
-async def test_report_names_window_counts_and_holder(platform, judge, calls):
+async def test_report_names_window_counts_and_holder(platform, checker, calls):
     report = platform_calls.UsageReport(
         window=7, count_by_organisation={"house": 3}
     )
@@ -49,7 +49,7 @@
     assert platform.bodies == [
         ("/usage", {"window_id": 7, "counts": {"house": 3}})
     ]
-    assert (judge.taken[0].holder, judge.taken[0].fencing) == ("vm-1", 12)
+    assert (checker.calls[0].holder, checker.calls[0].fencing) == ("vm-1", 12)
 
 
 async def test_only_reclaimable_runners_are_named_as_such(platform, calls):
@@ -72,7 +72,7 @@
         (500, platform_calls.Unanswered),
     ],
 )
-async def test_answers_are_told_apart(platform, calls, status, outcome):
+async def test_responses_are_distinguished(platform, calls, status, outcome):
     platform.status = status
     result = await calls.order_runners(order(), fencing=12)
     assert isinstance(result, outcome)
@@ -81,24 +81,24 @@
 async def test_silent_platform_leaves_the_outcome_open(
     platform, calls, monkeypatch
 ):
-    """Nobody knows whether the call was taken: it ends within its time."""
+    """The call may have been accepted; it ends within its time limit."""
     monkeypatch.setattr(platform_calls, "CALL_SECONDS", 0.05)
     platform.silent = True
     result = await calls.order_runners(order(), fencing=12)
     assert isinstance(result, platform_calls.Unanswered)
 
 
-async def test_platform_that_is_away_has_taken_nothing(platform, calls):
+async def test_unreachable_platform_has_accepted_nothing(platform, calls):
     await platform.close()
     result = await calls.order_runners(order(), fencing=12)
     assert isinstance(result, platform_calls.Refused)
 
 
-async def test_call_that_was_given_up_is_reset(monkeypatch):
-    """A call of an earlier holder arrives in the time of the next one.
+async def test_cancelled_call_is_reset(monkeypatch):
+    """Guards against a call that arrives during the next holder's tenure.
 
-    The link to the platform was cut while the call was written; it waited in
-    the buffers of a connection that had been closed in the usual way.
+    The link to the platform is cut while the call is written. The call must not
+    wait in the buffers of a connection that was closed normally.
     """
     ended = asyncio.get_running_loop().create_future()
 
