--- a/tests/users_platform/conftest.py
+++ b/tests/users_platform/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a stand-in of the platform's store, and a client of it."""
+"""Fixtures: a stand-in of the platform's store, and its client."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 async def stand_in():
-    """Return a store that speaks the platform's calls."""
+    """Return a store that implements the platform's calls."""
     made = StandInStore()
     await made.start()
     yield made
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 async def other_stand_in():
-    """Return another such store."""
+    """Return a second such store."""
     made = StandInStore()
     await made.start()
     yield made
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 async def stand_in_from():
-    """Return a function that starts a store with given numbers, and a client."""
+    """Return a function that starts a store with given numbers and a client."""
     opened = []
 
     async def start(**numbers):
@@ -56,5 +56,5 @@
 
 @pytest.fixture(params=["in-memory", "over-the-wire"])
 def any_store(request, stand_in, client):
-    """Return an in-memory store, or the client of the stand-in."""
+    """Return the in-memory store, or the client of the stand-in."""
     return stand_in.memory if request.param == "in-memory" else client
--- a/tests/users_platform/test_store_client.py
+++ b/tests/users_platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""The client of the store: the same cases as for the in-memory store."""
+"""The client of the store, with the same cases as the in-memory store."""
 
 import asyncio
 import base64
@@ -77,7 +77,7 @@
     ]
 
 
-async def test_lease_takes_its_keys_along(any_store):
+async def test_lease_deletes_its_keys(any_store):
     granted = await any_store.grant_lease(ttl_seconds=30.0)
     await put(any_store, "a", lease=granted.lease)
     kept = await any_store.renew_lease(granted.lease)
@@ -102,10 +102,10 @@
     assert isinstance(await anext(watch), store.Unreachable)
 
 
-async def test_write_without_an_answer_may_have_been_applied(
+async def test_write_without_a_response_may_have_been_applied(
     stand_in, client, monkeypatch
 ):
-    """The store is silent after a write was sent.
+    """The store does not respond after a write was sent.
 
     The write may take effect seconds later; it must not count as failed.
     """
@@ -117,7 +117,7 @@
     assert isinstance(result, store.Unknown)
 
 
-async def test_store_that_is_away_is_unreachable(stand_in, client):
+async def test_stopped_store_is_unreachable(stand_in, client):
     await stand_in.close()
     result = await client.transact(
         comparisons=(), puts=[store.Put(key="a", value=b"")]
@@ -126,14 +126,14 @@
     assert isinstance(await client.list_prefix(""), store.Unreachable)
 
 
-async def test_lost_history_is_told_apart_from_an_outage(stand_in, client):
+async def test_lost_history_is_distinguished_from_an_outage(stand_in, client):
     stand_in.compacted = True
     watch = client.watch("", from_revision=1)
     assert isinstance(await anext(watch), store.WatchCompacted)
 
 
 async def test_silent_watch_ends(stand_in, client, monkeypatch):
-    """A connection to the store goes silent for good, without a reset."""
+    """A connection to the store becomes silent without a reset."""
     monkeypatch.setattr(store_client, "_WATCH_SECONDS", 0.05)
     monkeypatch.setattr(store_client, "_WATCH_SLACK_SECONDS", 0.05)
     stand_in.silent = True
@@ -151,7 +151,7 @@
 async def test_calls_go_to_a_new_address(stand_in, other_stand_in, client):
     """The platform moves its store while the process runs."""
     await put(other_stand_in.memory, "moved")
-    client.use_address(other_stand_in.address)
+    client.set_address(other_stand_in.address)
     assert (await client.get("moved")).found is not None
     assert stand_in.targets == []
 
@@ -162,14 +162,14 @@
 
 @pytest.fixture
 async def slow_link():
-    """Return where a store answers in parts; `stall_after` ends them early."""
+    """Return a server that responds in parts; `stall_after` ends them early."""
     opened = []
 
     class Link:
         stall_after = PARTS
 
         async def answer(self, reader, writer):
-            """Answer one watch with a change, part by part."""
+            """Respond to one watch with a change, part by part."""
             opened.append(writer)
             await reader.readuntil(b"\r\n\r\n")
             value = base64.b64encode(b"x" * 8000).decode()
@@ -207,30 +207,33 @@
         return await anext(watch)
 
 
-async def test_long_answer_on_a_thin_link_is_waited_for(slow_link, monkeypatch):
-    """A large configuration has come, and the links are thin.
+async def test_long_response_on_a_slow_link_is_waited_for(
+    slow_link, monkeypatch
+):
+    """Guards against entry VMs that never get a large configuration.
 
-    Each answer took longer than the limit, and was begun anew: no entry VM got
-    the configuration, nor any after it.
+    On slow links each response takes longer than the time limit. If it were
+    requested again every time, no entry VM would get this configuration, nor
+    any after it.
     """
     message = await first_message(slow_link, monkeypatch, stall_seconds=5.0)
     assert isinstance(message, store.WatchBatch)
     assert len(message.events[0].value) == 8000
 
 
-async def test_answer_that_stops_midway_is_given_up(slow_link, monkeypatch):
-    """The connection has gone silent without a reset."""
+async def test_response_that_stops_midway_is_abandoned(slow_link, monkeypatch):
+    """The connection becomes silent without a reset."""
     slow_link.stall_after = 2
     message = await first_message(slow_link, monkeypatch, stall_seconds=0.2)
     assert isinstance(message, store.Unreachable)
 
 
-# A store that comes back from an older copy of itself.
+# A store that is restored from a backup.
 
 
 @pytest.fixture
-async def copy(stand_in, client):
-    """Return the revision of a copy, made before two more keys were written."""
+async def backup(stand_in, client):
+    """Return a backup's revision, from before two more keys were written."""
     stand_in.era = 1
     made = stand_in.memory.revision
     await put(client, "a", b"1")
@@ -238,23 +241,22 @@
     return made
 
 
-async def test_revision_after_a_restore_is_larger(stand_in, client, copy):
+async def test_revision_after_a_restore_is_larger(stand_in, client, backup):
     before = await put(client, "c")
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     assert (await client.get("nothing")).revision > before
     assert await put(client, "c") > before
 
 
-async def test_comparison_with_a_number_given_out_again_does_not_hold(
-    stand_in, client, copy
+async def test_comparison_with_a_revision_assigned_again_is_false(
+    stand_in, client, backup
 ):
-    """Somebody writes another value, which gets the revision of the lost one.
+    """Another writer's value gets the revision of the lost one.
 
-    Compared by revision alone, it would be overwritten as if nobody had been
-    there.
+    Compared by revision alone, it would be overwritten as if it did not exist.
     """
     known = (await client.get("a")).found.modified
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     await put(stand_in.memory, "a", b"other")
     store_number = (await stand_in.memory.get("a")).found.modified
     assert store_number == client.eras.store_number(known)
@@ -267,12 +269,12 @@
     assert result.item("a").value == b"other"
 
 
-async def test_write_that_crosses_a_restore_is_not_known(
-    stand_in, client, copy
+async def test_write_that_overlaps_a_restore_is_unknown(
+    stand_in, client, backup
 ):
-    """The client hears of the restore by the answer to its own write."""
+    """The client learns of the restore from the response to its own write."""
     known = (await client.get("a")).found.modified
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     await put(stand_in.memory, "a", b"other")
     result = await client.transact(
         comparisons=[store.Comparison(key="a", modified=known)],
@@ -281,10 +283,10 @@
     assert isinstance(result, store.Unknown)
 
 
-async def test_watch_from_an_older_era_starts_anew(stand_in, client, copy):
-    """The revision that it goes on from was given out again for other changes."""
+async def test_watch_from_an_older_era_starts_again(stand_in, client, backup):
+    """The revision it continues from was assigned again to other changes."""
     known = (await client.list_prefix("")).revision
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     for number in range(5):
         await put(stand_in.memory, f"other-{number}")
     for _ in range(2):
@@ -295,10 +297,10 @@
                 assert isinstance(message, store.WatchCompacted)
 
 
-async def test_lease_of_an_older_era_is_lost(stand_in, client, copy):
-    """The store has given its number to somebody else."""
+async def test_lease_of_an_older_era_is_lost(stand_in, client, backup):
+    """The store has assigned its number to another lease."""
     held = await client.grant_lease(ttl_seconds=5.0)
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     other = await stand_in.memory.grant_lease(ttl_seconds=5.0)
     assert other.lease.number == held.lease.number
     await client.get("a")
@@ -314,23 +316,25 @@
     )
 
 
-async def test_answer_of_an_older_era_is_void(stand_in, client, copy):
-    """Another path to the store still answers from before the restore."""
-    stand_in.restore(copy)
+async def test_response_of_an_older_era_is_discarded(stand_in, client, backup):
+    """Another path to the store still responds from before the restore."""
+    stand_in.restore(backup)
     await client.get("a")
     stand_in.era -= 1
     assert isinstance(await client.get("a"), store.Unreachable)
     assert isinstance(await client.list_prefix(""), store.Unreachable)
 
 
-async def test_answer_without_an_era_says_nothing_of_it(stand_in, client, copy):
-    """Something before the store refuses a call, and knows no era."""
+async def test_response_without_an_era_changes_nothing(
+    stand_in, client, backup
+):
+    """A proxy before the store rejects a call, and reports no era."""
     known = (await client.get("a")).found.modified
     stand_in.era = None
     assert (await client.get("a")).found.modified == known
 
 
-async def test_listing_over_a_restore_is_none(stand_in, client, copy):
+async def test_listing_that_overlaps_a_restore_fails(stand_in, client, backup):
     for number in range(8):
         await put(client, f"p/{number}")
     answer = stand_in._kv_range
@@ -344,8 +348,8 @@
     assert isinstance(await client.list_prefix("p/"), store.Unreachable)
 
 
-async def test_restore_that_loses_nothing_is_one_all_the_same(
-    stand_in, client, copy
+async def test_restore_that_loses_nothing_starts_an_era_as_well(
+    stand_in, client, backup
 ):
     before = await put(client, "c")
     stand_in.restore(stand_in.memory.revision)
@@ -360,7 +364,7 @@
 async def test_key_is_written_under_a_lease_of_any_number(
     stand_in_from, first_lease
 ):
-    """Guards against a write that is given up for the number of its lease."""
+    """Guards against a write that is not sent because of its lease's number."""
     _, client = await stand_in_from(first_lease=first_lease)
     granted = await client.grant_lease(ttl_seconds=30.0)
     await put(client, "a", lease=granted.lease)
@@ -382,11 +386,11 @@
     assert "the store's revision is" in answer.detail
 
 
-async def test_call_that_is_given_up_is_logged_and_counted(
-    stand_in, client, copy, caplog
+async def test_call_that_is_not_sent_is_logged_and_counted(
+    stand_in, client, backup, caplog
 ):
     held = await client.grant_lease(ttl_seconds=5.0)
-    stand_in.restore(copy)
+    stand_in.restore(backup)
     await client.get("a")
     with caplog.at_level(logging.WARNING, logger="lagoonrun"):
         await client.renew_lease(held.lease)
