--- a/tests/users_platform/test_layout.py
+++ b/tests/users_platform/test_layout.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the upstreams' entries, decoded."""
+"""Decoding of the operators' configuration and of the upstreams' entries."""
 
 import copy
 import hashlib
@@ -129,8 +129,8 @@
 def test_only_routes_that_changed_are_decoded_anew():
     """Operators change one of 1,900 routes ten times a second.
 
-    An entry VM with a tenth of a core that decoded all each time would fall
-    seconds behind.
+    An entry VM with a tenth of a core that decoded all of them each time would
+    fall seconds behind.
     """
     reading = layout.PlatformLayout()
     first = reading.decode_declarations(json.dumps(CONFIG).encode())
@@ -174,7 +174,7 @@
         (("services", 0, "max_connections"), True, "max_connections"),
     ],
 )
-def test_fault_names_the_field_the_value_and_what_is_valid(path, value, named):
+def test_error_names_the_field_the_value_and_what_is_valid(path, value, named):
     config = copy.deepcopy(CONFIG)
     inner = config
     for step in path[:-1]:
@@ -191,7 +191,7 @@
     [b"", b"[]", b"{", b"\xff", b"[" * 100_000],
     ids=["empty", "list", "open", "no-text", "deep"],
 )
-def test_nonsense_is_a_fault(value):
+def test_malformed_value_is_an_error(value):
     with pytest.raises(format_error.FormatError):
         LAYOUT.decode_declarations(value)
     with pytest.raises(format_error.FormatError):
@@ -202,11 +202,11 @@
 @pytest.mark.parametrize(
     "value", [None, "", True, [], {}, -1, 1.5, "1"], ids=repr
 )
-def test_entry_of_another_writer_is_a_fault(field, value):
-    """Something else writes over an upstream's entry.
+def test_entry_of_another_writer_is_an_error(field, value):
+    """Something else overwrites an upstream's entry.
 
-    A field is missing, or has another type. Read with a default in its place,
-    the entry would send requests to an address or a pool of nobody.
+    A field is missing, or has another type. If it were replaced by a default,
+    requests would be sent to a wrong address or pool.
     """
     fitting = {"service", "zone", "version"} if value == "1" else set()
     if field in fitting or (field == "cold_remaining_ms" and value == 1.5):
@@ -229,14 +229,14 @@
 @pytest.mark.parametrize(
     "field", sorted(ENTRY.keys() - {"something_new", "born"})
 )
-def test_entry_without_a_field_is_a_fault(field):
+def test_entry_without_a_field_is_an_error(field):
     entry = _entry_without(field)
     with pytest.raises(format_error.FormatError):
         LAYOUT.decode_upstream("servers/i-7", json.dumps(entry).encode())
 
 
 @pytest.mark.parametrize("state", ["Ready", "starting", "gone", "ready "])
-def test_state_that_nobody_named_is_a_fault(state):
+def test_unknown_state_is_an_error(state):
     with pytest.raises(format_error.FormatError):
         decode_entry(state=state)
 
@@ -245,7 +245,7 @@
     "address",
     ["", "10.0.0.1", ":80", "10.0.0.1:x", "host:80", "10.0.0.1:0", "1.2:70000"],
 )
-def test_address_without_host_or_port_is_a_fault(address):
+def test_address_without_host_or_port_is_an_error(address):
     with pytest.raises(format_error.FormatError):
         decode_entry(address=address)
 
@@ -269,14 +269,14 @@
 
 
 def test_scaling_without_prices_names_no_domain():
-    """The configuration holds; no runner is ordered where no price is known."""
+    """The configuration is valid; without a price no runner is ordered."""
     config = copy.deepcopy(CONFIG)
     config["services"][0]["scaling"] = {"max": 5}
     scaling = decode(config).pools_by_name["pool-a"].scaling
     assert not scaling.price_by_domain
 
 
-def test_entry_says_whether_the_platform_may_take_the_upstream_away():
+def test_entry_says_whether_the_platform_may_reclaim_the_upstream():
     made = layout.PlatformLayout()
     entry = {**ENTRY, "spot": True}
     value = json.dumps(entry).encode()
--- a/tests/users_platform/test_reference.py
+++ b/tests/users_platform/test_reference.py
@@ -1,4 +1,4 @@
-"""The pages of the router's settings and metrics name what the code has."""
+"""The reference pages of settings and metrics match the code."""
 
 import pathlib
 import re
@@ -35,8 +35,8 @@
 )
 
 
-class Noting(dict):
-    """A table that notes the names it was asked for."""
+class RecordingTable(dict):
+    """A table that records which names are read."""
 
     def __init__(self, table, prefix, names):
         super().__init__(table)
@@ -44,11 +44,11 @@
         self._names = names
 
     def get(self, name, default=None):
-        """Return a value; tables are noting ones as well."""
+        """Return a value; nested tables record their names as well."""
         value = super().get(name, default)
         path = f"{self._prefix}{name}"
         if isinstance(value, dict):
-            return Noting(value, f"{path}.", self._names)
+            return RecordingTable(value, f"{path}.", self._names)
         self._names.add(path)
         return value
 
@@ -60,7 +60,7 @@
 
 def test_page_of_settings_names_exactly_what_is_read():
     names = set()
-    table = Noting(SETTINGS, "", names)
+    table = RecordingTable(SETTINGS, "", names)
     settings_file.parse(fields.Fields(table=table, where=""))
     assert first_column("router-settings.md") == names
 
--- a/tests/users_platform/test_settings_file.py
+++ b/tests/users_platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked."""
+"""Reading and validating the platform's settings file."""
 
 import subprocess
 import sys
@@ -51,7 +51,7 @@
     assert configured.reuse_seconds == 10.0
 
 
-def test_operators_say_what_counts_as_read_again(load):
+def test_reuse_window_is_configurable(load):
     text = TEXT.replace("[bounds]", "[bounds]\nreuse_window_s = 6.7")
     assert load(text).reuse_seconds == 6.7
 
@@ -77,7 +77,7 @@
         ('address = "10.200.1.7:8223"', "", "platform.address"),
     ],
 )
-def test_fault_names_key_value_and_what_is_valid(load, old, new, named):
+def test_error_names_key_value_and_what_is_valid(load, old, new, named):
     with pytest.raises(format_error.FormatError) as raised:
         load(TEXT.replace(old, new))
     assert named in raised.value.detail
--- a/tests/users_platform/test_wire.py
+++ b/tests/users_platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Requests and answers on the wire, decoded and written."""
+"""Requests and responses on the wire, decoded and encoded."""
 
 import pytest
 from hypothesis import given
@@ -69,7 +69,7 @@
 
 
 @given(st.text(max_size=60))
-def test_strange_prompt_headers_never_fail(text):
+def test_malformed_prompt_headers_never_fail(text):
     features = DIALECT.read_attributes(
         head(("X-Prompt-Prefix", text), ("X-Token-Usage", text))
     )
@@ -97,10 +97,10 @@
 
 
 def test_callers_cannot_speak_in_the_routers_name():
-    """A caller sets headers by which the router steers upstreams.
+    """A caller sets headers by which the router controls upstreams.
 
-    Passed on, they would let it act as another house, hold memory, or read
-    what another request left there.
+    If they were forwarded, a caller could act as another organisation, hold
+    cache memory, or read what another request left there.
     """
     forged = [
         "Authorization",
@@ -142,7 +142,7 @@
     assert sent.headers.get("X-Deadline-Ms") == "1"
 
 
-def test_answers_are_told_apart():
+def test_responses_are_distinguished():
     assert DIALECT.says_not_run(answer(503, X_Not_Executed="1"))
     assert not DIALECT.says_not_run(answer(503))
     assert DIALECT.is_misdirected(answer(421))
@@ -170,8 +170,8 @@
 @pytest.mark.parametrize(
     "text", ["-1", "nan", "inf", "1e9", "1,6", "", "9" * 20, "١", "1 2"]
 )
-def test_limit_that_makes_no_sense_is_none_and_reported(text):
-    """Guards against a header of an upstream that stops its pool."""
+def test_malformed_limit_is_ignored_and_reported(text):
+    """Guards against an upstream's header that stops its pool."""
     notice = DIALECT.read_notice(limited(text))
     assert notice.requests_per_second is None
     assert notice.unreadable == (f"Server-Limit: {text}",)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("text", ["0", "true", "", "11"])
-def test_other_words_do_not_say_that_an_upstream_leaves(text):
+def test_other_values_do_not_say_that_an_upstream_leaves(text):
     notice = DIALECT.read_notice(answer(Server_Leaving=text))
     assert not notice.leaving
     assert notice.unreadable == (f"Server-Leaving: {text}",)
@@ -219,8 +219,8 @@
 @pytest.mark.parametrize(
     "text", ["-3", "nan", "Wed, 21 Oct 2026 07:28:00 GMT", "soon"]
 )
-def test_rest_that_can_not_be_read_is_a_short_one_and_reported(text):
-    """Guards against a header of an upstream that has no effect, or ends it."""
+def test_unreadable_rest_is_a_short_one_and_reported(text):
+    """Guards against a header that has no effect, or stops its upstream."""
     notice = DIALECT.read_notice(answer(503, Retry_After=text))
     assert notice.rest_seconds == 1.0
     assert notice.unreadable == (f"Retry-After: {text}",)
