--- a/packages/orders/src/lagoonrun_orders/bounded_store.py
+++ b/packages/orders/src/lagoonrun_orders/bounded_store.py
@@ -50,7 +50,7 @@
     async def grant_lease(
         self, *, ttl_seconds: float
     ) -> store_module.LeaseResult:
-        """Ask for a lease; see `KeyValueStore`."""
+        """Request a lease; see `KeyValueStore`."""
         return await self._bound(
             self._store.grant_lease(ttl_seconds=ttl_seconds)
         )
--- a/packages/orders/src/lagoonrun_orders/orderer.py
+++ b/packages/orders/src/lagoonrun_orders/orderer.py
@@ -207,26 +207,26 @@
             self._last_state_by_id[upstream.id] = _LastState(
                 state=state, at=now
             )
-        seen = self._last_state_by_id.setdefault(
+        last_state = self._last_state_by_id.setdefault(
             upstream.id, _LastState(state=None, at=now)
         )
-        if seen.state is None or self._is_forgotten(upstream):
+        if last_state.state is None or self._is_forgotten(upstream):
             return None
         # The predecessor's last orders may still change an upstream that does
         # not check fencing numbers, so its state is not final until then.
-        settled = upstream.checks_fencing or reading.predecessor_done
-        leaving = seen.state.leaving or self._is_leaving(upstream.id)
+        is_final = upstream.checks_fencing or reading.predecessor_done
+        leaving = last_state.state.leaving or self._is_leaving(upstream.id)
         return plan_module.View(
             upstream=upstream,
-            state=dataclasses.replace(seen.state, leaving=leaving),
-            current=current and settled,
+            state=dataclasses.replace(last_state.state, leaving=leaving),
+            current=current and is_final,
             changing=upstream.id in reading.changing,
         )
 
     def _is_forgotten(self, upstream: model.Upstream) -> bool:
         """Return whether an upstream has been silent for too long."""
-        seen = self._last_state_by_id[upstream.id]
-        return self._clock.monotonic() - seen.at > self._forget_seconds
+        last_state = self._last_state_by_id[upstream.id]
+        return self._clock.monotonic() - last_state.at > self._forget_seconds
 
     def _execute(
         self,
--- a/packages/orders/tests/test_fencing.py
+++ b/packages/orders/tests/test_fencing.py
@@ -40,7 +40,7 @@
 _LOST = store_module.Unknown(detail="reply lost")
 _STEPS = ("call", "reply", "ask", "state", "connect", "timer", "answer")
 _STEPS += ("write",) * 3
-_JUMPS_SECONDS = (1.0, 4.0, 9.0, 20.0)
+_ADVANCES_SECONDS = (1.0, 4.0, 9.0, 20.0)
 _LATENCIES_SECONDS = (0.0, 1.0, ORDER_SECONDS)
 _SETTINGS = hypothesis.settings(
     derandomize=True,
@@ -109,14 +109,14 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class _Flight:
+class _InFlightOrder:
     """An order that is, or will be, written and has not yet taken effect."""
 
     upstream: model.Upstream
     order: upstream_orders.Order
     fencing: int
     deadline: float
-    moved: asyncio.Future
+    progress: asyncio.Future
 
 
 class _Receiver:
@@ -126,19 +126,19 @@
         self.clock, self._checks = clock, checks
         self.latency = lambda _: 0.0
         self.state_by_id, self.latest_by_id = {}, {}
-        self.guarded, self.written = [], []
+        self.unwritten, self.written = [], []
 
-    def apply(self, flight):
-        self.written.remove(flight)
-        upstream, order = flight.upstream, flight.order
+    def apply(self, pending):
+        self.written.remove(pending)
+        upstream, order = pending.upstream, pending.order
         latest = self.latest_by_id.get(upstream.id, 0)
         checks = upstream.checks_fencing and self._checks
-        if checks and flight.fencing < latest:
+        if checks and pending.fencing < latest:
             refused = upstream_orders.RefusedOldFencing(detail="old")
-            flight.moved.set_result(refused)
+            pending.progress.set_result(refused)
             return
-        assert flight.fencing >= latest, "old order took effect"
-        self.latest_by_id[upstream.id] = flight.fencing
+        assert pending.fencing >= latest, "old order took effect"
+        self.latest_by_id[upstream.id] = pending.fencing
         state = self.state_by_id[upstream.id]
         versions = dict(state.version_by_model)
         if order.kind is upstream_orders.OrderKind.LOAD:
@@ -148,25 +148,25 @@
         self.state_by_id[upstream.id] = dataclasses.replace(
             state, version_by_model=versions
         )
-        flight.moved.set_result(upstream_orders.Done())
+        pending.progress.set_result(upstream_orders.Done())
 
-    def write(self, flight):
-        self.guarded.remove(flight)
-        flight.deadline = self.clock.monotonic() + self.latency(flight)
-        self.written.append(flight)
-        flight.moved.set_result(None)
-        flight.moved = asyncio.get_event_loop().create_future()
+    def write(self, pending):
+        self.unwritten.remove(pending)
+        pending.deadline = self.clock.monotonic() + self.latency(pending)
+        self.written.append(pending)
+        pending.progress.set_result(None)
+        pending.progress = asyncio.get_event_loop().create_future()
 
     def next_deadline(self):
-        flights = self.guarded + self.written
-        return min((one.deadline for one in flights), default=float("inf"))
+        all_pending = self.unwritten + self.written
+        return min((one.deadline for one in all_pending), default=float("inf"))
 
-    def meet_deadlines(self):
+    def apply_due(self):
         now = self.clock.monotonic()
-        for flight in [one for one in self.written if one.deadline <= now]:
-            self.apply(flight)
-        for flight in [one for one in self.guarded if one.deadline <= now]:
-            self.write(flight)
+        for pending in [one for one in self.written if one.deadline <= now]:
+            self.apply(pending)
+        for pending in [one for one in self.unwritten if one.deadline <= now]:
+            self.write(pending)
 
 
 class _Sender:
@@ -192,24 +192,24 @@
         bound = LONGEST_FREEZE_SECONDS
         if upstream.checks_fencing:
             bound = float("inf")
-        flight = _Flight(
+        pending = _InFlightOrder(
             upstream=upstream,
             order=order,
             fencing=fencing,
             deadline=self._receiver.clock.monotonic() + bound,
-            moved=asyncio.get_running_loop().create_future(),
+            progress=asyncio.get_running_loop().create_future(),
         )
-        self._receiver.guarded.append(flight)
-        written = flight.moved
+        self._receiver.unwritten.append(pending)
+        written = pending.progress
         going = asyncio.ensure_future(self._process.step("write"))
         await asyncio.wait([going, written], return_when="FIRST_COMPLETED")
         going.cancel()
         if not written.done():
-            self._receiver.write(flight)
+            self._receiver.write(pending)
         if self.lost_answers:
             self.lost_answers -= 1
             return upstream_orders.OrderUnknown(detail="lost")
-        result = await flight.moved
+        result = await pending.progress
         await self._process.step("answer")
         return result
 
@@ -309,10 +309,10 @@
 
         result = self.loop.run_until_complete(spin())
         for vm in VMS:
-            self.note_tenure(vm)
+            self.record_tenure(vm)
         return result
 
-    def note_tenure(self, vm):
+    def record_tenure(self, vm):
         orderer = self.orderers.get(vm)
         tenure = orderer._leadership.tenure if orderer else None
         if tenure is not None:
@@ -325,7 +325,7 @@
             timer = min((due for due, _ in self.timers), default=end)
             until = min(end, self.receiver.next_deadline(), timer)
             self.clock.advance(max(0.0, until - now))
-            self.receiver.meet_deadlines()
+            self.receiver.apply_due()
             self.wake_timers()
             self.store._expire_leases()
             self.run()
@@ -338,7 +338,7 @@
             if not woken.done():
                 woken.set_result(None)
 
-    def want_another(self):
+    def declare_next_model(self):
         self.wanted += 1
 
     def check_progress(self):
@@ -351,7 +351,7 @@
             self.run(self.orderers[vm]._leadership.close(clean=False))
             self.processes[vm].dead = True
             self.boot(vm)
-        self.want_another()
+        self.declare_next_model()
         self.advance(100.0)
         for state in self.receiver.state_by_id.values():
             assert f"m{self.wanted}" in state.version_by_model
@@ -389,10 +389,10 @@
         self.run()
 
     def pass_time(self, data):
-        self.advance(data.draw(strategies.sampled_from(_JUMPS_SECONDS)))
+        self.advance(data.draw(strategies.sampled_from(_ADVANCES_SECONDS)))
 
     def want(self, _data):
-        self.want_another()
+        self.declare_next_model()
 
     def freeze(self, data):
         vm = data.draw(strategies.sampled_from(VMS))
@@ -467,13 +467,13 @@
     """Freeze the first holder at one step and let another take over."""
     world.advance(ORDER_SECONDS + 4.0 + at_seconds)
     first = min(world.holder_by_fencing)
-    world.receiver.latency = lambda flight: (
-        ORDER_SECONDS if flight.fencing == first else 0.0
+    world.receiver.latency = lambda pending: (
+        ORDER_SECONDS if pending.fencing == first else 0.0
     )
     holder = world.holder_by_fencing[first]
     vm = next(vm for vm in VMS if world.orderers[vm] is holder)
     world.processes[vm].freeze_at = step
-    world.want_another()
+    world.declare_next_model()
     world.advance(frozen_seconds)
     world.processes[vm].thaw()
     world.advance(2 * TTL_SECONDS)
--- a/packages/orders/tests/test_http_orders.py
+++ b/packages/orders/tests/test_http_orders.py
@@ -87,7 +87,7 @@
     assert len(runner.orders.applied) == (1 if checks else 2)
 
 
-async def test_an_order_that_may_not_go_is_not_sent(orders, make_runner):
+async def test_an_order_without_permission_is_not_sent(orders, make_runner):
     runner, declared = await make_runner()
     result = await _send(orders, declared, fencing=3, may_send=False)
     assert isinstance(result, upstream_orders.NotSent)
--- a/packages/orders/tests/test_leadership.py
+++ b/packages/orders/tests/test_leadership.py
@@ -83,7 +83,7 @@
         await one.close(clean=True)
 
 
-async def test_one_holds_and_keeps_it(candidate, timers):
+async def test_one_candidate_acquires_and_keeps_the_lease(candidate, timers):
     first, second = await candidate(), await candidate()
     tenure = first.tenure
     await timers.advance(300.0)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("crash", [True, False])
-async def test_other_ends_are_waited_out(
+async def test_successor_waits_after_an_unclean_end(
     candidate, timers, store, clock, crash
 ):
     first, second = await candidate(), await candidate()
--- a/packages/orders/tests/test_orderer.py
+++ b/packages/orders/tests/test_orderer.py
@@ -152,7 +152,7 @@
     assert len(upstreams.sent) == 1
 
 
-async def test_an_unsettled_order_makes_the_end_unclean(
+async def test_an_order_with_unknown_result_makes_the_close_unclean(
     make_rounds, upstreams, leadership
 ):
     rounds = await make_rounds()
--- a/packages/orders/tests/test_plan.py
+++ b/packages/orders/tests/test_plan.py
@@ -110,7 +110,9 @@
     assert ("u1", "unload", "a", "send") not in _shown(_plan(held, views))
 
 
-def test_a_pool_that_is_too_small_says_what_it_lacks(make_view, make_placement):
+def test_a_pool_that_is_too_small_reports_missing_upstreams(
+    make_view, make_placement
+):
     placements = [make_placement("a", 1), make_placement("b", 2, role="embed")]
     planned = _plan(placements, [make_view("u1", ["a"])])
     assert planned.missing_by_role_by_pool == {"p": {"embed": 2}}
--- a/packages/orders/tests/test_weight_budget.py
+++ b/packages/orders/tests/test_weight_budget.py
@@ -12,7 +12,7 @@
     )
 
 
-def test_bytes_come_back_at_the_rate(budget, clock):
+def test_bucket_refills_at_the_rate(budget, clock):
     budget.spend(100.0)
     assert not budget.allows(20.0, available=budget.available_bytes())
     clock.advance(2.0)
--- a/packages/platform/tests/test_store_eras.py
+++ b/packages/platform/tests/test_store_eras.py
@@ -142,7 +142,7 @@
     assert lease != eras.lease(number)
 
 
-def test_number_that_does_not_fit_is_named(eras):
+def test_number_out_of_range_is_named(eras):
     with pytest.raises(store_eras.NumberRangeError, match="era is 1024"):
         eras.observe(store_eras.MAX_ERAS)
     eras.observe(1)
--- a/tests/users_platform/test_duties_machine.py
+++ b/tests/users_platform/test_duties_machine.py
@@ -110,7 +110,7 @@
         self.cut = False
         self.lost_answers = 0
 
-    def _take(self, subject, fencing):
+    def _accept(self, subject, fencing):
         if self.cut:
             return platform_calls.Refused(detail="cut")
         self._checker.record_call(
@@ -127,14 +127,14 @@
         return platform_calls.Accepted()
 
     async def report_usage(self, report, *, fencing):
-        result = self._take("usage", fencing)
+        result = self._accept("usage", fencing)
         if not self.cut:
             counts = dict(report.count_by_organisation)
             self._checker.record_usage(report.window, counts)
         return result
 
     async def order_runners(self, order, *, fencing):
-        return self._take(f"{order.pool} {order.domain}", fencing)
+        return self._accept(f"{order.pool} {order.domain}", fencing)
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -171,7 +171,7 @@
             self._kill(name)
         self.loop.close()
 
-    # Parts.
+    # Helpers.
 
     def _run(self, work):
         return self.loop.run_until_complete(work)
--- a/tests/users_platform/test_settings_file.py
+++ b/tests/users_platform/test_settings_file.py
@@ -56,14 +56,14 @@
     assert load(text).reuse_seconds == 6.7
 
 
-def test_size_of_the_vm_is_its_share_of_a_core_of_its_speed(load):
+def test_processor_cores_are_the_share_times_the_speed(load):
     assert load(TEXT).processor_cores == 1.0
     limits = "[limits]\ncpu_share = 0.717\ncpu_cores = 3\n[platform]"
     configured = load(TEXT.replace("[platform]", limits))
     assert configured.processor_cores == pytest.approx(2.151)
 
 
-def test_seeds_are_the_others_at_the_port_for_peers(load):
+def test_seeds_are_the_other_vms_at_the_peer_port(load):
     assert load(TEXT).seeds == (settings.Address(host="10.2.0.29", port=7340),)
 
 
--- a/tests/users_platform/test_wire.py
+++ b/tests/users_platform/test_wire.py
@@ -28,8 +28,8 @@
     )
 
 
-def test_features_are_read():
-    features = DIALECT.read_attributes(
+def test_attributes_are_read():
+    attributes = DIALECT.read_attributes(
         head(
             ("Authorization", "Bearer abc"),
             ("X-Deadline-Ms", "8000"),
@@ -38,20 +38,20 @@
             ("Last-Event-Id", "4"),
         )
     )
-    assert features.request_id == "r-1"
-    assert features.host == "ask.example"
-    assert features.key == "abc"
-    assert features.patience_seconds == 8.0
-    assert [part.tokens for part in features.prompt] == [800, 410, 250]
-    assert features.prompt_tokens == 1460
-    assert features.resumes_after == "4"
+    assert attributes.request_id == "r-1"
+    assert attributes.host == "ask.example"
+    assert attributes.key == "abc"
+    assert attributes.patience_seconds == 8.0
+    assert [part.tokens for part in attributes.prompt] == [800, 410, 250]
+    assert attributes.prompt_tokens == 1460
+    assert attributes.resumes_after == "4"
 
 
 def test_plain_request_has_no_prompt():
-    features = DIALECT.read_attributes(head())
-    assert (features.prompt, features.prompt_tokens) == ((), 0)
-    assert features.key is None
-    assert features.patience_seconds is None
+    attributes = DIALECT.read_attributes(head())
+    assert (attributes.prompt, attributes.prompt_tokens) == ((), 0)
+    assert attributes.key is None
+    assert attributes.patience_seconds is None
 
 
 @pytest.mark.parametrize(
@@ -70,10 +70,10 @@
 
 @given(st.text(max_size=60))
 def test_malformed_prompt_headers_never_fail(text):
-    features = DIALECT.read_attributes(
+    attributes = DIALECT.read_attributes(
         head(("X-Prompt-Prefix", text), ("X-Token-Usage", text))
     )
-    assert features.prompt_tokens >= 0
+    assert attributes.prompt_tokens >= 0
 
 
 def upstream_head(*more, **changes):
@@ -87,7 +87,7 @@
     )
 
 
-def test_request_goes_on_unchanged_but_for_what_the_router_sets():
+def test_request_is_forwarded_unchanged_except_for_router_headers():
     sent = upstream_head(("X-Model", "m"), ("Odd", "1"))
     assert (sent.method, sent.target) == ("POST", "/ask/1?x=y")
     assert sent.headers.get("X-Model") == "m"
@@ -96,7 +96,7 @@
     assert sent.headers.get("X-Deadline-Ms") == "1234"
 
 
-def test_callers_cannot_speak_in_the_routers_name():
+def test_callers_cannot_set_router_headers():
     """A caller sets headers by which the router controls upstreams.
 
     If they were forwarded, a caller could act as another organisation, hold
@@ -118,7 +118,7 @@
     assert "forged" not in [value for _, value in sent.headers]
 
 
-def test_organisation_and_priority_are_the_routers():
+def test_organisation_and_priority_are_set_by_the_router():
     house = declarations.RankedOrganisation(id="house", key_digests=())
     engine = declarations.Pool(
         name="p",
@@ -137,7 +137,7 @@
     assert sent.headers.get("Last-Event-Id") == "9"
 
 
-def test_time_left_is_never_zero_or_more_than_there_is():
+def test_deadline_is_positive_and_never_extended():
     sent = upstream_head(remaining_seconds=0.0)
     assert sent.headers.get("X-Deadline-Ms") == "1"
 
