--- a/packages/membership/src/lagoonrun_membership/composer.py
+++ b/packages/membership/src/lagoonrun_membership/composer.py
@@ -96,7 +96,7 @@
             Whether some of it should not wait for the next probe.
         """
         is_urgent = False
-        for entry_vm in self._members.take_news():
+        for entry_vm in self._members.pop_news():
             update = self._members.records.wire(entry_vm)
             is_accusation = update.state in _ACCUSED_STATES
             if is_accusation and not self.tells_accusations:
--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -123,7 +123,7 @@
 
     # Taking what has come of the events.
 
-    def take_news(self) -> tuple[types.EntryVmId, ...]:
+    def pop_news(self) -> tuple[types.EntryVmId, ...]:
         """Return members of whom others should be told, once."""
         news = tuple(self._news)
         self._news.clear()
--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -130,7 +130,7 @@
         for member in self.members_by_id.values():
             for update in updates:
                 member.protocol.members.apply(update, direct=True, now=self.now)
-            member.protocol.members.take_news()
+            member.protocol.members.pop_news()
             member.protocol.members.take_changed()
 
     def _new_member(self, name: str, domain: str) -> _Member:
