--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -129,7 +129,7 @@
         self._news.clear()
         return news
 
-    def take_changed(self) -> tuple[MemberView, ...]:
+    def pop_changed(self) -> tuple[MemberView, ...]:
         """Return members whose view has changed, once."""
         views = [self.view(entry_vm) for entry_vm in self._changed]
         self._changed.clear()
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -314,7 +314,7 @@
             self._transport.sendto(data, address)
 
     def _publish(self) -> None:
-        for view in self._gossip.members.take_changed():
+        for view in self._gossip.members.pop_changed():
             self._live_by_domain.clear()
             self._members_by_id = None
             self._log_state(view)
--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -131,7 +131,7 @@
             for update in updates:
                 member.protocol.members.apply(update, direct=True, now=self.now)
             member.protocol.members.pop_news()
-            member.protocol.members.take_changed()
+            member.protocol.members.pop_changed()
 
     def _new_member(self, name: str, domain: str) -> _Member:
         own = messages.MemberUpdate(
