--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -101,7 +101,7 @@
         """Return the clock reading at which `tick` is due."""
         return min(self._next_period_at, self._prober.next_deadline())
 
-    def take_configurations(self) -> tuple[ConfigurationNews, ...]:
+    def pop_configurations(self) -> tuple[ConfigurationNews, ...]:
         """Return news of higher revisions, once."""
         news = tuple(self._configurations)
         self._configurations.clear()
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -325,7 +325,7 @@
                 update.upstream,
                 update.leaving,
             )
-        for news in self._gossip.take_configurations():
+        for news in self._gossip.pop_configurations():
             self._tell(
                 self._listener.on_configuration_announced,
                 news.source,
--- a/packages/membership/tests/test_gossip.py
+++ b/packages/membership/tests/test_gossip.py
@@ -433,7 +433,7 @@
     def adopt():
         for name in tuple(waiting):
             node = network.nodes_by_id[name]
-            for news in node.take_configurations():
+            for news in node.pop_configurations():
                 assert (news.revision, news.digest) == (7, "digest")
                 waiting.discard(name)
                 network.act(
--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -400,7 +400,7 @@
     def _all_have_revision(self) -> bool:
         """Have each member adopt what it heard of, as its owner would."""
         for name, member in self._fleet.members_by_id.items():
-            if member.protocol.take_configurations() and (
+            if member.protocol.pop_configurations() and (
                 member.protocol.members.own.revision < 2
             ):
                 self._fleet.act(name, self._adopt_revision)
