--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -135,13 +135,13 @@
 
     def announce_configuration(
         self, revision: types.Revision, digest: str, *, now: float
-    ) -> list[outbox.Outgoing]:
+    ) -> list[outbox.OutgoingDatagram]:
         """Tell others which revision is in force here."""
         self._urgent |= revision > self.members.own.revision
         self.members.announce_configuration(revision, digest)
         return self._finish(now)
 
-    def announce_leaving(self, *, now: float) -> list[outbox.Outgoing]:
+    def announce_leaving(self, *, now: float) -> list[outbox.OutgoingDatagram]:
         """Tell others that this process takes no more shards."""
         self.members.announce_leaving()
         self._urgent = True
@@ -149,12 +149,12 @@
 
     def announce_upstream(
         self, update: messages.UpstreamUpdate, *, now: float
-    ) -> list[outbox.Outgoing]:
+    ) -> list[outbox.OutgoingDatagram]:
         """Tell others what a source here says of an upstream."""
         self.upstreams.apply(update)
         return self._finish(now)
 
-    def farewell(self) -> list[outbox.Outgoing]:
+    def farewell(self) -> list[outbox.OutgoingDatagram]:
         """Return the last datagrams of a process that ends.
 
         They spare the others the suspicion; if they are lost, probing finds
@@ -170,7 +170,7 @@
 
     # Events.
 
-    def tick(self, *, now: float) -> list[outbox.Outgoing]:
+    def tick(self, *, now: float) -> list[outbox.OutgoingDatagram]:
         """Let time pass."""
         self._recover_from_freeze(now)
         self._note_isolation(now)
@@ -190,7 +190,7 @@
         sender: types.EntryVmId,
         address: hub.PeerAddress,
         now: float,
-    ) -> list[outbox.Outgoing]:
+    ) -> list[outbox.OutgoingDatagram]:
         """Take in an authenticated datagram of `sender`."""
         if sender == self.members.own.entry_vm:
             return []
@@ -362,7 +362,7 @@
 
     # News and sending.
 
-    def _finish(self, now: float) -> list[outbox.Outgoing]:
+    def _finish(self, now: float) -> list[outbox.OutgoingDatagram]:
         """Queue what is new, send what is urgent, return all datagrams."""
         refutations = self.members.refutations
         if refutations != self._refutations:
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -298,13 +298,13 @@
             rejected_datagrams=self._rejections,
         )
 
-    def _act(self, outgoing: list[outbox.Outgoing]) -> None:
+    def _act(self, outgoing: list[outbox.OutgoingDatagram]) -> None:
         self._send(outgoing)
         self._publish()
         if self._gossip.next_wakeup() < self._sleeps_until:
             self._earlier.set()
 
-    def _send(self, outgoing: list[outbox.Outgoing]) -> None:
+    def _send(self, outgoing: list[outbox.OutgoingDatagram]) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         self._sealer.raise_incarnation(self._gossip.members.own.incarnation)
--- a/packages/membership/src/lagoonrun_membership/outbox.py
+++ b/packages/membership/src/lagoonrun_membership/outbox.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class OutgoingDatagram:
     """A datagram to be sent."""
 
     address: hub.PeerAddress
@@ -26,7 +26,7 @@
 
     def __init__(self, *, table: members.MemberTable) -> None:
         self._table = table
-        self._outgoing: list[Outgoing] = []
+        self._outgoing: list[OutgoingDatagram] = []
 
     def send(self, target: types.EntryVmId, message: messages.Message) -> None:
         """Address `message` to a member; do nothing if it is not known."""
@@ -39,9 +39,11 @@
         self, address: hub.PeerAddress, message: messages.Message
     ) -> None:
         """Address `message` to whoever is at `address`."""
-        self._outgoing.append(Outgoing(address=address, message=message))
+        self._outgoing.append(
+            OutgoingDatagram(address=address, message=message)
+        )
 
-    def take(self) -> list[Outgoing]:
+    def take(self) -> list[OutgoingDatagram]:
         """Return the datagrams, once."""
         outgoing = self._outgoing
         self._outgoing = []
--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -174,7 +174,7 @@
     def act(
         self,
         name: str,
-        call: Callable[[gossip.GossipProtocol], list[outbox.Outgoing]],
+        call: Callable[[gossip.GossipProtocol], list[outbox.OutgoingDatagram]],
     ) -> None:
         """Have a member do something and send what comes of it."""
         member = self.members_by_id[name]
@@ -250,7 +250,7 @@
 
         def receive(
             protocol: gossip.GossipProtocol,
-        ) -> list[outbox.Outgoing]:
+        ) -> list[outbox.OutgoingDatagram]:
             datagram = member.opener.open(data)
             message = codec.decode(datagram.body)
             return protocol.receive(
@@ -392,7 +392,7 @@
 
     def _adopt_revision(
         self, protocol: gossip.GossipProtocol
-    ) -> list[outbox.Outgoing]:
+    ) -> list[outbox.OutgoingDatagram]:
         return protocol.announce_configuration(
             types.Revision(2), _DIGEST, now=self._fleet.now
         )
