--- a/packages/membership/src/lagoonrun_membership/composer.py
+++ b/packages/membership/src/lagoonrun_membership/composer.py
@@ -104,7 +104,7 @@
                 continue
             self._member_news.add(entry_vm, update)
             is_urgent |= update.state in _URGENT_STATES
-        for upstream in self._upstreams.take_news():
+        for upstream in self._upstreams.pop_news():
             self._upstream_news.add(upstream, self._upstreams.wire(upstream))
             is_urgent = True
         return is_urgent
@@ -117,7 +117,7 @@
     def collect_summaries(self, *, now: float) -> list[messages.ShardSummary]:
         """Queue other domains' shards for the members of the own domain."""
         collected = []
-        for shard in self._shards.take_changed():
+        for shard in self._shards.pop_changed():
             summary = self._shards.aged(shard, now)
             if summary is not None:
                 self._shard_news.add(shard, summary)
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -319,7 +319,7 @@
             self._members_by_id = None
             self._log_state(view)
             self._tell(self._listener.on_member_changed, view)
-        for update in self._gossip.upstreams.take_changed():
+        for update in self._gossip.upstreams.pop_changed():
             self._tell(
                 self._listener.on_upstream_changed,
                 update.upstream,
--- a/packages/membership/src/lagoonrun_membership/shards.py
+++ b/packages/membership/src/lagoonrun_membership/shards.py
@@ -204,7 +204,7 @@
             summaries[summary.shard] = summary
         return summaries
 
-    def take_changed(self) -> tuple[types.ShardId, ...]:
+    def pop_changed(self) -> tuple[types.ShardId, ...]:
         """Return other domains' shards with newer summaries, once."""
         changed = tuple(self._changed)
         self._changed.clear()
--- a/packages/membership/src/lagoonrun_membership/upstreams.py
+++ b/packages/membership/src/lagoonrun_membership/upstreams.py
@@ -88,13 +88,13 @@
         if record.leaving != was_leaving:
             self._note_change(update.upstream, record)
 
-    def take_news(self) -> tuple[types.UpstreamId, ...]:
+    def pop_news(self) -> tuple[types.UpstreamId, ...]:
         """Return upstreams of which others should be told, once."""
         news = tuple(self._news)
         self._news.clear()
         return news
 
-    def take_changed(self) -> tuple[messages.UpstreamUpdate, ...]:
+    def pop_changed(self) -> tuple[messages.UpstreamUpdate, ...]:
         """Return upstreams that began or ceased to be leaving, once."""
         changed = tuple(self.wire(upstream) for upstream in self._changed)
         self._changed.clear()
--- a/packages/membership/tests/conftest.py
+++ b/packages/membership/tests/conftest.py
@@ -83,7 +83,7 @@
         for node in self.nodes_by_id.values():
             for update in own:
                 node.members.apply(update, direct=True, now=self.now)
-            node.members.take_news()
+            node.members.pop_news()
 
     def kill(self, entry_vm):
         """End a member without a word."""
@@ -222,7 +222,7 @@
 
     def _note_changes(self, name, node):
         self.changes_by_id[name] += [
-            (self.now, view) for view in node.members.take_changed()
+            (self.now, view) for view in node.members.pop_changed()
         ]
 
 
--- a/packages/membership/tests/test_upstreams.py
+++ b/packages/membership/tests/test_upstreams.py
@@ -54,4 +54,4 @@
         )
     )
     assert not table.is_leaving("runner-1")
-    assert [u.leaving for u in table.take_changed()] == [False]
+    assert [u.leaving for u in table.pop_changed()] == [False]
