--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -58,14 +58,14 @@
         own: messages.MemberUpdate,
         seeds: Iterable[hub.PeerAddress],
         timing: timings.Timing,
-        random_source: random.Random,
+        rng: random.Random,
         now: float,
     ) -> None:
         self.members = members.MemberTable(own=own, timing=timing)
         self.upstreams = upstreams.UpstreamTable()
         self.shards = shards.ShardTable(domain=own.domain, timing=timing)
         self._timing = timing
-        self._random = random_source
+        self._random = rng
         self._composer = composer.DatagramComposer(
             members=self.members,
             upstreams=self.upstreams,
@@ -83,7 +83,7 @@
             sending=self._outbox,
             seed_book=self._seeds,
             timing=timing,
-            random_source=random_source,
+            random_source=rng,
         )
         self._configurations: list[ConfigurationNews] = []
         self._summaries: list[messages.ShardSummary] = []
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -242,7 +242,7 @@
             own=own,
             seeds=self._seeds,
             timing=self._timing,
-            random_source=self._random,
+            rng=self._random,
             now=self._clock.monotonic(),
         )
 
--- a/packages/membership/tests/conftest.py
+++ b/packages/membership/tests/conftest.py
@@ -60,7 +60,7 @@
             own=make_update(entry_vm, domain=domain, incarnation=incarnation),
             seeds=[hub.PeerAddress(host=s, port=_PORT) for s in seeds],
             timing=self.timing,
-            random_source=random.Random(self.random.random()),
+            rng=random.Random(self.random.random()),
             now=self.clock.monotonic() + self.random.random(),
         )
         self.changes_by_id.setdefault(entry_vm, [])
--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -150,7 +150,7 @@
             own=own,
             seeds=seeds,
             timing=self._timing,
-            random_source=random.Random(self._random.random()),
+            rng=random.Random(self._random.random()),
             now=self.now + self._random.random(),
         )
         return _Member(own=own, protocol=protocol)
