--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -116,7 +116,7 @@
             ],
             key=configured.inner_key,
             clock=self._clock,
-            random=self._random,
+            rng=self._random,
             listener=self,
         )
         self.hub = hub.PeerHub(
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -55,7 +55,7 @@
         seeds: Iterable[hub.PeerAddress],
         key: bytes,
         clock: clocks.Clock,
-        random: random_module.Random,
+        rng: random_module.Random,
         listener: MembershipListener,
         timing: timings.Timing | None = None,
     ) -> None:
@@ -63,7 +63,7 @@
         self._port = port
         self._seeds = tuple(seeds)
         self._clock = clock
-        self._random = random
+        self._random = rng
         self._listener = listener
         self._timing = timing or timings.Timing()
         self._sealer = datagrams.DatagramSealer(
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -98,7 +98,7 @@
             seeds=seeds,
             key=key,
             clock=self.clock,
-            random=random.Random(entry_vm),
+            rng=random.Random(entry_vm),
             listener=self.listener,
             timing=_TIMING,
         )
