--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -407,7 +407,7 @@
             self._put_in_force(await queue.get())
 
     def _put_in_force(self, configuration: model.Configuration) -> None:
-        self.members.use_regions(configuration.region_of)
+        self.members.set_regions(configuration.region_of)
         self.fleet.set_configuration(configuration)
         self.dispatcher.set_configuration(configuration)
         self.ingress.set_configuration(configuration)
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -182,7 +182,7 @@
 
     # What the owner announces.
 
-    def use_regions(self, region_of: shards.RegionOf) -> None:
+    def set_regions(self, region_of: shards.RegionOf) -> None:
         """Tell shards first to domains of the same region.
 
         Set from each configuration that comes into force. While entry VMs
