--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -123,7 +123,7 @@
         """Join through further addresses, as the platform's list shows."""
         self._seeds.add(addresses)
 
-    def use_regions(self, region_of: shards.RegionOf) -> None:
+    def set_regions(self, region_of: shards.RegionOf) -> None:
         """Tell shards first to domains of the same region."""
         self._region_of = region_of
 
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -188,7 +188,7 @@
         Set from each configuration that comes into force. While entry VMs
         have different ones, some domains hear of more or fewer others.
         """
-        self._gossip.use_regions(region_of)
+        self._gossip.set_regions(region_of)
 
     def add_seeds(self, addresses: Iterable[hub.PeerAddress]) -> None:
         """Join through further addresses, as the platform's list shows."""
--- a/packages/membership/tests/test_regions.py
+++ b/packages/membership/tests/test_regions.py
@@ -25,7 +25,7 @@
     network = make_network(seed=2)
     network.start_fleet(domains=tuple(_REGION_BY_DOMAIN), per_domain=2)
     for node in network.nodes_by_id.values():
-        node.use_regions(_REGION_BY_DOMAIN.get)
+        node.set_regions(_REGION_BY_DOMAIN.get)
     network.introduce_all()
     return network
 
--- a/packages/standins/src/lagoonrun_standins/bench_regions.py
+++ b/packages/standins/src/lagoonrun_standins/bench_regions.py
@@ -56,7 +56,7 @@
         region_by_domain = _region_by_domain()
         self._region_by_domain = region_by_domain
         for member in self._fleet.members_by_id.values():
-            member.protocol.use_regions(region_by_domain.__getitem__)
+            member.protocol.set_regions(region_by_domain.__getitem__)
         lost = types.Region(f"region-{len(_SIZES_OF_REGIONS) - 1}")
         self._lost = frozenset(
             name
