--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -474,6 +474,6 @@
 
     def is_watcher(self) -> bool:
         """Return whether this entry VM watches the head for its domain."""
-        live = self.members.live_in(self._settings.domain)
+        live = self.members.eligible_in(self._settings.domain)
         chosen = ranking.choose_watchers(self._settings.domain, live)
         return self._settings.entry_vm in chosen
--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -216,12 +216,12 @@
             vm
             for other in self._domains()
             if self.region_of(other) == region
-            for vm in self._members.live_in(other)
+            for vm in self._members.eligible_in(other)
         )
 
     def _rank(self, shard: types.ShardId) -> tuple[types.EntryVmId, ...]:
         domain = self._shards_by_id[shard].domain
-        live = self._members.live_in(domain)
+        live = self._members.eligible_in(domain)
         if not live:
             live = self._live_in_region_of(domain)
         if not live and self._is_near(domain):
--- a/packages/daemon/tests/failures/test_cut_domains.py
+++ b/packages/daemon/tests/failures/test_cut_domains.py
@@ -243,7 +243,7 @@
             live = [
                 vm
                 for domain in set(_DOMAIN_BY_VM.values())
-                for vm in daemon.members.live_in(domain)
+                for vm in daemon.members.eligible_in(domain)
             ]
             if len(live) != len(_DOMAIN_BY_VM):
                 return False
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -151,7 +151,7 @@
         """Return one shard's summary; None if there is no fresh one."""
         return self._gossip.shards.summary(shard, self._clock.monotonic())
 
-    def live_in(
+    def eligible_in(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
         """Return the members of `domain` that may be given shards, by name.
