--- a/packages/cli/tests/test_system_commands.py
+++ b/packages/cli/tests/test_system_commands.py
@@ -222,7 +222,7 @@
     """Wait until each entry VM knows each other one."""
     async with asyncio.timeout(10):
         while True:
-            known = [len(one.members.live_in("north")) for one in entry_vms]
+            known = [len(one.members.eligible_in("north")) for one in entry_vms]
             if min(known) == len(entry_vms):
                 return
             await asyncio.sleep(0)
--- a/packages/daemon/tests/failures/test_lost_regions.py
+++ b/packages/daemon/tests/failures/test_lost_regions.py
@@ -108,7 +108,7 @@
         """Return what a shard's dispatcher told last."""
         return self.summaries_by_shard.get(shard)
 
-    def live_in(self, domain):
+    def eligible_in(self, domain):
         """Return the entry VMs of a domain."""
         return () if domain in self.dead_domains else _vms(domain)
 
--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -103,7 +103,7 @@
             if entry_vm != self._own_id and entry_vm not in self._dead
         )
 
-    def live_in(
+    def eligible_in(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
         """Return the members of `domain` that may be given shards.
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -161,7 +161,7 @@
         """
         live = self._live_by_domain.get(domain)
         if live is None:
-            live = self._gossip.members.live_in(domain)
+            live = self._gossip.members.eligible_in(domain)
             self._live_by_domain[domain] = live
         return live
 
--- a/packages/membership/tests/test_gossip.py
+++ b/packages/membership/tests/test_gossip.py
@@ -30,7 +30,9 @@
     network.introduce_all()
     network.start("vm-domain-3-new", domain="domain-3", seeds=names[:2])
     joiner = network.nodes_by_id["vm-domain-3-new"].members
-    network.run_until(lambda: len(joiner.live_in("domain-3")) == 13, within=2.0)
+    network.run_until(
+        lambda: len(joiner.eligible_in("domain-3")) == 13, within=2.0
+    )
     network.run_until(lambda: len(joiner) == 97, within=4.0)
 
 
@@ -297,7 +299,7 @@
     took = network.run_until(
         lambda: all(
             "vm-north-1"
-            not in network.nodes_by_id[name].members.live_in("north")
+            not in network.nodes_by_id[name].members.eligible_in("north")
             for name in network.nodes_by_id
             if "north" in name
         ),
@@ -342,7 +344,7 @@
         network.run_until(network.all_alive, within=20.0)
         back_at = network.now
         network.run_until(
-            lambda: "vm-north-1" in viewer.members.live_in("north"),
+            lambda: "vm-north-1" in viewer.members.eligible_in("north"),
             within=70.0,
         )
         holds.append(network.now - back_at)
--- a/packages/membership/tests/test_members.py
+++ b/packages/membership/tests/test_members.py
@@ -196,7 +196,7 @@
     assert (table.own.state, table.own.incarnation) == (_LEAVING, 6)
     table.apply(_update("self", _SUSPECT, 6), direct=False, now=0.0)
     assert (table.own.state, table.own.incarnation) == (_LEAVING, 7)
-    assert table.live_in("north") == ()
+    assert table.eligible_in("north") == ()
 
 
 def test_highest_revision_of_an_incarnation_is_kept(table):
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -177,7 +177,7 @@
     await first.listener.until(lambda: first.sees("vm-2"))
     await second.listener.until(lambda: second.sees("vm-1"))
     await first.listener.until(
-        lambda: first.membership.live_in("south") == ("vm-2",)
+        lambda: first.membership.eligible_in("south") == ("vm-2",)
     )
     assert first.membership.address_of("vm-2") == second.address
     request = messages.SnapshotRequest(revision=1)
@@ -245,7 +245,7 @@
     await first.listener.until(
         lambda: first.sees("vm-2", messages.MemberState.LEAVING)
     )
-    assert first.membership.live_in("north") == ("vm-1",)
+    assert first.membership.eligible_in("north") == ("vm-1",)
     await second.membership.close()
     await first.listener.until(lambda: first.sees("vm-2", _DEAD))
 
--- a/packages/standins/src/lagoonrun_standins/bench_regions.py
+++ b/packages/standins/src/lagoonrun_standins/bench_regions.py
@@ -84,7 +84,7 @@
         From then on each shard has a dispatcher that can be asked.
         """
         return all(
-            member.protocol.members.live_in(domain)
+            member.protocol.members.eligible_in(domain)
             for member in self._fleet.members_by_id.values()
             for domain in self._region_by_domain
         )
