--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -85,7 +85,7 @@
         duty: str,
         wanted_count: int,
         max_count: int | None = None,
-        is_selected: PerformsTask | None = None,
+        performs_task: PerformsTask | None = None,
         own: Member,
         own_size: float = 1.0,
         others: Members,
@@ -93,7 +93,7 @@
         self._duty = duty
         self._places = wanted_count
         self._most = max_count or wanted_count
-        self._fills = is_selected
+        self._fills = performs_task
         self._own = own
         self._own_size = own_size
         self._others = others
--- a/packages/router/src/lagoonrun_router/store_duty.py
+++ b/packages/router/src/lagoonrun_router/store_duty.py
@@ -99,7 +99,7 @@
             duty="store",
             wanted_count=WATCHERS,
             max_count=MOST_TRYING_DOMAINS,
-            is_selected=self._domain_reads_or_may,
+            performs_task=self._domain_reads_or_may,
             own=domain,
             others=domains,
         )
@@ -107,7 +107,7 @@
             duty="store",
             wanted_count=WATCHERS,
             max_count=MOST_TRYING,
-            is_selected=self._reads_or_may,
+            performs_task=self._reads_or_may,
             own=entry_vm,
             own_size=peer_table.rounded_cores(processor_cores),
             others=table,
--- a/packages/router/tests/test_roster.py
+++ b/packages/router/tests/test_roster.py
@@ -120,11 +120,11 @@
     """
     filled = set()
 
-    def is_selected(member, *, since, first):
+    def performs_task(member, *, since, first):
         del since, first
         return member in filled
 
-    vm = Vm("vm-0", max_count=4, is_selected=is_selected)
+    vm = Vm("vm-0", max_count=4, performs_task=performs_task)
     order = vm.roster.order_of(CORES)
     assert vm.on_duty(0.0) == order[:4]
     filled.add(order[0])
