--- a/packages/router/src/lagoonrun_router/declarations.py
+++ b/packages/router/src/lagoonrun_router/declarations.py
@@ -1,7 +1,7 @@
-"""What operators declare for a fleet of self-registering upstreams.
+"""Declarations of operators for a fleet of self-registering upstreams.
 
-Routes stand in the place of `config.model.Service`: they are selected by host
-and path and may divide their requests between pools.
+Routes replace `config.model.Service`: they are selected by host and path and
+may split their requests between pools.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Destination:
-    """One pool of a route.
+    """One pool that a route sends requests to.
 
     Parameters
     ----------
@@ -43,18 +43,18 @@
     path_prefix
         Begins and ends with a slash.
     profile
-        Class of the requests. `limit_seconds` is the longest time that a
-        caller may be kept waiting for the end of its answer.
+        Class of the requests. `limit_seconds` is the maximum time that a caller
+        may wait for the end of its answer.
     public
-        Whether requests need no key.
+        Whether requests need no API key.
     resumable
-        Whether a broken event stream may go on at another upstream.
+        Whether a broken event stream may be resumed at another upstream.
     longest_pause_seconds
         Pause between two events above which a stream counts as late; None
-        where answers are not event streams.
+        if answers are not event streams.
     patience_seconds
-        How long callers wait for the first event; None where only the limit
-        of the profile says so.
+        How long callers wait for the first event; None if only the limit of
+        the profile applies.
     """
 
     name: str
@@ -71,14 +71,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Engine:
-    """What all runners of a pool of model engines have in common.
+    """Properties that all runners of a pool of model engines have in common.
 
     Parameters
     ----------
     slots
-        Requests that a runner computes at once.
+        Requests that a runner processes concurrently.
     cache_tokens
-        Tokens that fit into a runner's memory.
+        Capacity of a runner's KV cache in tokens.
     """
 
     slots: int
@@ -87,14 +87,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Pool:
-    """Upstreams that answer the same requests.
+    """Upstreams that serve the same requests.
 
     Parameters
     ----------
     engine
-        None where the upstreams are plain services.
+        Properties of the upstreams' engines; None for plain services.
     scaling
-        How many upstreams may be ordered; None where none may.
+        How many upstreams may be ordered; None if none may.
     """
 
     name: types.PoolName
@@ -105,12 +105,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RankedOrganisation(model.Organisation):
-    """A customer that may have a place in the order within each class.
+    """An organisation that may have a priority within each class.
 
     Parameters
     ----------
     tier
-        Order within a class, 1 for the first; None for the last.
+        Priority within a class, 1 for the highest; None for the lowest.
     """
 
     tier: types.Tier | None = None
@@ -118,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send; sizes in bytes, times in seconds."""
+    """Limits on callers' requests; sizes in bytes, times in seconds."""
 
     header_bytes: int
     body_bytes: int
--- a/packages/router/src/lagoonrun_router/declared_values.py
+++ b/packages/router/src/lagoonrun_router/declared_values.py
@@ -1,4 +1,4 @@
-"""The declarations as they were read, and how to get from one to the next."""
+"""Encoded values of the declarations, and the deltas between them."""
 
 import collections
 import dataclasses
@@ -7,22 +7,23 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import value_delta
 
-_REMEMBERED = 8
-"""Values that others may still have: those of a second in which operators change
-the configuration every eighth of one."""
+_MAX_OLDER_VALUES = 8
+"""Number of older values that are kept, since others may still have them: those
+of one second, if operators change the configuration every 1/8 s."""
 
-_REMEMBERED_BYTES = 4 * 1024 * 1024
-"""The same, for large values: a thirtieth of the smallest VM in use."""
+_MAX_OLDER_BYTES = 4 * 1024 * 1024
+"""Total size of older values that are kept: a thirtieth of the smallest VM's
+memory."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DeclaredValue:
-    """One value of the declarations.
+    """One encoded value of the declarations.
 
     Parameters
     ----------
     digest
-        Tells it from others; empty for an empty one.
+        Digest of the text; empty for an empty text.
     """
 
     revision: types.Revision
@@ -36,7 +37,7 @@
 
 
 class DeclaredValues:
-    """The newest value, and some before it."""
+    """The newest value, and some older ones as bases of deltas."""
 
     def __init__(self) -> None:
         self.newest = NOTHING_DECLARED
@@ -45,19 +46,19 @@
         )
         self._change_by_base: dict[str, router_messages.DeclaredChange] = {}
 
-    def take(self, text: bytes, *, revision: types.Revision) -> None:
+    def put(self, text: bytes, *, revision: types.Revision) -> None:
         """Replace the newest value."""
         self._older_by_digest[self.newest.digest] = self.newest
-        self._forget_oldest()
+        self._drop_oldest()
         self._change_by_base.clear()
         self.newest = DeclaredValue(
             revision=revision, text=text, digest=value_delta.digest_of(text)
         )
 
     def change_from(self, digest: str) -> router_messages.DeclaredChange:
-        """Return how to make the newest value out of an older one.
+        """Return the delta from the value with this digest to the newest one.
 
-        Out of nothing, where the older one is not known here.
+        If no such value is kept, the delta is one from an empty value.
         """
         base = self._older_by_digest.get(digest, NOTHING_DECLARED)
         change = self._change_by_base.get(base.digest)
@@ -65,13 +66,13 @@
             change = self._change_by_base[base.digest] = self._change(base)
         return change
 
-    def made_by(self, change: router_messages.DeclaredChange) -> bytes:
-        """Return the value that a change makes out of the newest one.
+    def apply_change(self, change: router_messages.DeclaredChange) -> bytes:
+        """Return the value that a delta makes out of the newest one.
 
         Raises
         ------
         FormatError
-            Where it was made for another value.
+            If the delta was made for another value.
         """
         delta = value_delta.ValueDelta(
             base=change.base,
@@ -96,9 +97,9 @@
             packed_text=delta.packed_text,
         )
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest(self) -> None:
         older = self._older_by_digest
-        held = sum(len(one.text) for one in older.values())
-        while len(older) > _REMEMBERED or held > _REMEMBERED_BYTES:
-            _, forgotten = older.popitem(last=False)
-            held -= len(forgotten.text)
+        held_bytes = sum(len(one.text) for one in older.values())
+        while len(older) > _MAX_OLDER_VALUES or held_bytes > _MAX_OLDER_BYTES:
+            _, dropped = older.popitem(last=False)
+            held_bytes -= len(dropped.text)
--- a/packages/router/src/lagoonrun_router/domain_aggregate.py
+++ b/packages/router/src/lagoonrun_router/domain_aggregate.py
@@ -1,7 +1,7 @@
-"""What the relay of a large failure domain gathers of the whole fleet.
+"""Reports that the relay of a large failure domain receives, and their sums.
 
-Apart from what its own decisions rest on: those use the sum that the relay
-tells, as all other decisions in the domain do.
+The relay's own routing decisions do not use them directly: like all others in
+the failure domain they use the sum that the relay sends.
 """
 
 import dataclasses
@@ -12,112 +12,116 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import load_ledger, loads, peer_loads, pressure
 
-TELLER_SECONDS = load_ledger.PEER_LOAD_SECONDS
-"""Silence after which a neighbour is not listed any more: its work counts no
-more either."""
+REPORTER_TIMEOUT_SECONDS = load_ledger.PEER_LOAD_SECONDS
+"""Silence after which a neighbour is no longer listed as a reporter; its load
+is ignored after the same time."""
 
 
 def short_hash(entry_vm: types.EntryVmId) -> int:
-    """Return what stands for an entry VM in a relay's list."""
+    """Return the hash that identifies an entry VM in a relay's list."""
     return zlib.crc32(entry_vm.encode())
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Teller:
-    """A neighbour that tells the relay of its work.
+class Reporter:
+    """A neighbour that reports its load to the relay.
 
     Parameters
     ----------
     sequence
-        Of its newest state.
+        Sequence number of its newest state.
+    received_at
+        Monotonic time when that state was received.
     follows_store
         Whether it reads the store and is up to date with it.
     """
 
     entry_vm: types.EntryVmId
     sequence: int
-    at: float
+    received_at: float
     follows_store: bool
 
 
 class DomainAggregate:
-    """Work of the neighbours, one by one, and of other domains in sums."""
+    """Loads by neighbour, and sums by remote failure domain."""
 
     def __init__(self) -> None:
         self._ledger = load_ledger.LoadLedger()
         self._pressed = pressure.Pressure()
-        self._tellers_by_id: dict[types.EntryVmId, Teller] = {}
+        self._reporters_by_id: dict[types.EntryVmId, Reporter] = {}
         self._domains: set[types.FailureDomain] = set()
 
     def receive_state(
         self, state: router_messages.RouterState, *, now: float
     ) -> None:
-        """Replace what is known of a neighbour, or of this entry VM."""
+        """Replace the report of a neighbour or of this entry VM."""
         self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
         self._pressed.apply_report(
-            state.entry_vm, peer_loads.pressed_of(state.pressed), now=now
+            state.entry_vm,
+            peer_loads.from_pressed_tiers(state.pressed),
+            now=now,
         )
         if state.stopping:
-            self._tellers_by_id.pop(state.entry_vm, None)
+            self._reporters_by_id.pop(state.entry_vm, None)
             return
-        self._tellers_by_id[state.entry_vm] = Teller(
+        self._reporters_by_id[state.entry_vm] = Reporter(
             entry_vm=state.entry_vm,
             sequence=state.sequence,
-            at=now,
+            received_at=now,
             follows_store=state.follows_store,
         )
 
-    def take_domain(
+    def apply_domain_news(
         self, news: router_messages.DomainNews, *, now: float
     ) -> None:
-        """Replace what is known of another failure domain."""
+        """Replace the report of another failure domain."""
         self._domains.add(news.domain)
         self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
         self._pressed.apply_report(
-            news.domain, peer_loads.pressed_of(news.pressed), now=now
+            news.domain, peer_loads.from_pressed_tiers(news.pressed), now=now
         )
 
     def forget_instance(self, upstream: types.UpstreamId) -> None:
-        """Drop what is known of an upstream that has started again."""
+        """Drop the state of an upstream that has restarted."""
         self._ledger.forget_instance(upstream)
 
     def forget_upstreams(self, known: Iterable[types.UpstreamId]) -> None:
-        """Drop what is kept of upstreams that are not in `known`."""
+        """Drop the state of upstreams that are not in `known`."""
         self._ledger.forget_upstreams(known)
 
     def forget_peer(self, entry_vm: types.EntryVmId) -> None:
-        """Drop what a lost neighbour told."""
+        """Drop the report of a lost neighbour."""
         self._ledger.forget_peer(entry_vm)
-        self._tellers_by_id.pop(entry_vm, None)
+        self._reporters_by_id.pop(entry_vm, None)
 
-    def tellers(self, *, now: float) -> tuple[Teller, ...]:
-        """Return who has told of its work lately."""
-        for entry_vm, teller in tuple(self._tellers_by_id.items()):
-            if now - teller.at >= TELLER_SECONDS:
-                del self._tellers_by_id[entry_vm]
-        return tuple(self._tellers_by_id.values())
+    def reporters(self, *, now: float) -> tuple[Reporter, ...]:
+        """Return the neighbours that have reported their load recently."""
+        for entry_vm, reporter in tuple(self._reporters_by_id.items()):
+            if now - reporter.received_at >= REPORTER_TIMEOUT_SECONDS:
+                del self._reporters_by_id[entry_vm]
+        return tuple(self._reporters_by_id.values())
 
     def domain_loads(self, *, now: float) -> dict[types.UpstreamId, loads.Load]:
-        """Return the work of the own failure domain, by upstream."""
-        return self._ledger.loads_of(self._tellers_by_id, now=now)
+        """Return the load by the own failure domain at each upstream."""
+        return self._ledger.loads_of(self._reporters_by_id, now=now)
 
     def fleet_loads(self, *, now: float) -> dict[types.UpstreamId, loads.Load]:
-        """Return the work of the whole fleet, by upstream."""
-        return self._ledger.told_loads(now=now)
+        """Return the load by the whole fleet at each upstream."""
+        return self._ledger.reported_loads(now=now)
 
     def prefill_rate(self, upstream: types.UpstreamId, *, now: float) -> float:
-        """Return the prompt tokens a second sent to `upstream` lately."""
+        """Return the prompt tokens a second that `upstream` was sent lately."""
         return self._ledger.recent_prefill(upstream, now=now)
 
     def domain_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
-        """Return what requests of the own failure domain met."""
-        return self._pressed.recent_with(self._tellers_by_id, now=now)
+        """Return the tiers that this failure domain could not admit lately."""
+        return self._pressed.recent_with(self._reporters_by_id, now=now)
 
     def fleet_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
-        """Return what requests of the whole fleet met."""
-        tellers = (*self._tellers_by_id, *self._domains)
-        return self._pressed.recent_with(tellers, now=now)
+        """Return the tiers that the whole fleet could not admit lately."""
+        reporters = (*self._reporters_by_id, *self._domains)
+        return self._pressed.recent_with(reporters, now=now)
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -1,12 +1,13 @@
-"""Pass on the loads of a whole failure domain to the other ones.
-
-The relay of each failure domain sums up the work there for the others, five to
-ten times a second: to its like in each other failure domain. Where neighbours
-tell each other all, that one hands it on to them; in a large domain it becomes
-part of what the relay tells anyhow. So everybody knows all work of the other
-domains at a tenth or two of a second's age, and the bytes between failure
-domains hardly grow with the fleet. If each entry VM told a dozen others of the
-fleet by chance, they would know a third of the work and send twice the bytes.
+"""Reports of a whole failure domain's load to the other failure domains.
+
+The relay of each failure domain sends the sum of the domain's load to the
+relays of the others, five to ten times a second. Where neighbours send their
+states to each other, the receiving relay forwards the sum to them; in a large
+failure domain it becomes part of the news that the relay sends anyway. So each
+entry VM knows the load of the other domains with an age of one or two tenths of
+a second, and the traffic between failure domains hardly grows with the fleet.
+If each entry VM sent its state to a dozen random others of the fleet, they
+would know a third of the load and send twice the bytes.
 """
 
 import dataclasses
@@ -28,18 +29,19 @@
     settings,
 )
 
-_BEATS = 2
-"""Beats of the exchange between two messages: a tenth of a second."""
+_TICKS_BETWEEN_MESSAGES = 2
+"""Ticks between two messages: a tenth of a second."""
 
-_LARGE_FLEET_BEATS = 4
-"""The same in a large fleet, where a message has the loads of thirty runners and
-more, and bytes between failure domains cost."""
+_LARGE_FLEET_TICKS_BETWEEN_MESSAGES = 4
+"""The same in a large fleet, where a message has the loads of thirty or more
+runners, and traffic between failure domains costs money."""
 
-_RELAY_SECONDS = 1.0
-"""Silence after which another failure domain's relay is not relied on."""
+_RELAY_TIMEOUT_SECONDS = 1.0
+"""Silence after which another failure domain's relay is considered unknown."""
 
-_FIRST_TOLD = 2
-"""Entry VMs of a failure domain that are told where its relay is not known."""
+_FALLBACK_RECIPIENTS = 2
+"""Number of entry VMs of a failure domain that news is sent to while its relay
+is unknown."""
 
 Sender = Callable[
     [router_messages.DomainNews, Iterable[settings.Address]], None
@@ -47,8 +49,8 @@
 """Sends a message to each address."""
 
 
-class KnowsStore(Protocol):
-    """What is told of the store; see `RouterState`."""
+class StoreStatus(Protocol):
+    """State of the store replica that is reported; see `RouterState`."""
 
     @property
     def revision(self) -> types.Revision:
@@ -66,28 +68,29 @@
 
 
 class DomainNewsExchange:
-    """Sums up, sends, takes in and hands on news of failure domains.
+    """Sends the news of the own failure domain, and receives those of others.
 
     Parameters
     ----------
     entry_vm, domain
         This entry VM.
     port
-        Where it listens for the others.
+        Port on which it receives datagrams.
     start
-        Drawn at random by each start of the process.
+        Start number of the process, drawn at random.
     table
         The other entry VMs.
-    known
-        What this entry VM knows of the store.
+    replica
+        Store replica of this entry VM.
     relays
-        Order of the relays of the own failure domain.
-    gathered
-        What neighbours told where they tell a relay only.
+        Selects the relays of the own failure domain.
+    aggregate
+        Reports of the neighbours, where they report to a relay only.
     ledger, prompt_locations, pressed, domains
-        What is told and heard.
+        State that is sent and updated.
     usage
-        Who holds the duties; None where there are none.
+        Knows which entry VM holds the duties, that is, reports usage and orders
+        runners for the fleet; None if there are none.
     send
         Sends a message.
     """
@@ -100,9 +103,9 @@
         port: int,
         start: int,
         table: peer_table.PeerTable,
-        known: KnowsStore,
+        replica: StoreStatus,
         relays: roster.Roster,
-        gathered: domain_aggregate.DomainAggregate,
+        aggregate: domain_aggregate.DomainAggregate,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
         pressed: pressure.Pressure,
@@ -115,58 +118,62 @@
         self._port = port
         self._start = start
         self._table = table
-        self._known = known
+        self._replica = replica
         self._relays = relays
-        self._gathered = gathered
+        self._aggregate = aggregate
         self._ledger = ledger
         self._prompt_locations = prompt_locations
         self._pressed = pressed
         self._domains = domains
         self._usage = usage
         self._send = send
-        self._beats = 0
+        self._ticks = 0
         self._sequence = 0
         self._relays_by_domain: dict[types.FailureDomain, _Relay] = {}
         self._latest_by_sender: dict[types.EntryVmId, tuple[int, int]] = {}
 
     def tick(self, *, now: float) -> None:
-        """Tell the other failure domains, every few calls."""
-        self._beats += 1
-        if self._beats < self._wanted_beats:
+        """Send the news to the other failure domains, every few calls."""
+        self._ticks += 1
+        if self._ticks < self._ticks_between_messages:
             return
-        self._beats = 0
+        self._ticks = 0
         if self._relays.is_first(now=now):
             self._sequence += 1
             self._send(self._news(now), self.remote_relay_addresses(now=now))
 
     @property
-    def _wanted_beats(self) -> int:
-        return _LARGE_FLEET_BEATS if self._table.is_large else _BEATS
+    def _ticks_between_messages(self) -> int:
+        return (
+            _LARGE_FLEET_TICKS_BETWEEN_MESSAGES
+            if self._table.is_large
+            else _TICKS_BETWEEN_MESSAGES
+        )
 
     def _news(self, now: float) -> router_messages.DomainNews:
         if self._table.has_relay:
-            known = self._gathered.domain_loads(now=now)
-            pressed = self._gathered.domain_pressed(now=now)
+            domain_loads = self._aggregate.domain_loads(now=now)
+            pressed = self._aggregate.domain_pressed(now=now)
         else:
-            near = self._table.neighbours()
-            known = self._ledger.loads_of(near, now=now)
-            pressed = self._pressed.recent_with(near, now=now)
+            neighbours = self._table.neighbours()
+            domain_loads = self._ledger.loads_of(neighbours, now=now)
+            pressed = self._pressed.recent_with(neighbours, now=now)
         return router_messages.DomainNews(
             entry_vm=self._entry_vm,
             domain=self._domain,
             start=self._start,
             sequence=self._sequence,
             port=self._port,
-            revision=self._known.revision,
-            store_revision=self._known.store_revision,
-            read_revision=self._known.read_revision,
-            reads_store=self._known.follows_store
+            revision=self._replica.revision,
+            store_revision=self._replica.store_revision,
+            read_revision=self._replica.read_revision,
+            reads_store=self._replica.follows_store
             or bool(self._table.store_readers(now=now)),
-            loads=peer_loads.to_rows(known),
-            placements=peer_loads.placements(
+            loads=peer_loads.to_rows(domain_loads),
+            placements=peer_loads.to_placements(
                 self._prompt_locations.pop_for_other_domains()
             ),
-            pressed=peer_loads.pressed(pressed),
+            pressed=peer_loads.to_pressed_tiers(pressed),
             duties_holder=self._duties_holder(now),
         )
 
@@ -178,39 +185,42 @@
         )
 
     def remote_relay_addresses(self, *, now: float) -> list[settings.Address]:
-        """Return whom to tell in each other failure domain."""
+        """Return where to send news for each other failure domain."""
         addresses = []
         for domain, cores_by_id in self._table.remote_cores_by_domain().items():
             relay = self._relays_by_domain.get(domain)
-            if relay and now - relay.heard_at < _RELAY_SECONDS:
+            if relay and now - relay.heard_at < _RELAY_TIMEOUT_SECONDS:
                 addresses.append(relay.address)
                 continue
-            first = self._relays.order_of(cores_by_id)[:_FIRST_TOLD]
-            found = (self._table.address_of(one) for one in first)
+            candidates = self._relays.order_of(cores_by_id)[
+                :_FALLBACK_RECIPIENTS
+            ]
+            found = (self._table.address_of(one) for one in candidates)
             addresses.extend(one for one in found if one is not None)
         return addresses
 
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return the relay of another domain, where it was heard lately."""
+        """Return another domain's relay; None if it was not heard lately."""
         relay = self._relays_by_domain.get(domain)
-        if relay is None or now - relay.heard_at >= _RELAY_SECONDS:
+        if relay is None or now - relay.heard_at >= _RELAY_TIMEOUT_SECONDS:
             return None
         return relay.address
 
-    def take(
+    def receive(
         self, news: router_messages.DomainNews, *, host: str, now: float
     ) -> bool:
-        """Take in what another failure domain's relay tells.
+        """Apply the news of another failure domain.
 
-        Returns whether it came from that relay itself and is news.
+        Returns whether they are new and were received from that domain's relay
+        directly.
 
         Parameters
         ----------
         host
-            Where the datagram came from: the relay itself, or that of the
-            own failure domain.
+            Source address of the datagram: that relay, or the relay of the own
+            failure domain, which has forwarded it.
         """
         if news.domain == self._domain or not self._is_newer(news):
             return False
@@ -227,22 +237,22 @@
         known_address = self._table.address_of(news.entry_vm)
         from_relay = known_address is not None and known_address.host == host
         if from_relay:
-            # It is to be told of this domain.
+            # News of the own failure domain are sent to this address.
             self._relays_by_domain[news.domain] = _Relay(
                 address=settings.Address(host=host, port=news.port),
                 heard_at=now,
             )
         if self._table.has_relay:
-            self._gathered.take_domain(news, now=now)
+            self._aggregate.apply_domain_news(news, now=now)
             return from_relay
         self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
         self._pressed.apply_report(
-            news.domain, peer_loads.pressed_of(news.pressed), now=now
+            news.domain, peer_loads.from_pressed_tiers(news.pressed), now=now
         )
         if from_relay:
-            self._send(news, self._table.near_addresses())
+            self._send(news, self._table.neighbour_addresses())
         return from_relay
 
     def _is_newer(self, news: router_messages.DomainNews) -> bool:
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -1,4 +1,8 @@
-"""The duties of this entry VM: assembled, and told what they ask of the router."""
+"""The duties of an entry VM, connected to the router.
+
+The duties report usage to the platform and order runners. One entry VM at a
+time, the holder of a lease in the store, performs them for the whole fleet.
+"""
 
 import asyncio
 import contextlib
@@ -27,21 +31,22 @@
     upstreams,
 )
 
-_TRYING_DOMAINS = 3
-"""Failure domains whose relays try for the duties, one after the other: one may be
-cut off and the next be restarted at that moment."""
+_CANDIDATE_DOMAINS = 3
+"""Number of failure domains whose relays try to acquire the duties, one after
+the other: one may be cut off while the next is being restarted."""
 
-_COMPLETE_SECONDS = 1.0
-"""Silence of a failure domain from which its counts are waited for: five of its
-relay's messages."""
+_INCOMPLETE_AFTER_SECONDS = 1.0
+"""Silence of a failure domain after which its usage counts are incomplete: five
+times the interval between its relay's messages."""
 
-_GONE_SECONDS = 20.0
-"""Silence from which a failure domain is not waited for any more: longer than a
-report may be late, so that what it still has to tell has come or is worth nothing."""
+_REMOVED_AFTER_SECONDS = 20.0
+"""Silence after which a failure domain's counts are no longer waited for:
+longer than a report may be late, so that anything it still had to send would
+come too late."""
 
 
 class UsageCounting:
-    """Counts of usage, which are told whether or not this entry VM holds duties.
+    """Counts of usage, which each entry VM sends, also without duties.
 
     Parameters
     ----------
@@ -53,7 +58,7 @@
     Attributes
     ----------
     send
-        Sends counts to the holder; set once there is a socket.
+        Sends counts to the holder of the duties; set when the socket is open.
     """
 
     def __init__(
@@ -62,7 +67,7 @@
         self.time = filtered_clock.FilteredClock(clock=clock)
         self.send: Callable[
             [router_messages.UsageNews, types.EntryVmId], None
-        ] = _send_nowhere
+        ] = _discard_news
         self.exchange = usage_exchange.UsageExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
@@ -71,29 +76,31 @@
         )
 
 
-def _send_nowhere(news: router_messages.UsageNews, to: types.EntryVmId) -> None:
+def _discard_news(news: router_messages.UsageNews, to: types.EntryVmId) -> None:
     del news, to
 
 
 class FleetDuties:
-    """The duties of one entry VM, which does them when it is its turn.
+    """The duties of one entry VM, which performs them while it holds the lease.
 
     Parameters
     ----------
     configured
         Settings of the process, with duties.
     counting
-        What this entry VM counts and hears of usage.
+        Usage counts of this entry VM and of others.
     store, platform
-        Where the tenure is kept, and who receives the calls.
+        Store of the tenure, which records who holds the duties; and the
+        receiver of the calls.
     view
-        What the duties ask of the router.
+        State of the router that the duties depend on.
     ready
-        Returns whether the router knows enough to act for the fleet.
+        Returns whether the router has enough state to act for the fleet.
     eras
-        Eras of the store; None where it is never restored.
+        Eras of the store, which are incremented on each restore from a backup;
+        None if it is never restored.
     clock, rng
-        Sources of time and of choices.
+        Sources of time and of random choices.
     """
 
     def __init__(
@@ -109,7 +116,7 @@
         rng: random.Random,
         eras: store_eras.StoreEras | None = None,
     ) -> None:
-        # Only here: a deployment without duties starts without them.
+        # Imported here so that a deployment without duties does not load them.
         from lagoonrun_duties import duties
 
         self.view = view
@@ -131,44 +138,44 @@
         )
 
     async def start(self) -> None:
-        """Begin to look whether it is this entry VM's turn."""
+        """Begin to check periodically whether to acquire the duties."""
         await self._duties.start()
 
     async def stop(self, *, within_seconds: float) -> None:
-        """Have another entry VM take the duties over before this one ends.
+        """Release the duties, so that another entry VM can acquire them.
 
-        A store that does not answer must not hold the stop up: the lease runs
-        out then.
+        A store that does not answer must not delay the stop; the lease expires
+        then.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_seconds):
                 await self._duties.stop()
 
     async def close(self) -> None:
-        """End at once."""
+        """Stop at once."""
         await self._duties.close()
 
-    def update_gauges(self, into: metrics.RouterMetrics) -> None:
+    def update_gauges(self, gauges: metrics.RouterMetrics) -> None:
         """Set the gauges of the duties."""
-        into.holds_duties.set(self._exchange.is_holder)
+        gauges.holds_duties.set(self._exchange.is_holder)
         vacant_seconds = self._exchange.vacant_seconds(
             now=self._clock.monotonic()
         )
-        into.duties_vacant.set(vacant_seconds)
-        into.usage_report_age.set(self._duties.usage_report_age or 0.0)
+        gauges.duties_vacant.set(vacant_seconds)
+        gauges.usage_report_age.set(self._duties.usage_report_age or 0.0)
 
 
 class DutyInputs:
-    """Answers what the duties ask.
+    """State of the router that the duties depend on.
 
     Parameters
     ----------
     configured
         Settings of the process.
     exchange, domains
-        The relays of the own failure domain, and the other domains.
+        The relays of the own failure domain, and the other failure domains.
     directory, ledger
-        The upstreams, and the work there.
+        The upstreams and their loads.
     clock
         Source of time.
     """
@@ -191,42 +198,43 @@
         self._ledger = ledger
         self._clock = clock
         self._pools: tuple[declarations.Pool, ...] = ()
-        self._order = roster.Roster(
+        self._domain_roster = roster.Roster(
             duty="duties",
-            wanted_count=_TRYING_DOMAINS,
+            wanted_count=_CANDIDATE_DOMAINS,
             own=configured.domain,
             others=domains,
         )
 
     def use(self, pools: Iterable[declarations.Pool]) -> None:
-        """Take in the pools that are declared now."""
+        """Replace the declared pools."""
         self._pools = tuple(one for one in pools if one.scaling is not None)
 
     def rank(self, now: float) -> int | None:
-        """Return the place among those that are to try; None for not at all."""
-        near = self._exchange.relays_on_duty(now=now)
-        domains = self._order.on_duty(now=now)
-        if self._entry_vm not in near or self._domain not in domains:
+        """Return the position among the candidates; None if not one."""
+        relays = self._exchange.relays_on_duty(now=now)
+        domains = self._domain_roster.on_duty(now=now)
+        if self._entry_vm not in relays or self._domain not in domains:
             return None
-        return domains.index(self._domain) * len(near) + near.index(
+        return domains.index(self._domain) * len(relays) + relays.index(
             self._entry_vm
         )
 
     def is_complete(self) -> bool:
-        """Return whether every other failure domain was heard lately.
+        """Return whether all other failure domains' counts are complete.
 
-        The own one is heard by its neighbours, and may have no other.
+        The own failure domain is left out: it may consist of this entry VM
+        alone, which then hears nobody.
         """
         now = self._clock.monotonic()
         silent_by_domain = self._domains.silent_seconds(now=now)
         silent_by_domain.pop(self._domain, None)
         return not any(
-            _COMPLETE_SECONDS < one < _GONE_SECONDS
+            _INCOMPLETE_AFTER_SECONDS < one < _REMOVED_AFTER_SECONDS
             for one in silent_by_domain.values()
         )
 
     def views(self) -> tuple[runner_model.PoolView, ...]:
-        """Return the pools whose runners may be ordered, as they are now."""
+        """Return the state of the pools whose runners may be ordered."""
         return tuple(self._view(pool) for pool in self._pools)
 
     def _view(self, pool: declarations.Pool) -> runner_model.PoolView:
@@ -236,7 +244,7 @@
             pool=pool.name,
             scaling=pool.scaling,
             domains=tuple(
-                _runners(domain, serving)
+                _domain_runners(domain, serving)
                 for domain in pool.scaling.price_by_domain
             ),
             demand=self._demand(serving, now),
@@ -260,14 +268,14 @@
         )
 
 
-def _runners(
+def _domain_runners(
     domain: types.FailureDomain,
     serving: Iterable[upstreams.Registration],
 ) -> runner_model.DomainRunners:
-    here = [one for one in serving if one.domain == domain]
-    reclaimable = sum(one.reclaimable for one in here)
+    in_domain = [one for one in serving if one.domain == domain]
+    reclaimable = sum(one.reclaimable for one in in_domain)
     return runner_model.DomainRunners(
         domain=domain,
-        lasting=len(here) - reclaimable,
+        lasting=len(in_domain) - reclaimable,
         reclaimable=reclaimable,
     )
--- a/packages/router/src/lagoonrun_router/fleet_loads.py
+++ b/packages/router/src/lagoonrun_router/fleet_loads.py
@@ -1,4 +1,4 @@
-"""Work of a whole fleet as the relay of the failure domain told it."""
+"""The load of the whole fleet, as reported by a relay."""
 
 import functools
 from collections.abc import Mapping
@@ -9,60 +9,62 @@
 
 
 class FleetLoads:
-    """Work at each upstream by all other entry VMs.
+    """Load at each upstream by all other entry VMs.
 
-    Nothing is worked out before it is asked for: an entry VM of a large fleet
-    hears ten messages a second and decides on two or three requests.
+    Loads are computed on demand: an entry VM of a large fleet receives ten
+    messages a second and routes two or three requests.
 
     Parameters
     ----------
-    told
-        Work of all entry VMs.
+    load_rows
+        Load by all entry VMs, including this one.
     prefill_rates
-        Prompt tokens a second for each upstream of `told`.
+        Prompt tokens a second for each upstream of `load_rows`.
     own_by_upstream
-        The part of it that is this entry VM's own.
+        The part of that load that is this entry VM's own.
 
     Raises
     ------
     FormatError
-        Where there are not as many numbers as the upstreams need.
+        If the count of numbers does not match the upstreams.
     """
 
     def __init__(
         self,
         *,
-        told: router_messages.LoadRows,
+        load_rows: router_messages.LoadRows,
         prefill_rates: bytes,
         own_by_upstream: Mapping[types.UpstreamId, loads.Load],
     ) -> None:
-        self._rows = peer_loads.ToldRows(told=told)
-        self._prefill_rates = peer_loads.numbers_in(
-            prefill_rates, wanted=len(self._rows.upstreams)
+        self._rows = peer_loads.ReportedRows(rows=load_rows)
+        self._prefill_rates = peer_loads.unpacked(
+            prefill_rates, count=len(self._rows.upstreams)
         )
         self._own_by_upstream = own_by_upstream
-        self._known: dict[types.UpstreamId, loads.Load] = {}
+        self._load_by_upstream: dict[types.UpstreamId, loads.Load] = {}
 
     def load_of(self, upstream: types.UpstreamId) -> loads.Load:
-        """Return the work of all others at `upstream`."""
-        known = self._known.get(upstream)
-        if known is None:
-            known = self._known[upstream] = self._others_load(upstream)
-        return known
+        """Return the load by all other entry VMs at `upstream`."""
+        cached = self._load_by_upstream.get(upstream)
+        if cached is None:
+            cached = self._load_by_upstream[upstream] = self._compute_load(
+                upstream
+            )
+        return cached
 
     def prefill_rate(self, upstream: types.UpstreamId) -> float:
-        """Return the prompt tokens a second sent there lately by anybody."""
-        place = self._place_by_upstream.get(upstream)
-        return 0.0 if place is None else float(self._prefill_rates[place])
+        """Return the recent prompt tokens a second from all entry VMs."""
+        index = self._index_by_upstream.get(upstream)
+        return 0.0 if index is None else float(self._prefill_rates[index])
 
-    def _others_load(self, upstream: types.UpstreamId) -> loads.Load:
-        place = self._place_by_upstream.get(upstream)
-        if place is None:
+    def _compute_load(self, upstream: types.UpstreamId) -> loads.Load:
+        index = self._index_by_upstream.get(upstream)
+        if index is None:
             return loads.NO_LOAD
-        load = self._rows.load_at(place)
+        load = self._rows.row_load(index)
         own = self._own_by_upstream.get(upstream)
         return load if own is None else load.without(own)
 
     @functools.cached_property
-    def _place_by_upstream(self) -> dict[types.UpstreamId, int]:
-        return {one: place for place, one in enumerate(self._rows.upstreams)}
+    def _index_by_upstream(self) -> dict[types.UpstreamId, int]:
+        return {one: index for index, one in enumerate(self._rows.upstreams)}
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -1,4 +1,4 @@
-"""Tell the other entry VMs which upstreams have named a limit, or none any more."""
+"""Reports of upstreams' rate limits to the other entry VMs."""
 
 from collections.abc import Iterable
 
@@ -6,35 +6,36 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import news_broadcaster, running_requests, upstream_limits
 
-_NEWS_SECONDS = 3.0
-"""Time for which a change is repeated often by whoever was told it."""
+_REPEAT_SECONDS = 3.0
+"""Time for which a change is repeated often by the entry VM that an upstream
+told it."""
 
-_TELL_SECONDS = 0.25
-"""Least time between two changes of one upstream that are told at once; what comes in
-between is repeated with the next beat."""
+_MIN_BROADCAST_INTERVAL_SECONDS = 0.25
+"""Minimum time between two changes of one upstream that are broadcast at once;
+those in between are sent with the next repetition."""
 
-_NEWS_BEATS = 5
-"""Beats between two repetitions of what is new: a quarter of a second."""
+_REPEAT_TICKS = 5
+"""Ticks between two repetitions of recent changes: a quarter of a second."""
 
-_OLD_BEATS = 20
-"""The same of what holds on: a second."""
+_STANDING_REPEAT_TICKS = 20
+"""Ticks between two repetitions of limits that are still in force: a second."""
 
-_MOST_TOLD = 24
-"""Statements in a message: two kilobytes."""
+_MAX_STATEMENTS = 24
+"""Maximum number of statements in a message: two kilobytes."""
 
 _NO_LIMIT = 0
-"""How a message says that an upstream names no limit."""
+"""Value in a message for an upstream that states no limit."""
 
 
 class LimitNewsExchange:
-    """Sends, repeats and hands on what upstreams said of their limits.
+    """Sends, repeats and forwards the limits that upstreams have stated.
 
     Parameters
     ----------
     entry_vm, domain
         This entry VM.
     limits
-        What is known.
+        Known limits of the upstreams.
     spreader
         Sends messages.
     """
@@ -51,23 +52,23 @@
         self._domain = domain
         self._limits = limits
         self._spreader = spreader
-        self._beats = 0
-        self._next_old = 0
-        self._told_at_by_start: dict[
+        self._ticks = 0
+        self._next_standing = 0
+        self._sent_at_by_instance: dict[
             running_requests.UpstreamInstance, float
         ] = {}
 
     def tell(
         self, statement: upstream_limits.LimitStatement, *, now: float
     ) -> None:
-        """Tell the whole fleet what an answer has just changed."""
-        told_at = self._told_at_by_start.get(statement.at, float("-inf"))
-        if now - told_at >= _TELL_SECONDS:
-            self._told_at_by_start[statement.at] = now
+        """Broadcast a limit that an answer has just changed."""
+        sent_at = self._sent_at_by_instance.get(statement.at, float("-inf"))
+        if now - sent_at >= _MIN_BROADCAST_INTERVAL_SECONDS:
+            self._sent_at_by_instance[statement.at] = now
             self._spreader.broadcast(self._message((statement,), now))
 
     def take(self, news: router_messages.LimitNews, *, now: float) -> None:
-        """Take in what a peer knows, and hand on what is new."""
+        """Apply limits known to a peer, and forward those that are new."""
         changed = [
             self._limits.apply_report(
                 statement_of(one, now=now), source=news.entry_vm, now=now
@@ -79,37 +80,39 @@
             self._spreader.forward(self._message(new, now), origin=news.domain)
 
     def tick(self, *, now: float) -> None:
-        """Repeat what others may not have heard, every few calls."""
-        self._beats += 1
-        if self._beats % _NEWS_BEATS:
+        """Repeat limits that others may have missed, every few calls."""
+        self._ticks += 1
+        if self._ticks % _REPEAT_TICKS:
             return
-        changes = self._limits.own_changes(since=now - _NEWS_SECONDS)
+        changes = self._limits.own_changes(since=now - _REPEAT_SECONDS)
         if changes:
-            newest = changes[-_MOST_TOLD:]
+            newest = changes[-_MAX_STATEMENTS:]
             self._spreader.send_to_sample(self._message(newest, now))
-        if self._beats % _OLD_BEATS == 0:
-            self._forget_told(now)
-            self._repeat_old(now)
-
-    def _forget_told(self, now: float) -> None:
-        for at, told_at in tuple(self._told_at_by_start.items()):
-            if now - told_at >= _TELL_SECONDS:
-                del self._told_at_by_start[at]
-
-    def _repeat_old(self, now: float) -> None:
-        """Repeat, as the relay, what holds on, for those that start meanwhile."""
-        part = self._some_old()
-        if part and self._spreader.is_relay:
-            self._spreader.broadcast(self._message(part, now))
-
-    def _some_old(self) -> tuple[upstream_limits.LimitStatement, ...]:
-        """Return the next part of what is in force."""
+        if self._ticks % _STANDING_REPEAT_TICKS == 0:
+            self._forget_sent(now)
+            self._repeat_standing(now)
+
+    def _forget_sent(self, now: float) -> None:
+        for at, sent_at in tuple(self._sent_at_by_instance.items()):
+            if now - sent_at >= _MIN_BROADCAST_INTERVAL_SECONDS:
+                del self._sent_at_by_instance[at]
+
+    def _repeat_standing(self, now: float) -> None:
+        """Repeat limits in force, as the relay, for newly started peers."""
+        statements = self._next_standing_part()
+        if statements and self._spreader.is_relay:
+            self._spreader.broadcast(self._message(statements, now))
+
+    def _next_standing_part(self) -> tuple[upstream_limits.LimitStatement, ...]:
+        """Return the next part of the limits in force."""
         known = self._limits.in_force()
-        if self._next_old >= len(known):
-            self._next_old = 0
-        part = known[self._next_old : self._next_old + _MOST_TOLD]
-        self._next_old += _MOST_TOLD
-        return part
+        if self._next_standing >= len(known):
+            self._next_standing = 0
+        statements = known[
+            self._next_standing : self._next_standing + _MAX_STATEMENTS
+        ]
+        self._next_standing += _MAX_STATEMENTS
+        return statements
 
     def _message(
         self, statements: Iterable[upstream_limits.LimitStatement], now: float
@@ -124,7 +127,7 @@
 def told(
     statement: upstream_limits.LimitStatement, *, now: float
 ) -> router_messages.UpstreamLimit:
-    """Return a statement as a message has it."""
+    """Return a statement as messages have it."""
     per_second = statement.requests_per_second
     age_seconds = max(0.0, now - statement.heard_at)
     return router_messages.UpstreamLimit(
@@ -140,7 +143,7 @@
 def statement_of(
     limit: router_messages.UpstreamLimit, *, now: float
 ) -> upstream_limits.LimitStatement:
-    """Return the statement in a message."""
+    """Return the statement in a part of a message."""
     thousandths = limit.thousandths_per_second
     return upstream_limits.LimitStatement(
         at=running_requests.UpstreamInstance(
--- a/packages/router/src/lagoonrun_router/limit_shares.py
+++ b/packages/router/src/lagoonrun_router/limit_shares.py
@@ -1,8 +1,9 @@
-"""Which part of what the fleet shares falls to whom. Pure decisions.
+"""Shares of an upstream's rate limit, as pure functions.
 
-Places at a limited upstream are given out by one entry VM, which can't tell those
-that are cut off from those that have ended. So it leaves to whoever it does not hear
-their part of the limit, and they use no more than that among themselves.
+A place is the right to send one request to a rate-limited upstream. One entry
+VM (the giver) allocates the places, and can't tell entry VMs that are cut off
+from those that have ended. So it reserves the shares of those that it does not
+hear from, and those that cannot ask it use no more than their shares.
 """
 
 import dataclasses
@@ -10,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FleetCounts:
-    """The entry VMs as one of them sees them; each count has itself in it.
+    """Numbers of entry VMs as one of them sees the fleet.
 
     Parameters
     ----------
     known
-        All that there may be.
+        All that may exist, including this one.
     near
-        Those of the own failure domain that are heard.
+        Those of the own failure domain that are heard, including this one.
     silent
-        All that can't be heard from here, or can't hear.
+        All that cannot be heard from here, or that cannot hear.
     """
 
     known: int
@@ -27,16 +28,16 @@
     silent: int
 
 
-def giver_share(view: FleetCounts) -> float:
-    """Return the part that falls to who gives out places for the fleet."""
-    return max(1, view.known - view.silent) / max(1, view.known)
+def giver_share(counts: FleetCounts) -> float:
+    """Return the share of the limit that the giver allocates for the fleet."""
+    return max(1, counts.known - counts.silent) / max(1, counts.known)
 
 
-def domain_share(view: FleetCounts) -> float:
-    """Return the part that falls to a failure domain that can't ask."""
-    return max(1, view.near) / max(1, view.known)
+def domain_share(counts: FleetCounts) -> float:
+    """Return the share of a failure domain that cannot ask the giver."""
+    return max(1, counts.near) / max(1, counts.known)
 
 
-def single_share(view: FleetCounts) -> float:
-    """Return the part that falls to one entry VM that can't ask."""
-    return 1.0 / max(1, view.known)
+def single_share(counts: FleetCounts) -> float:
+    """Return the share of a single entry VM that cannot ask the giver."""
+    return 1.0 / max(1, counts.known)
--- a/packages/router/src/lagoonrun_router/loads.py
+++ b/packages/router/src/lagoonrun_router/loads.py
@@ -1,35 +1,36 @@
-"""Work at an upstream: what is known, and one request of it."""
+"""Load at an upstream, and the in-flight requests that it consists of."""
 
 import dataclasses
 import itertools
 
 from lagoonrun_core import types
 
-LEAST_OVERDUE_SECONDS = 0.6
-OVERDUE_WAITS = 3.0
-"""A first event is overdue after so much time, and after so many times the
-wait that was foreseen. A dark or mute runner shows in nothing else: its
-connections stay open, and its callers leave after two seconds."""
+MIN_OVERDUE_SECONDS = 0.6
+OVERDUE_WAIT_FACTOR = 3.0
+"""The first event of an answer is overdue after the longer of this minimum and
+this multiple of the expected wait. It is the only sign of a runner whose host
+is gone or that no longer answers: its connections stay open, and its callers
+leave after two seconds."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """Work at one upstream.
+    """Load at one upstream.
 
     Parameters
     ----------
     waiting_by_tier
-        Prompt tokens of requests without a first event, less those cached;
-        the first is of the highest tier.
+        Prompt tokens, except cached ones, of requests without a first event;
+        the first element is that of the highest tier.
     running
-        Requests without an end.
+        Number of requests that have not ended.
     sensitive
-        Running streams for which a short pause is late already, in units of
-        streams with a longest pause of one second.
+        Number of running streams weighted by their sensitivity to pauses: a
+        stream whose longest allowed pause is one second counts as one.
     held_tokens
-        Prompt tokens of all requests without an end, less those cached.
+        Prompt tokens, except cached ones, of requests that have not ended.
     overdue
-        Requests whose first event should have come long ago.
+        Number of requests whose first event is overdue.
     """
 
     waiting_by_tier: tuple[float, ...] = ()
@@ -40,15 +41,15 @@
 
     @property
     def waiting_tokens(self) -> float:
-        """Prompt tokens that wait, of all tiers."""
+        """Waiting prompt tokens of all tiers."""
         return sum(self.waiting_by_tier)
 
     def waiting_before(self, tier: types.Tier) -> float:
-        """Return the tokens that an engine reads before those of `tier`."""
+        """Return the waiting tokens that are read before new ones of `tier`."""
         return sum(self.waiting_by_tier[:tier])
 
     def plus(self, other: "Load") -> "Load":
-        """Return both together."""
+        """Return the sum of both loads."""
         return Load(
             waiting_by_tier=tuple(
                 own + more
@@ -63,7 +64,7 @@
         )
 
     def without(self, part: "Load") -> "Load":
-        """Return the rest of this sum without a part of it."""
+        """Return this load without a part of it, clamped to be non-negative."""
         return Load(
             waiting_by_tier=tuple(
                 max(0.0, whole - less)
@@ -85,12 +86,19 @@
 class InFlightRequest:
     """One request at one upstream, from its sending to its end.
 
-    Two that are alike are two all the same, and each ends once.
+    Compared by identity: two requests with equal fields are counted, and end,
+    separately.
 
     Parameters
     ----------
+    new_tokens
+        Prompt tokens, except cached ones.
+    sensitivity
+        Its part of `Load.sensitive`.
     overdue_at
-        Reading of the clock from which its first event is long overdue.
+        Monotonic time from which its first event is overdue.
+    waiting
+        Whether it has no first event yet.
     """
 
     upstream: types.UpstreamId
@@ -102,6 +110,6 @@
 
 
 def overdue_at(*, now: float, expected_seconds: float) -> float:
-    """Return from when a request sent now is long overdue."""
-    patience = OVERDUE_WAITS * expected_seconds
-    return now + max(LEAST_OVERDUE_SECONDS, patience)
+    """Return when the first event of a request sent now becomes overdue."""
+    overdue_wait = OVERDUE_WAIT_FACTOR * expected_seconds
+    return now + max(MIN_OVERDUE_SECONDS, overdue_wait)
--- a/packages/router/src/lagoonrun_router/news_broadcaster.py
+++ b/packages/router/src/lagoonrun_router/news_broadcaster.py
@@ -1,8 +1,9 @@
-"""Ways in which news gets to the other entry VMs.
+"""Distribution of news to the other entry VMs.
 
-News goes to the whole fleet at once: to the neighbours, and by way of the relays to
-the other failure domains. Datagrams get lost, and a failure domain may be cut off
-meanwhile, so whoever knows something repeats it to a few.
+News are broadcast to the whole fleet: to the neighbours directly, and to the
+other failure domains through their relays. Datagrams get lost, and a failure
+domain may be cut off at that time, so entry VMs that have received news repeat
+them to a sample.
 """
 
 import random
@@ -19,8 +20,8 @@
 """Sends a message to each address."""
 
 
-class FleetAddresses(Protocol):
-    """Whom to tell in other failure domains, and whether to hand news on."""
+class FleetRelays(Protocol):
+    """Knows the relays of the failure domains."""
 
     def remote_relay_addresses(self) -> Iterable[settings.Address]:
         """Return the relays of the other failure domains."""
@@ -30,7 +31,7 @@
 
 
 class NewsBroadcaster:
-    """Sends messages to all, to the neighbours or to a few.
+    """Sends messages to all entry VMs, to the neighbours or to a sample.
 
     Parameters
     ----------
@@ -43,7 +44,7 @@
     send
         Sends a message.
     rng
-        Source of the choice of peers.
+        Source of random samples.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         *,
         domain: types.FailureDomain,
         table: peer_table.PeerTable,
-        fleet: FleetAddresses,
+        fleet: FleetRelays,
         send: Sender,
         rng: random.Random,
     ) -> None:
@@ -68,7 +69,7 @@
 
     def broadcast(self, message: router_messages.RouterMessage) -> None:
         """Send a message to the neighbours and to the other domains' relays."""
-        self._send(message, self._table.near_addresses())
+        self._send(message, self._table.neighbour_addresses())
         self._send(message, self._fleet.remote_relay_addresses())
 
     def forward(
@@ -77,12 +78,15 @@
         *,
         origin: types.FailureDomain,
     ) -> None:
-        """Send, as the relay, what came from another domain to the neighbours."""
+        """As the relay, forward a message of another domain to neighbours."""
         if origin != self._domain and self.is_relay:
-            self._send(message, self._table.near_addresses())
+            self._send(message, self._table.neighbour_addresses())
 
     def send_to_sample(self, message: router_messages.RouterMessage) -> None:
-        """Send a message to a neighbour and to a peer of another domain."""
-        near = self._table.near_addresses()
-        near_one = self._rng.sample(near, min(1, len(near)))
-        self._send(message, (*near_one, *self._table.far_told(self._rng)))
+        """Send a message to a random neighbour and to a random remote peer."""
+        neighbours = self._table.neighbour_addresses()
+        sampled = self._rng.sample(neighbours, min(1, len(neighbours)))
+        self._send(
+            message,
+            (*sampled, *self._table.sample_remote_addresses(self._rng)),
+        )
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -1,7 +1,7 @@
-"""Tell the other entry VMs what this one knows, and hear what they know.
+"""Exchange of state with the other entry VMs, by datagrams.
 
-Small states go as datagrams several times a second; a lost one is made up
-for by the next. What is larger is fetched by `peer_fetch`.
+Small states are sent several times a second, and the next one makes up for a
+lost one. Larger values are fetched by `peer_fetch`.
 """
 
 import dataclasses
@@ -32,61 +32,62 @@
     reach,
     roster,
     settings,
-    state_telling,
+    state_publisher,
     store_replica,
     upstream_notices,
     upstreams,
 )
 
-_BEAT_SECONDS = 0.05
-"""Time between two looks for something to tell. Loads that are told later
-than a prompt takes to be read (0.1 s and more) would not prevent that two
-entry VMs send long prompts to the same runner."""
+_TICK_SECONDS = 0.05
+"""Time between two ticks, at which messages that are due are sent. Loads that
+are reported later than prefill of a long prompt takes (0.1 s and more) would
+not prevent two entry VMs from sending long prompts to the same runner."""
 
-_LOOK_BEATS = 5
-"""Beats between two looks for lost peers, who count as lost after seconds of
-silence; each looks at all peers."""
+_LOST_CHECK_TICKS = 5
+"""Ticks between two checks for lost peers: a check goes through all peers,
+which count as lost only after seconds of silence."""
 
-_GREETING_BEATS = 8
-"""Beats between two greetings to another failure domain: a domain counts as cut
-off after a second without any."""
+_ANNOUNCEMENT_TICKS = 8
+"""Ticks between two membership announcements to another failure domain: a
+domain counts as cut off after a second without any."""
 
-_RELAYED_GREETING_BEATS = 80
-"""The same where a relay tells of other domains: the greetings only pass on who
-there is, for entry VMs that start while the store is away."""
+_RELAYED_ANNOUNCEMENT_TICKS = 80
+"""The same where a relay reports other domains: the announcements then only
+spread membership, for entry VMs that start during an outage of the store."""
 
-_RELAYS = 2
-"""Entry VMs that hear the work of a large failure domain: the relay, and the
-second in order, which takes its place without a gap in what it knows."""
+_RELAY_COUNT = 2
+"""Entry VMs that receive the states of a large failure domain: the relay, and
+the second in the order, which can replace it without a gap in its data."""
 
-_LARGEST_TOLD_CHANGE_BYTES = 8192
-"""Bytes of a change that neighbours are told in a datagram: forty entries of
-upstreams, or a dozen routes. Larger ones are fetched over connections."""
+_MAX_CHANGES_BYTES = 8192
+"""Maximum size of store changes that are sent to neighbours in a datagram:
+forty entries of upstreams, or a dozen routes. Larger ones are fetched over
+connections."""
 
 
 class PeerExchange:
-    """What is told to the other entry VMs and heard from them, and when.
+    """Sends and receives messages of the exchange between entry VMs.
 
     Parameters
     ----------
     configured
         Settings of the process.
     key
-        Keeps datagrams of other fleets out.
+        Authenticates datagrams, so that those of other fleets are rejected.
     table
         The other entry VMs.
-    known
-        Declarations in force.
-    directory, ledger, prompt_locations, domains, pressed, gathered
-        What is told and heard.
+    replica
+        Replica of the store.
+    directory, ledger, prompt_locations, domains, pressed, aggregate
+        State that is sent and updated.
     crashing
-        Requests that end upstreams.
+        Requests that crash upstreams.
     counters
-        Receives the number of places at limited upstreams.
+        Counts the places at limited upstreams.
     usage
-        Counts of requests; None where nobody asks for them.
+        Counts of requests; None if usage is not reported.
     clock, rng
-        Sources of time and of choices.
+        Sources of time and of random choices.
     """
 
     def __init__(
@@ -110,36 +111,37 @@
     ) -> None:
         self._settings = configured
         self._socket = peer_socket.PeerSocket(
-            key=key, on_message=self._take_message
+            key=key, on_message=self._receive_message
         )
         self._table = table
-        self._known = replica
-        replica.on_changes = self._tell_changes
+        self._replica = replica
+        replica.on_changes = self._send_changes
         self._directory = directory
         self._ledger = ledger
         self._prompt_locations = prompt_locations
         self._domains = domains
         self._pressed = pressed
-        self._gathered = aggregate
+        self._aggregate = aggregate
         self._usage = usage
         self._clock = clock
         self._rng = rng
-        self._beats_until_look = 0
-        self._beats_since_greeting = 0
-        # Not a time: the wall clock may have been ahead at an earlier start.
+        self._ticks_until_lost_check = 0
+        self._ticks_since_announcement = 0
+        # Not a timestamp: the wall clock may have been ahead at an earlier
+        # start.
         start = secrets.randbits(63)
         self._relays = roster.Roster(
             duty="relay",
-            wanted_count=_RELAYS,
+            wanted_count=_RELAY_COUNT,
             own=configured.entry_vm,
             own_size=peer_table.rounded_cores(configured.processor_cores),
             others=table,
         )
-        self._teller = state_telling.StateTeller(
+        self._state_publisher = state_publisher.StatePublisher(
             configured=configured,
             start=start,
             table=table,
-            known=replica,
+            replica=replica,
             directory=directory,
             ledger=ledger,
             prompt_locations=prompt_locations,
@@ -152,7 +154,7 @@
             entry_vm=configured.entry_vm,
             port=configured.peer.port,
             start=start,
-            gathered=aggregate,
+            aggregate=aggregate,
             table=table,
             ledger=ledger,
             pressed=pressed,
@@ -167,9 +169,9 @@
             port=configured.peer.port,
             start=start,
             table=table,
-            known=replica,
+            replica=replica,
             relays=self._relays,
-            gathered=aggregate,
+            aggregate=aggregate,
             ledger=ledger,
             prompt_locations=prompt_locations,
             pressed=pressed,
@@ -215,101 +217,105 @@
             domain=configured.domain,
             table=table,
             relays=self._relays,
-            known=replica,
+            replica=replica,
             clock=clock,
         )
 
     def use_seeds(self, seeds: tuple[settings.Address, ...]) -> None:
-        """Replace whom to tell while no neighbour is known."""
+        """Replace the addresses to contact while no neighbour is known."""
         self._settings = dataclasses.replace(self._settings, seeds=seeds)
 
     async def start(self) -> None:
-        """Open the socket and begin to tell."""
+        """Open the socket and begin to send."""
         await self._socket.start(self._settings.peer)
         self._timer.start()
 
     def begin_stop(self) -> None:
-        """Tell that this entry VM is about to end, and take up no duty."""
-        self._teller.stopping = True
+        """Announce that this entry VM is about to stop; leave its duties."""
+        self._state_publisher.stopping = True
         self._relays.stopping = True
 
     async def close(self) -> None:
-        """Stop telling and hearing."""
+        """Stop sending and receiving."""
         await self._timer.close()
         await self._fetcher.close()
         self._socket.close()
 
-    # Telling.
+    # Sending.
 
     async def _run(self) -> None:
         while True:
-            self._beat()
-            await ticks.sleep_to_tick(_BEAT_SECONDS)
+            self._tick()
+            await ticks.sleep_to_tick(_TICK_SECONDS)
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         now = self._clock.monotonic()
-        self._look_for_lost(now)
-        state = self._teller.tick(now=now)
+        self._forget_lost_peers(now)
+        state = self._state_publisher.tick(now=now)
         if state is not None:
-            self._tell(state, now)
+            self._send_state(state, now)
         self._fleet_news.tick(now=now)
         self._domain_news.tick(now=now)
         self._crash_news.tick(now=now)
         self.notices.tick(now=now)
         if self._usage is not None:
             self._usage.tick(now=now, is_relay=self._relays.is_first(now=now))
-        self._greet(now)
+        self._announce(now)
 
-    def _look_for_lost(self, now: float) -> None:
-        self._beats_until_look -= 1
-        if self._beats_until_look > 0:
+    def _forget_lost_peers(self, now: float) -> None:
+        self._ticks_until_lost_check -= 1
+        if self._ticks_until_lost_check > 0:
             return
-        self._beats_until_look = _LOOK_BEATS
+        self._ticks_until_lost_check = _LOST_CHECK_TICKS
         for lost in self._table.pop_lost(now=now):
             self._ledger.forget_peer(lost)
-            self._gathered.forget_peer(lost)
+            self._aggregate.forget_peer(lost)
 
-    def _tell(self, state: router_messages.RouterState, now: float) -> None:
+    def _send_state(
+        self, state: router_messages.RouterState, now: float
+    ) -> None:
         if not self._table.has_relay:
-            told = self._table.near_addresses()
-            self._socket.send(state, told or self._seeds())
+            recipients = self._table.neighbour_addresses()
+            self._socket.send(state, recipients or self._seeds())
             return
-        self._fleet_news.note_told(state)
+        self._fleet_news.record_sent_state(state)
         relays = self._relays.on_duty(now=now)
         if state.entry_vm in relays:
             self._fleet_news.receive_state(state, now=now)
-        # Those that rely on this entry VM, for the store or as their relay,
-        # have to hear of a change without waiting for a relay.
-        relied_on = self._teller.was_reader or state.entry_vm in relays
-        if relied_on and self._teller.news_changed:
-            told = self._table.near_addresses()
+        # Neighbours that rely on this entry VM, as a reader of the store or as
+        # their relay, have to receive a change without the detour by a relay.
+        is_relied_on = (
+            self._state_publisher.was_reader or state.entry_vm in relays
+        )
+        if is_relied_on and self._state_publisher.concerns_all_neighbours:
+            recipients = self._table.neighbour_addresses()
         else:
-            told = self._addresses_of(relays)
-        self._socket.send(state, told)
+            recipients = self._addresses_of(relays)
+        self._socket.send(state, recipients)
 
-    def _tell_changes(self, changes: router_messages.StoreChanges) -> None:
-        """Tell what this entry VM has just read to those that don't read.
+    def _send_changes(self, changes: router_messages.StoreChanges) -> None:
+        """Send changes just read from the store to those that don't read it.
 
-        Large changes are left to be fetched: the parts of a datagram are lost
-        together.
+        Large changes are not sent but fetched: a datagram is lost as a whole if
+        one of its fragments is.
         """
         size = sum(len(item.value) for item in changes.items)
         size += sum(len(one.packed_text) for one in changes.declared)
-        if not self._table.is_large or size > _LARGEST_TOLD_CHANGE_BYTES:
+        if not self._table.is_large or size > _MAX_CHANGES_BYTES:
             return
-        told = dataclasses.replace(
+        message = dataclasses.replace(
             changes,
             entry_vm=self._settings.entry_vm,
             domain=self._settings.domain,
         )
-        self._socket.send(told, self._table.near_addresses())
-        self._hand_on(told)
+        self._socket.send(message, self._table.neighbour_addresses())
+        self._forward(message)
 
-    def _hand_on(self, changes: router_messages.StoreChanges) -> None:
-        """Hand changes on, as the relay.
+    def _forward(self, changes: router_messages.StoreChanges) -> None:
+        """Forward changes if this entry VM is the relay.
 
-        Those read here go to the other domains, those read elsewhere to the
-        neighbours.
+        Those read in the own failure domain go to the other domains, those read
+        elsewhere to the neighbours.
         """
         now = self._clock.monotonic()
         if not self._relays.is_first(now=now):
@@ -319,7 +325,7 @@
                 changes, self._domain_news.remote_relay_addresses(now=now)
             )
         else:
-            self._socket.send(changes, self._table.near_addresses())
+            self._socket.send(changes, self._table.neighbour_addresses())
 
     def _addresses_of(
         self, entry_vms: Iterable[types.EntryVmId]
@@ -330,7 +336,7 @@
     def send_usage(
         self, news: router_messages.UsageNews, to: types.EntryVmId
     ) -> None:
-        """Send counts of the own failure domain to the holder of the duties."""
+        """Send usage counts to the holder of the duties."""
         self._socket.send(news, self._addresses_of((to,)))
 
     def remote_relay_addresses(self) -> tuple[settings.Address, ...]:
@@ -345,46 +351,48 @@
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return the relay of another domain that was heard lately."""
+        """Return another domain's relay; None if it was not heard lately."""
         return self._domain_news.relay_of(domain, now=now)
 
     def relays_on_duty(self, *, now: float) -> tuple[types.EntryVmId, ...]:
-        """Return who hears all of the own failure domain, in their order."""
+        """Return the relays of the own failure domain, in their order."""
         return self._relays.on_duty(now=now)
 
     def _seeds(self) -> tuple[settings.Address, ...]:
-        """Return whom to tell while no neighbour is known."""
+        """Return the addresses to contact while no neighbour is known."""
         own = self._settings.peer
         return tuple(seed for seed in self._settings.seeds if seed != own)
 
-    def _greet(self, now: float) -> None:
-        """Tell some peer of another failure domain who there is."""
-        self._beats_since_greeting += 1
-        wanted = _GREETING_BEATS
+    def _announce(self, now: float) -> None:
+        """Announce members to a random peer of another failure domain."""
+        self._ticks_since_announcement += 1
+        interval = _ANNOUNCEMENT_TICKS
         if self._table.has_relay:
-            wanted = _RELAYED_GREETING_BEATS
-        if self._beats_since_greeting < wanted:
+            interval = _RELAYED_ANNOUNCEMENT_TICKS
+        if self._ticks_since_announcement < interval:
             return
-        self._beats_since_greeting = 0
-        far = self._table.far_told(self._rng)
-        if far:
-            self._socket.send(self._teller.greeting(now=now), far)
+        self._ticks_since_announcement = 0
+        recipients = self._table.sample_remote_addresses(self._rng)
+        if recipients:
+            self._socket.send(
+                self._state_publisher.announcement(now=now), recipients
+            )
 
-    # Hearing.
+    # Receiving.
 
-    def _take_message(self, message: object, host: str) -> None:
+    def _receive_message(self, message: object, host: str) -> None:
         now = self._clock.monotonic()
         if isinstance(message, router_messages.FleetNews):
-            self._fleet_news.take(message, now=now)
-            self._table.note_alive(message.entry_vm, now=now)
-            self._take_leaving(message.leaving_starts, message.entry_vm)
+            self._fleet_news.receive(message, now=now)
+            self._table.record_alive(message.entry_vm, now=now)
+            self._mark_leaving(message.leaving_starts, message.entry_vm)
         elif isinstance(message, router_messages.DomainNews):
-            self._take_domain_news(message, host, now)
+            self._receive_domain_news(message, host, now)
         elif isinstance(message, router_messages.RouterState):
-            self._take_state(message, host, now)
+            self._receive_state(message, host, now)
         elif isinstance(message, router_messages.StoreChanges):
-            if self._known.take_changes_of_peer(message):
-                self._hand_on(message)
+            if self._replica.apply_peer_changes(message):
+                self._forward(message)
         elif isinstance(message, router_messages.CrashNews):
             self._crashing.receive_news(message)
         elif isinstance(message, router_messages.UsageNews):
@@ -397,21 +405,21 @@
                 detail=f"a {type(message).__name__}; valid: a datagram",
             )
 
-    def _take_domain_news(
+    def _receive_domain_news(
         self, news: router_messages.DomainNews, host: str, now: float
     ) -> None:
-        if not self._domain_news.take(news, host=host, now=now):
+        if not self._domain_news.receive(news, host=host, now=now):
             return
-        self._known.note_read_by_peer(news)
+        self._replica.record_peer_revision(news)
         address = settings.Address(host=host, port=news.port)
-        self._fetcher.take(news, address, now=now)
+        self._fetcher.fetch_if_newer(news, address, now=now)
 
-    def _take_state(
+    def _receive_state(
         self, state: router_messages.RouterState, host: str, now: float
     ) -> None:
         self._domains.record_contact(state.domain, now=now)
         address = settings.Address(host=host, port=state.port)
-        newer = self._table.record_message(
+        is_newer = self._table.record_message(
             state.entry_vm,
             address,
             start=state.start,
@@ -422,18 +430,18 @@
             stopping=state.stopping,
             processor_cores=state.processor_hundredths / 100,
         )
-        if not newer:
+        if not is_newer:
             return
-        self._take_members(state.known)
-        self._take_leaving(state.leaving_starts, state.entry_vm)
+        self._add_members(state.known)
+        self._mark_leaving(state.leaving_starts, state.entry_vm)
         if state.domain == self._settings.domain:
-            self._take_work(state, now)
+            self._apply_load(state, now)
             if self._usage is not None:
                 self._usage.receive_state(state, now=now)
-        self._known.note_read_by_peer(state)
-        self._fetcher.take(state, address, now=now)
+        self._replica.record_peer_revision(state)
+        self._fetcher.fetch_if_newer(state, address, now=now)
 
-    def _take_members(
+    def _add_members(
         self, members: Iterable[router_messages.EntryVmAddress]
     ) -> None:
         for member in members:
@@ -445,7 +453,7 @@
                     processor_cores=member.processor_hundredths / 100,
                 )
 
-    def _take_leaving(
+    def _mark_leaving(
         self,
         leaving: Iterable[router_messages.LeavingUpstream],
         source: types.EntryVmId,
@@ -455,10 +463,10 @@
                 one.upstream, start=one.start, source=source
             )
 
-    def _take_work(
+    def _apply_load(
         self, state: router_messages.RouterState, now: float
     ) -> None:
-        """Take in the work of a neighbour, or gather it for all others."""
+        """Apply a neighbour's load, or aggregate it as a relay."""
         own = self._settings.entry_vm
         if self._table.has_relay:
             if state.relay == own or own in self._relays.on_duty(now=now):
@@ -468,7 +476,9 @@
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
         self._pressed.apply_report(
-            state.entry_vm, peer_loads.pressed_of(state.pressed), now=now
+            state.entry_vm,
+            peer_loads.from_pressed_tiers(state.pressed),
+            now=now,
         )
         for placement in state.placements:
             self._prompt_locations.apply_report(
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -1,7 +1,7 @@
-"""Fetch declarations and upstreams from a peer that knows newer ones.
+"""Fetches declarations and upstreams from a peer that has newer ones.
 
-So they get to an entry VM that does not read the store itself, or that the
-store turns away.
+So they reach an entry VM that does not read the store itself, or whose requests
+the store rejects.
 """
 
 import asyncio
@@ -17,40 +17,42 @@
 from lagoonrun_router import peer_table, roster, settings, store_replica
 
 DECLARATIONS_PATH = "/declarations"
-"""Gives the whole value, for entry VMs of before the one below."""
+"""Path of the whole value, for versions that lack the path below."""
 
 DECLARED_CHANGE_PATH = "/declarations/since/"
-"""Followed by the digest of the value that the caller has, or by nothing."""
+"""Path of a delta; the digest of the caller's value, if any, follows."""
 
 UPSTREAMS_PATH = "/upstreams"
 
-_CONNECT_SECONDS = 0.5
-_ANSWER_SECONDS = 1.5
-"""Longest wait for the head of an answer: the peer may have as long to read a
-large configuration on a tenth of a core."""
+_CONNECT_TIMEOUT_SECONDS = 0.5
+_RESPONSE_TIMEOUT_SECONDS = 1.5
+"""Maximum wait for the head of a response: on a tenth of a core the peer may
+take as long to read a large configuration."""
 
-_STALL_SECONDS = 1.0
-"""Longest pause within an answer. A long one on a thin link that many use comes
-slowly; as long as it comes, to begin again elsewhere would only take longer."""
+_STALL_TIMEOUT_SECONDS = 1.0
+"""Maximum pause within a response. A long one arrives slowly over a shared link
+of low bandwidth; as long as data arrives, starting again elsewhere would take
+longer."""
 
-_TOLD_SECONDS = 0.15
-"""Time that a reader of the store has to tell its neighbours what has changed,
-before one that has heard of it fetches it: three beats of the exchange."""
+_CHANGES_WAIT_SECONDS = 0.15
+"""Time in which a reader of the store may send its neighbours a change, before
+one that knows of the newer revision fetches it: three ticks of the exchange."""
 
 _OK = 200
 
-_BEHIND_SECONDS = 1.0
-"""Time after which an entry VM asks another failure domain itself for what its
-relay should have told it: the relay is lost, or reaches less than this one."""
+_RELAY_WAIT_SECONDS = 1.0
+"""Time after which an entry VM itself fetches from another failure domain what
+its relay should have sent: the relay is lost, or cannot reach peers that this
+one can."""
 
-_UPSTREAMS_SECONDS = 0.1
-"""Time between two fetches of the upstreams where the store is not read from
-here. An upstream that leaves serves on for two seconds after the store says
-so; changes that come together are fetched together."""
+_FETCH_INTERVAL_SECONDS = 0.1
+"""Minimum time between two fetches of the upstreams. Changes that come together
+are fetched together; an upstream that leaves serves for two more seconds after
+its entry in the store says so."""
 
 
-class TellsKnowledge(Protocol):
-    """What a message says of its sender's knowledge; see `RouterState`."""
+class RevisionReport(Protocol):
+    """A message that reports its sender's revisions; see `RouterState`."""
 
     entry_vm: types.EntryVmId
     domain: types.FailureDomain
@@ -59,25 +61,25 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Known:
-    """What this entry VM knew when it heard of more."""
+class _KnownRevisions:
+    """Revisions that this entry VM had when it learned of newer ones."""
 
     revision: types.Revision
     store_revision: int
 
 
 class PeerFetcher:
-    """Fetches from one peer at a time.
+    """Fetches declarations and upstreams, each from one peer at a time.
 
     Parameters
     ----------
     domain
         Failure domain of this entry VM.
     relays
-        Order of the relays of the own failure domain: bytes between domains
-        cost, so that one entry VM fetches from others for all its neighbours.
-    known
-        Receives what was fetched.
+        Selects the relays of the own failure domain: traffic between failure
+        domains costs money, so the relay fetches for all its neighbours.
+    replica
+        Store replica that is updated.
     clock
         Source of time.
     """
@@ -88,151 +90,155 @@
         domain: types.FailureDomain,
         table: peer_table.PeerTable,
         relays: roster.Roster,
-        known: store_replica.StoreReplica,
+        replica: store_replica.StoreReplica,
         clock: clocks.Clock,
     ) -> None:
         self._domain = domain
         self._table = table
         self._relays = relays
-        self._known = known
+        self._replica = replica
         self._clock = clock
-        self._declarations: asyncio.Task[None] | None = None
-        self._upstreams: asyncio.Task[None] | None = None
-        self._upstreams_at = float("-inf")
-        self._behind_with: _Known | None = None
-        self._behind_since = 0.0
+        self._declarations_task: asyncio.Task[None] | None = None
+        self._upstreams_task: asyncio.Task[None] | None = None
+        self._upstreams_fetched_at = float("-inf")
+        self._outdated_revisions: _KnownRevisions | None = None
+        self._outdated_since = 0.0
 
     async def close(self) -> None:
-        """Give up what is on its way."""
-        for task in (self._declarations, self._upstreams):
+        """Cancel fetches in progress."""
+        for task in (self._declarations_task, self._upstreams_task):
             if task is not None:
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    def take(
+    def fetch_if_newer(
         self,
-        state: TellsKnowledge,
+        report: RevisionReport,
         address: settings.Address,
         *,
         now: float,
     ) -> None:
-        """Fetch what a peer knows and this process does not."""
-        if not self._is_newer(state):
+        """Fetch what is newer at a peer than in this entry VM's replica."""
+        if not self._is_newer(report):
             return
-        if not self._may_fetch_from(state.domain, now):
+        if not self._may_fetch_from(report.domain, now):
             return
-        if state.revision > self._known.revision and _is_idle(
-            self._declarations
+        if report.revision > self._replica.revision and _is_idle(
+            self._declarations_task
         ):
-            self._declarations = asyncio.create_task(
-                self._take_declarations(state, address)
+            self._declarations_task = asyncio.create_task(
+                self._fetch_declarations(report, address)
             )
-        if not self._should_fetch_upstreams(state):
+        if not self._should_fetch_upstreams(report):
             return
-        recent = now - self._upstreams_at < _UPSTREAMS_SECONDS
-        if _is_idle(self._upstreams) and not recent:
-            self._upstreams_at = now
-            self._upstreams = asyncio.create_task(
-                self._take_upstreams(state, address)
+        recent = now - self._upstreams_fetched_at < _FETCH_INTERVAL_SECONDS
+        if _is_idle(self._upstreams_task) and not recent:
+            self._upstreams_fetched_at = now
+            self._upstreams_task = asyncio.create_task(
+                self._fetch_upstreams(report, address)
             )
 
-    def _is_newer(self, state: TellsKnowledge) -> bool:
+    def _is_newer(self, report: RevisionReport) -> bool:
         return (
-            state.revision > self._known.revision
-            or self._should_fetch_upstreams(state)
+            report.revision > self._replica.revision
+            or self._should_fetch_upstreams(report)
         )
 
     def _may_fetch_from(self, domain: types.FailureDomain, now: float) -> bool:
-        """Return whether to ask a peer of `domain` and not a neighbour."""
+        """Return whether to fetch from a peer of `domain`.
+
+        In a large fleet an entry VM leaves it to its relay to fetch from other
+        failure domains, until the relay is overdue.
+        """
         if domain == self._domain or not self._table.is_large:
             return True
-        known = _Known(
-            revision=self._known.revision,
-            store_revision=self._known.store_revision,
+        revisions = _KnownRevisions(
+            revision=self._replica.revision,
+            store_revision=self._replica.store_revision,
         )
-        if known != self._behind_with:
-            self._behind_with = known
-            self._behind_since = now
-        late = now - self._behind_since >= _BEHIND_SECONDS
-        return late or self._relays.is_first(now=now)
+        if revisions != self._outdated_revisions:
+            self._outdated_revisions = revisions
+            self._outdated_since = now
+        is_overdue = now - self._outdated_since >= _RELAY_WAIT_SECONDS
+        return is_overdue or self._relays.is_first(now=now)
 
-    def _should_fetch_upstreams(self, state: TellsKnowledge) -> bool:
-        """Return whether a peer knows more of the upstreams.
+    def _should_fetch_upstreams(self, report: RevisionReport) -> bool:
+        """Return whether a peer has newer upstreams that are needed here.
 
-        One that does not read the store either may know what this process,
-        started in an outage, has never read.
+        A peer that does not read the store either may have upstreams that this
+        entry VM, started during an outage of the store, has never read.
         """
-        if self._known.follows_store:
+        if self._replica.follows_store:
             return False
-        return state.store_revision > self._known.store_revision
+        return report.store_revision > self._replica.store_revision
 
-    async def _take_declarations(
-        self, state: TellsKnowledge, address: settings.Address
+    async def _fetch_declarations(
+        self, report: RevisionReport, address: settings.Address
     ) -> None:
-        peer = state.entry_vm
-        await self._wait_until_told()
-        if state.revision <= self._known.revision:
+        peer = report.entry_vm
+        await self._wait_for_changes()
+        if report.revision <= self._replica.revision:
             return
-        path = DECLARED_CHANGE_PATH + self._known.declared.newest.digest
+        path = DECLARED_CHANGE_PATH + self._replica.declared.newest.digest
         body = await self._call(peer, address, path)
         if body is None:
-            # An entry VM of before that path, as while a fleet is upgraded.
+            # During an upgrade of the fleet a peer may lack that path.
             body = await self._call(peer, address, DECLARATIONS_PATH)
             if body is not None:
-                self._known.take_declarations(body, source=peer)
+                self._replica.take_declarations(body, source=peer)
             return
-        change = _decoded(body, peer)
+        change = _decode(body, peer)
         if isinstance(change, router_messages.DeclaredChange):
-            self._known.take_declared_change(change, source=peer)
+            self._replica.apply_declared_change(change, source=peer)
 
-    async def _take_upstreams(
-        self, state: TellsKnowledge, address: settings.Address
+    async def _fetch_upstreams(
+        self, report: RevisionReport, address: settings.Address
     ) -> None:
-        peer = state.entry_vm
-        await self._wait_until_told()
-        if state.store_revision <= self._known.store_revision:
+        peer = report.entry_vm
+        await self._wait_for_changes()
+        if report.store_revision <= self._replica.store_revision:
             return
         body = await self._call(peer, address, UPSTREAMS_PATH)
-        told = None if body is None else _decoded(body, peer)
-        if isinstance(told, router_messages.StoredItems):
-            self._known.take_entries_of_peer(
-                {item.key: item.value for item in told.items},
-                store_module.StoreRevision(told.store_revision),
+        stored = None if body is None else _decode(body, peer)
+        if isinstance(stored, router_messages.StoredItems):
+            self._replica.apply_peer_entries(
+                {item.key: item.value for item in stored.items},
+                store_module.StoreRevision(stored.store_revision),
             )
 
-    async def _wait_until_told(self) -> None:
-        """Let a reader of the store tell first, where this one knows any."""
-        if self._known.revision and self._known.upstreams_known:
-            await asyncio.sleep(_TOLD_SECONDS)
+    async def _wait_for_changes(self) -> None:
+        """Wait for changes that a reader may send and that could be applied."""
+        if self._replica.revision and self._replica.upstreams_known:
+            await asyncio.sleep(_CHANGES_WAIT_SECONDS)
 
     async def _call(
         self, peer: types.EntryVmId, address: settings.Address, path: str
     ) -> bytes | None:
-        """Return what a peer answers; None where it does not."""
+        """Return the body of a peer's response; None if there is none."""
         pool = http_client.ConnectionPool(
             address=address,
-            connect_timeout_seconds=_CONNECT_SECONDS,
+            connect_timeout_seconds=_CONNECT_TIMEOUT_SECONDS,
             clock=self._clock,
         )
         try:
-            reply = await pool.call(
+            response = await pool.call(
                 http_client.HttpRequest(method="GET", path=path),
-                timeout_seconds=_ANSWER_SECONDS,
-                stall_seconds=_STALL_SECONDS,
+                timeout_seconds=_RESPONSE_TIMEOUT_SECONDS,
+                stall_seconds=_STALL_TIMEOUT_SECONDS,
             )
         except (
             http_client.NotSentError,
             http_client.ResponseLostError,
         ) as error:
-            # The next state of any peer leads to another try.
+            # The next state from any peer triggers another attempt.
             _log_failure(peer, f"no answer to {path}: {error}")
             return None
         finally:
             pool.close()
-        return reply.body if reply.status == _OK else None
+        return response.body if response.status == _OK else None
 
 
-def _decoded(body: bytes, peer: types.EntryVmId) -> object | None:
+def _decode(body: bytes, peer: types.EntryVmId) -> object | None:
     try:
         return router_codec.decode(body, peer=peer)
     except errors.LagoonrunError as error:
--- a/packages/router/src/lagoonrun_router/peer_loads.py
+++ b/packages/router/src/lagoonrun_router/peer_loads.py
@@ -1,4 +1,4 @@
-"""Loads, placements and pressed tiers as entry VMs tell them each other."""
+"""Conversion of loads, placements and pressed tiers to and from messages."""
 
 import struct
 from collections.abc import Iterable, Iterator, Mapping
@@ -9,38 +9,38 @@
 from lagoonrun_router import pressure as pressures
 
 _NUMBER_BYTES = 4
-_LARGEST_NUMBER = 2**32 - 1
-_NUMBERS_BESIDE_TIERS = 4
-"""Running, sensitive, held and overdue."""
+_MAX_NUMBER = 2**32 - 1
+_NUMBERS_AFTER_TIERS = 4
+"""Columns after those of the tiers: running, sensitive, held, overdue."""
 
 
-class ToldRows:
-    """Rows of work at upstreams as somebody told them, checked.
+class ReportedRows:
+    """Load rows of a message, checked and unpacked.
 
     Parameters
     ----------
-    told
-        What was told.
+    rows
+        Rows of the message, one for each upstream.
 
     Raises
     ------
     FormatError
-        Where the rows are not of one length.
+        If the rows do not all have the same length.
     """
 
-    def __init__(self, *, told: router_messages.LoadRows) -> None:
+    def __init__(self, *, rows: router_messages.LoadRows) -> None:
         self.upstreams = tuple(
-            types.UpstreamId(id) for id in told.upstreams.splitlines()
+            types.UpstreamId(id) for id in rows.upstreams.splitlines()
         )
-        self._tiers = told.tiers
-        self._width = told.tiers + _NUMBERS_BESIDE_TIERS
-        self._numbers = numbers_in(
-            told.numbers, wanted=self._width * len(self.upstreams)
+        self._tiers = rows.tiers
+        self._width = rows.tiers + _NUMBERS_AFTER_TIERS
+        self._numbers = unpacked(
+            rows.numbers, count=self._width * len(self.upstreams)
         )
 
-    def load_at(self, place: int) -> loads.Load:
-        """Return the work at the upstream of one row."""
-        start = place * self._width
+    def row_load(self, index: int) -> loads.Load:
+        """Return the load in one row."""
+        start = index * self._width
         row = self._numbers[start : start + self._width]
         running, sensitive, held, overdue = row[self._tiers :]
         return loads.Load(
@@ -52,21 +52,23 @@
         )
 
     def by_upstream(self) -> dict[types.UpstreamId, loads.Load]:
-        """Return the work at each upstream."""
+        """Return the load at each upstream."""
         return {
-            upstream: self.load_at(place)
-            for place, upstream in enumerate(self.upstreams)
+            upstream: self.row_load(index)
+            for index, upstream in enumerate(self.upstreams)
         }
 
 
 def to_rows(
     loads_by_upstream: Mapping[types.UpstreamId, loads.Load],
 ) -> router_messages.LoadRows:
-    """Return what is told of the work at each upstream."""
-    known = tuple(loads_by_upstream.values())
-    tiers = max((len(load.waiting_by_tier) for load in known), default=0)
+    """Return the load at each upstream as rows for a message."""
+    ordered_loads = tuple(loads_by_upstream.values())
+    tiers = max(
+        (len(load.waiting_by_tier) for load in ordered_loads), default=0
+    )
     numbers: list[float] = []
-    for load in known:
+    for load in ordered_loads:
         numbers.extend(_row(load, tiers))
     return router_messages.LoadRows(
         upstreams="\n".join(loads_by_upstream),
@@ -85,55 +87,58 @@
 
 
 def from_rows(
-    told: router_messages.LoadRows,
+    rows: router_messages.LoadRows,
 ) -> dict[types.UpstreamId, loads.Load]:
-    """Return the work at each upstream by what was told.
+    """Return the load at each upstream from the rows of a message.
 
     Raises
     ------
     FormatError
-        Where the rows are not of one length.
+        If the rows do not all have the same length.
     """
-    return ToldRows(told=told).by_upstream()
+    return ReportedRows(rows=rows).by_upstream()
 
 
 def packed(numbers: Iterable[float]) -> bytes:
-    """Return numbers of at least 0, rounded, in four bytes each."""
-    whole = [min(round(number), _LARGEST_NUMBER) for number in numbers]
-    return struct.pack(f"<{len(whole)}I", *whole)
+    """Return numbers rounded to unsigned 32-bit integers and packed.
+
+    Numbers must not be negative; larger ones are reduced to the maximum.
+    """
+    integers = [min(round(number), _MAX_NUMBER) for number in numbers]
+    return struct.pack(f"<{len(integers)}I", *integers)
 
 
-def numbers_in(data: bytes, *, wanted: int) -> tuple[int, ...]:
-    """Return the numbers in packed bytes.
+def unpacked(data: bytes, *, count: int) -> tuple[int, ...]:
+    """Return the integers in packed bytes.
 
     Raises
     ------
     FormatError
-        Where there are not as many as `wanted`.
+        If there are not `count` of them.
     """
-    if len(data) != wanted * _NUMBER_BYTES:
+    if len(data) != count * _NUMBER_BYTES:
         raise format_error.FormatError(
             step=errors.Step.PEER_FRAME,
-            detail=f"{len(data)} bytes of numbers; valid: {wanted} numbers of "
+            detail=f"{len(data)} bytes of numbers; valid: {count} numbers of "
             f"{_NUMBER_BYTES} bytes",
         )
-    return struct.unpack(f"<{wanted}I", data)
+    return struct.unpack(f"<{count}I", data)
 
 
-def placements(
+def to_placements(
     upstreams_by_part: Mapping[str, types.UpstreamId],
 ) -> tuple[router_messages.PromptPlacement, ...]:
-    """Return what is told of placed prompt parts."""
+    """Return the upstreams of prompt parts as messages have them."""
     return tuple(
         router_messages.PromptPlacement(part=part, upstream=upstream)
         for part, upstream in upstreams_by_part.items()
     )
 
 
-def pressed(
+def to_pressed_tiers(
     tiers: Iterable[pressures.PressedTier],
 ) -> tuple[router_messages.PressedTier, ...]:
-    """Return what is told of tiers that could not be served."""
+    """Return tiers that could not be admitted lately as messages have them."""
     return tuple(
         router_messages.PressedTier(
             pool=one.pool, tier=one.tier, requests=one.requests
@@ -142,13 +147,13 @@
     )
 
 
-def pressed_of(
-    told: Iterable[router_messages.PressedTier],
+def from_pressed_tiers(
+    tiers: Iterable[router_messages.PressedTier],
 ) -> tuple[pressures.PressedTier, ...]:
-    """Return the tiers that could not be served by what was told."""
+    """Return tiers that could not be admitted lately from a message."""
     return tuple(
         pressures.PressedTier(
             pool=one.pool, tier=one.tier, requests=one.requests
         )
-        for one in told
+        for one in tiers
     )
--- a/packages/router/src/lagoonrun_router/peer_socket.py
+++ b/packages/router/src/lagoonrun_router/peer_socket.py
@@ -1,7 +1,8 @@
 """The datagram socket of the exchange between entry VMs.
 
-Each datagram carries a code that is made with the fleet's key, so that those of
-other fleets, which may have had the same addresses before, say nothing here.
+Each datagram carries an authentication tag made with the fleet's key, so that
+those of other fleets, which may have had the same addresses before, are
+rejected.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 from lagoonrun_router import settings
 
 _TAG_BYTES = 16
-_LARGEST_DATAGRAM_BYTES = 16_384
+_MAX_DATAGRAM_BYTES = 16_384
 
 
 class MessageListener(Protocol):
@@ -25,16 +26,16 @@
     def __call__(
         self, message: router_messages.RouterMessage, host: str
     ) -> None:
-        """Take in a message; raises `LagoonrunError` where it makes no sense."""
+        """Receive a message; raises `LagoonrunError` if it is invalid."""
 
 
 class PeerSocket:
-    """Sends and receives messages.
+    """Sends and receives authenticated messages.
 
     Parameters
     ----------
     key
-        Keeps datagrams of other fleets out.
+        Key of the fleet, from which the authentication tags are made.
     on_message
         Receives each valid message.
     """
@@ -62,7 +63,7 @@
         message: router_messages.RouterMessage,
         addresses: Iterable[settings.Address],
     ) -> None:
-        """Send a message to each address; nobody says whether it arrives."""
+        """Send a message to each address, without confirmation of delivery."""
         if self._transport is None or self._transport.is_closing():
             return
         body = router_codec.encode(message)
@@ -71,7 +72,7 @@
             self._transport.sendto(data, (address.host, address.port))
 
     def receive(self, data: bytes, host: str) -> None:
-        """Take in a datagram."""
+        """Verify, decode and pass on a datagram."""
         tag, body = data[:_TAG_BYTES], data[_TAG_BYTES:]
         if not hmac.compare_digest(tag, self._tag(body)):
             _reject(host, f"{len(data)} bytes with a wrong tag")
@@ -97,15 +98,15 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes datagrams to their socket; oversized ones are dropped."""
 
     def __init__(self, *, owner: PeerSocket) -> None:
         self._owner = owner
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
-        if len(data) <= _LARGEST_DATAGRAM_BYTES:
+        if len(data) <= _MAX_DATAGRAM_BYTES:
             self._owner.receive(data, address[0])
 
     def error_received(self, error: Exception) -> None:
-        # A peer whose process is away; it is told again with the next beat.
+        # The peer's process does not run; the next tick sends to it again.
         del error
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -1,4 +1,7 @@
-"""The other entry VMs, as far as this one knows them."""
+"""The other entry VMs: addresses, sizes and when each was last heard from.
+
+Peers in the own failure domain are neighbours, those in other ones are remote.
+"""
 
 import dataclasses
 import json
@@ -9,40 +12,50 @@
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import settings
 
-HEARD_SECONDS = 2.0
-"""Silence after which a peer counts as lost: four of its slowest messages."""
+PEER_TIMEOUT_SECONDS = 2.0
+"""Silence after which a peer counts as lost: four times the longest interval
+between its messages."""
+
+_MAX_SMALL_FLEET_PEERS = 12
+"""Number of peers above which a few entry VMs read the store for the others. Up
+to it, the watches of all of them make about ten calls a second."""
 
-_LARGE_FLEET = 12
-"""Peers above which a few entry VMs read the store for the others. Below, all
-their watches together make some ten calls a second."""
+READER_TIMEOUT_SECONDS = 1.0
+"""Silence after which a peer is no longer relied on to read the store: twice
+the longest interval between its messages. Changes must be in force within two
+to three seconds."""
 
-WATCHING_SECONDS = 1.0
-"""Silence after which a peer is not relied on to read the store: two of its
-slowest messages. What it would have told matters in two to three seconds."""
+_MAX_SAMPLED_REMOTE_PEERS = 1
+"""Number of remote peers that a periodic message goes to: traffic between
+failure domains costs money, and membership spreads from peer to peer."""
 
-_MOST_FAR_TOLD = 1
-"""Peers of other failure domains that learn now and then who there is: bytes
-between domains cost, and who there is passes on from peer to peer."""
+_MAX_NEIGHBOURS_WITHOUT_RELAY = 12
+"""Number of neighbours up to which each entry VM sends its state to all of
+them.
 
-_MOST_NEAR_TOLD = 12
-"""Neighbours up to which each entry VM tells all others of its domain. Reading a
-state takes about 0.1 ms; above, the number of messages, which grows with the
-square of the neighbours, takes more processor time than the requests do."""
+Decoding a state takes about 0.1 ms. With more neighbours the messages, whose
+number grows with the square of the neighbours, take more processor time than
+the requests.
+"""
 
-_RELAYED_SECONDS = 4.0
-"""Silence after which a neighbour counts as lost where it tells the relay only,
-which lists it: the relay's own loss takes a second to be made up for."""
+_RELAYED_PEER_TIMEOUT_SECONDS = 4.0
+"""Silence after which a neighbour counts as lost in a failure domain with a
+relay.
 
-_FORGOTTEN_SECONDS = 60.0
-"""Silence after which a peer counts no more among those that share budgets."""
+Neighbours then send their states to the relay only, which lists them; after the
+loss of a relay it takes a second until the next one serves.
+"""
+
+_BUDGET_TIMEOUT_SECONDS = 60.0
+"""Silence after which a peer no longer counts when budgets are divided."""
 
 
 def rounded_cores(processor_cores: float) -> float:
-    """Return the size of an entry VM as messages tell it.
+    """Return the processor cores of an entry VM, rounded as in messages.
 
-    Whoever compares its own size with those of others compares this one: rounded
-    differently, equal entry VMs would each take themselves for the largest, or for
-    the smallest.
+    An entry VM compares this value with those of its peers. If it compared its
+    own unrounded value, equal entry VMs would each consider themselves the
+    largest, or the smallest.
     """
     return round(processor_cores * 100) / 100
 
@@ -61,12 +74,12 @@
 
 
 class PeerTable:
-    """Addresses of the other entry VMs and when they were heard.
+    """Addresses of the other entry VMs and when each was last heard from.
 
     Parameters
     ----------
     entry_vm, domain
-        This one, which is left out.
+        This entry VM, which is not in the table.
     """
 
     def __init__(
@@ -75,14 +88,15 @@
         self._entry_vm = entry_vm
         self._domain = domain
         self._peers_by_id: dict[types.EntryVmId, _Peer] = {}
-        self._near_by_id: dict[types.EntryVmId, _Peer] = {}
+        self._neighbours_by_id: dict[types.EntryVmId, _Peer] = {}
         self.changes = 0
-        """Grows when a neighbour comes or goes or tells another size."""
+        """Incremented when a neighbour is added or removed, or its size
+        changes."""
 
     def record(
         self, address: settings.Address, *, processor_cores: float
     ) -> bytes:
-        """Return the value of an entry VM's own key in the store."""
+        """Return the value that this entry VM stores under its key."""
         return json.dumps(
             {
                 "host": address.host,
@@ -92,8 +106,8 @@
             }
         ).encode()
 
-    def take_record(self, entry_vm: types.EntryVmId, value: bytes) -> None:
-        """Take in the value of an entry VM's key."""
+    def apply_record(self, entry_vm: types.EntryVmId, value: bytes) -> None:
+        """Apply the value of an entry VM's key in the store."""
         try:
             decoded = json.loads(value)
             address = settings.Address(
@@ -119,14 +133,14 @@
         *,
         processor_cores: float = 0.0,
     ) -> None:
-        """Learn of a peer; a new address replaces the one known.
+        """Add a peer, or update the address of a known one.
 
         Parameters
         ----------
         domain
-            None where whoever told of the peer did not know it.
+            None if the sender of the address does not know it.
         processor_cores
-            Processor time that it may use, in cores; 0 where not known.
+            Processor time that the peer may use, in cores; 0 if unknown.
         """
         if entry_vm == self._entry_vm:
             return
@@ -137,17 +151,17 @@
         if processor_cores and processor_cores != peer.processor_cores:
             peer.processor_cores = processor_cores
             self.changes += 1
-        near = peer.domain == self._domain
-        if near is not (entry_vm in self._near_by_id):
-            self._near_by_id.pop(entry_vm, None)
-            if near:
-                self._near_by_id[entry_vm] = peer
+        is_neighbour = peer.domain == self._domain
+        if is_neighbour is not (entry_vm in self._neighbours_by_id):
+            self._neighbours_by_id.pop(entry_vm, None)
+            if is_neighbour:
+                self._neighbours_by_id[entry_vm] = peer
             self.changes += 1
 
     def remove(self, entry_vm: types.EntryVmId) -> None:
-        """Forget a peer."""
+        """Remove a peer."""
         self._peers_by_id.pop(entry_vm, None)
-        if self._near_by_id.pop(entry_vm, None) is not None:
+        if self._neighbours_by_id.pop(entry_vm, None) is not None:
             self.changes += 1
 
     def record_message(
@@ -163,7 +177,7 @@
         stopping: bool = False,
         processor_cores: float = 0.0,
     ) -> bool:
-        """Note a message; return whether it is newer than those before."""
+        """Record a peer's message; return whether it is newer than the last."""
         self.add(entry_vm, address, domain, processor_cores=processor_cores)
         peer = self._peers_by_id.get(entry_vm)
         if peer is None:
@@ -175,51 +189,55 @@
         peer.heard_at = now
         peer.follows_store = follows_store
         peer.stopping = stopping
-        self._note_alive(entry_vm, peer)
+        self._record_alive(entry_vm, peer)
         return True
 
-    def note_alive(
+    def record_alive(
         self,
         entry_vm: types.EntryVmId,
         *,
         now: float,
         follows_store: bool | None = None,
     ) -> None:
-        """Take in that another entry VM has heard a peer lately.
+        """Record that another entry VM has heard from a peer recently.
 
-        What was heard a moment before a peer said that it ends does not make
-        it live on.
+        For a short time after a peer has announced that it stops, this is
+        ignored: the message may have been sent before the announcement.
 
         Parameters
         ----------
         follows_store
-            Whether it said to be up to date with the store; None for unknown.
+            Whether the peer is up to date with the store; None if unknown.
         """
         peer = self._peers_by_id.get(entry_vm)
         if peer is None:
             return
-        if peer.stopping and now - peer.heard_at < HEARD_SECONDS:
+        if peer.stopping and now - peer.heard_at < PEER_TIMEOUT_SECONDS:
             return
         peer.stopping = False
         if follows_store is not None:
             peer.follows_store = follows_store
         peer.heard_at = max(peer.heard_at, now)
-        self._note_alive(entry_vm, peer)
+        self._record_alive(entry_vm, peer)
 
-    def _note_alive(self, entry_vm: types.EntryVmId, peer: _Peer) -> None:
+    def _record_alive(self, entry_vm: types.EntryVmId, peer: _Peer) -> None:
         if not peer.alive:
             peer.alive = True
             logs.emit(events.LogEvent.PEER_GAINED, peer=entry_vm)
 
     def pop_lost(self, *, now: float) -> tuple[types.EntryVmId, ...]:
-        """Return the peers that have fallen silent since the last call."""
+        """Return the peers that have become lost since the last call."""
         lost = []
-        near_seconds = _RELAYED_SECONDS if self.has_relay else HEARD_SECONDS
+        neighbour_timeout = (
+            _RELAYED_PEER_TIMEOUT_SECONDS
+            if self.has_relay
+            else PEER_TIMEOUT_SECONDS
+        )
         for entry_vm, peer in self._peers_by_id.items():
-            # Those of other domains tell this one by chance only.
-            far = self._is_far(peer)
-            patience = _FORGOTTEN_SECONDS if far else near_seconds
-            if peer.alive and now - peer.heard_at > patience:
+            # Remote peers send to this entry VM only at random.
+            remote = self._is_remote(peer)
+            timeout = _BUDGET_TIMEOUT_SECONDS if remote else neighbour_timeout
+            if peer.alive and now - peer.heard_at > timeout:
                 peer.alive = False
                 lost.append(entry_vm)
                 logs.emit(
@@ -231,76 +249,81 @@
         return tuple(lost)
 
     def neighbours(self) -> tuple[types.EntryVmId, ...]:
-        """Return the peers of the own failure domain that were heard lately."""
+        """Return the neighbours that are not lost."""
         return tuple(
             entry_vm
-            for entry_vm, peer in self._near_by_id.items()
+            for entry_vm, peer in self._neighbours_by_id.items()
             if peer.alive
         )
 
     def neighbour_ids(self) -> tuple[types.EntryVmId, ...]:
-        """Return all peers of the own failure domain, silent ones included."""
-        return tuple(self._near_by_id)
+        """Return all neighbours, including lost ones."""
+        return tuple(self._neighbours_by_id)
 
     def sizes(self) -> dict[types.EntryVmId, float]:
-        """Return all peers of the own failure domain and their cores."""
+        """Return the processor cores of all neighbours, including lost ones."""
         return {
             entry_vm: peer.processor_cores
-            for entry_vm, peer in self._near_by_id.items()
+            for entry_vm, peer in self._neighbours_by_id.items()
         }
 
     def neighbour_budget_sharers(self, *, now: float) -> int:
-        """Return how many neighbours may be there, those cut off included."""
+        """Return how many neighbours may run, including cut-off ones."""
         return sum(
-            now - peer.heard_at < _FORGOTTEN_SECONDS
-            for peer in self._near_by_id.values()
+            now - peer.heard_at < _BUDGET_TIMEOUT_SECONDS
+            for peer in self._neighbours_by_id.values()
         )
 
     def heard_at(self, entry_vm: types.EntryVmId) -> float:
-        """Return when a peer was heard last; minus infinity for never."""
+        """Return when a peer was last heard from; minus infinity for never."""
         peer = self._peers_by_id.get(entry_vm)
         return peer.heard_at if peer else float("-inf")
 
     def is_stopping(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether a peer has said that it is about to end."""
+        """Return whether a peer has announced that it is about to stop."""
         peer = self._peers_by_id.get(entry_vm)
         return peer is not None and peer.stopping
 
     def follows_store(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether a peer has said that it is up to date with the store."""
+        """Return whether a peer reported to be up to date with the store."""
         peer = self._peers_by_id.get(entry_vm)
         return peer is not None and peer.follows_store
 
     def store_readers(self, *, now: float) -> tuple[types.EntryVmId, ...]:
-        """Return those neighbours that are up to date with the store."""
+        """Return the neighbours that are up to date with the store."""
         return tuple(
             entry_vm
-            for entry_vm, peer in self._near_by_id.items()
-            if peer.follows_store and now - peer.heard_at < WATCHING_SECONDS
+            for entry_vm, peer in self._neighbours_by_id.items()
+            if peer.follows_store
+            and now - peer.heard_at < READER_TIMEOUT_SECONDS
         )
 
     @property
     def has_relay(self) -> bool:
-        """Whether the neighbours are too many to tell each other all."""
-        return len(self._near_by_id) > _MOST_NEAR_TOLD
-
-    def far_told(self, rng: random.Random) -> tuple[settings.Address, ...]:
-        """Return peers of other domains that learn who there is."""
-        far = [
+        """Whether neighbours send their states to a relay."""
+        return len(self._neighbours_by_id) > _MAX_NEIGHBOURS_WITHOUT_RELAY
+
+    def sample_remote_addresses(
+        self, rng: random.Random
+    ) -> tuple[settings.Address, ...]:
+        """Return the addresses of a random sample of the remote peers."""
+        remote = [
             peer.address
             for peer in self._peers_by_id.values()
             if peer.domain != self._domain
         ]
-        return tuple(rng.sample(far, min(len(far), _MOST_FAR_TOLD)))
+        return tuple(
+            rng.sample(remote, min(len(remote), _MAX_SAMPLED_REMOTE_PEERS))
+        )
 
-    def near_addresses(self) -> tuple[settings.Address, ...]:
-        """Return the addresses of the own failure domain's peers."""
-        return tuple(peer.address for peer in self._near_by_id.values())
+    def neighbour_addresses(self) -> tuple[settings.Address, ...]:
+        """Return the addresses of all neighbours, including lost ones."""
+        return tuple(peer.address for peer in self._neighbours_by_id.values())
 
     def remote_cores_by_domain(
         self,
     ) -> dict[types.FailureDomain, dict[types.EntryVmId, float]]:
-        """Return the other failure domains' peers and their cores."""
+        """Return the processor cores of all remote peers by failure domain."""
         by_domain: dict[types.FailureDomain, dict[types.EntryVmId, float]] = {}
         for entry_vm, peer in self._peers_by_id.items():
             if peer.domain is not None and peer.domain != self._domain:
@@ -309,11 +332,11 @@
         return by_domain
 
     def addresses(self) -> tuple[settings.Address, ...]:
-        """Return the addresses of all peers, silent ones included."""
+        """Return the addresses of all peers, including lost ones."""
         return tuple(peer.address for peer in self._peers_by_id.values())
 
     def known(self) -> dict[types.EntryVmId, settings.Address]:
-        """Return the peers that were heard lately."""
+        """Return the addresses of the peers that are not lost."""
         return {
             entry_vm: peer.address
             for entry_vm, peer in self._peers_by_id.items()
@@ -323,7 +346,7 @@
     def member(
         self, entry_vm: types.EntryVmId
     ) -> router_messages.EntryVmAddress:
-        """Return what others are told of a peer that is known."""
+        """Return the address of a known peer as messages have it."""
         peer = self._peers_by_id[entry_vm]
         return router_messages.EntryVmAddress(
             entry_vm=entry_vm,
@@ -334,29 +357,30 @@
         )
 
     def address_of(self, entry_vm: types.EntryVmId) -> settings.Address | None:
-        """Return where a peer listens; None if it is not known."""
+        """Return the address at which a peer listens; None if it is unknown."""
         peer = self._peers_by_id.get(entry_vm)
         return peer.address if peer else None
 
     @property
     def is_large(self) -> bool:
         """Whether a few entry VMs read the store for the others."""
-        return len(self._peers_by_id) > _LARGE_FLEET
+        return len(self._peers_by_id) > _MAX_SMALL_FLEET_PEERS
 
     def budget_sharers(self, *, now: float) -> int:
-        """Return how many entry VMs share budgets, this one included.
+        """Return how many entry VMs share budgets, including this one.
 
-        Peers that fell silent a moment ago may only be cut off from this one
-        and go on using their shares. Those that are hardly ever heard count
-        by being known.
+        Peers that fell silent recently may only be cut off from this entry VM
+        and continue to use their shares. Remote peers, which rarely send to
+        this one, count for as long as they are known.
         """
         sharing = [
             peer
             for peer in self._peers_by_id.values()
-            if now - peer.heard_at < _FORGOTTEN_SECONDS or self._is_far(peer)
+            if now - peer.heard_at < _BUDGET_TIMEOUT_SECONDS
+            or self._is_remote(peer)
         ]
         return len(sharing) + 1
 
-    def _is_far(self, peer: _Peer) -> bool:
-        """Return whether a peer tells this one by chance only."""
+    def _is_remote(self, peer: _Peer) -> bool:
+        """Return whether a peer is remote, or its failure domain is unknown."""
         return peer.domain != self._domain
--- a/packages/router/src/lagoonrun_router/told_sum.py
+++ b/packages/router/src/lagoonrun_router/reported_load_sum.py
@@ -1,17 +1,17 @@
-"""The work at one upstream by all that tell of it."""
+"""The sum of the loads at one upstream that other entry VMs report."""
 
 from lagoonrun_router import loads
 
 
-class ToldSum:
-    """Work at one upstream by all that tell of it.
+class ReportedLoadSum:
+    """Sum of the reported loads at one upstream.
 
-    Kept up to date with each message: with thirty tellers and 45 candidates,
-    adding up for each decision took most of its time.
+    Updated with each report: with thirty reporters and 45 candidates, computing
+    the sum in each routing decision took most of the decision's time.
     """
 
     def __init__(self) -> None:
-        self.tellers = 0
+        self.reporter_count = 0
         self._waiting_by_tier: list[float] = []
         self._running = 0
         self._sensitive = 0.0
@@ -19,20 +19,20 @@
         self._overdue = 0
 
     def add(self, load: loads.Load) -> None:
-        """Add what somebody tells."""
-        self.tellers += 1
+        """Add a reported load."""
+        self.reporter_count += 1
         self._change(load, 1)
 
-    def take_back(self, load: loads.Load) -> None:
-        """Leave out what somebody told before."""
-        self.tellers -= 1
+    def subtract(self, load: loads.Load) -> None:
+        """Subtract a load that was added before."""
+        self.reporter_count -= 1
         self._change(load, -1)
 
     def _change(self, load: loads.Load, sign: int) -> None:
         missing = len(load.waiting_by_tier) - len(self._waiting_by_tier)
         self._waiting_by_tier.extend([0.0] * missing)
-        for place, tokens in enumerate(load.waiting_by_tier):
-            self._waiting_by_tier[place] += sign * tokens
+        for index, tokens in enumerate(load.waiting_by_tier):
+            self._waiting_by_tier[index] += sign * tokens
         self._running += sign * load.running
         self._sensitive += sign * load.sensitive
         self._held_tokens += sign * load.held_tokens
@@ -41,8 +41,8 @@
     def load(self) -> loads.Load:
         """Return the sum.
 
-        Fractions that were added and taken back may leave a rest of some
-        1e-12, which is kept from being negative.
+        Adding and subtracting fractions may leave a rounding error of about
+        1e-12, which is clamped to be non-negative.
         """
         return loads.Load(
             waiting_by_tier=tuple(self._waiting_by_tier),
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -1,29 +1,31 @@
-"""Tell the other entry VMs which upstreams have asked for rest.
+"""Reports to the other entry VMs of upstreams that have asked for a rest.
 
-Told once: a rest is over within seconds, and who does not hear of it is told by the
-upstream itself.
+A rest is a back-off that an upstream asks for by Retry-After. It is sent once:
+it ends within seconds, and an entry VM that misses it is asked by the upstream
+itself.
 """
 
 from lagoonrun_core import types
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import news_broadcaster, running_requests, upstream_rests
 
-_LEAST_TOLD_SECONDS = 0.3
-"""Rest from which others are told: shorter ones are over when they hear of it."""
+_MIN_REST_SECONDS = 0.3
+"""Minimum duration of a rest that is sent: shorter ones are over when it
+arrives."""
 
-_PAUSE_SECONDS = 0.3
-"""Least time between two messages about one upstream."""
+_MIN_INTERVAL_SECONDS = 0.3
+"""Minimum time between two messages about one upstream."""
 
 
 class RestNewsExchange:
-    """Sends and hands on rests.
+    """Sends and forwards rests.
 
     Parameters
     ----------
     entry_vm, domain
         This entry VM.
     rests
-        What is known.
+        Known rests of the upstreams.
     spreader
         Sends messages.
     """
@@ -40,22 +42,22 @@
         self._domain = domain
         self._rests = rests
         self._spreader = spreader
-        self._told_at_by_start: dict[
+        self._sent_at_by_instance: dict[
             running_requests.UpstreamInstance, float
         ] = {}
 
     def tell(self, rest: upstream_rests.Rest, *, now: float) -> None:
-        """Tell the whole fleet of a rest that an answer asked for."""
-        self._forget_told(now)
-        if rest.until - now < _LEAST_TOLD_SECONDS:
+        """Broadcast a rest that an answer has asked for."""
+        self._forget_sent(now)
+        if rest.until - now < _MIN_REST_SECONDS:
             return
-        if rest.at in self._told_at_by_start:
+        if rest.at in self._sent_at_by_instance:
             return
-        self._told_at_by_start[rest.at] = now
+        self._sent_at_by_instance[rest.at] = now
         self._spreader.broadcast(self._message(rest, now))
 
     def take(self, news: router_messages.RestNews, *, now: float) -> None:
-        """Take in a rest that a peer was asked for, and hand it on."""
+        """Apply a rest that a peer was asked for; forward it if it is new."""
         rest = upstream_rests.Rest(
             at=running_requests.UpstreamInstance(
                 upstream=news.upstream, start=news.start
@@ -65,10 +67,10 @@
         if self._rests.apply_report(rest, source=news.entry_vm, now=now):
             self._spreader.forward(news, origin=news.domain)
 
-    def _forget_told(self, now: float) -> None:
-        for at, told_at in tuple(self._told_at_by_start.items()):
-            if now - told_at >= _PAUSE_SECONDS:
-                del self._told_at_by_start[at]
+    def _forget_sent(self, now: float) -> None:
+        for at, sent_at in tuple(self._sent_at_by_instance.items()):
+            if now - sent_at >= _MIN_INTERVAL_SECONDS:
+                del self._sent_at_by_instance[at]
 
     def _message(
         self, rest: upstream_rests.Rest, now: float
--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -1,13 +1,14 @@
-"""Which members do a duty for all: entry VMs of a domain, or domains of a fleet.
+"""Selection of the members that perform a duty, a task for all members.
 
-All compute the same order: the larger ones first, among equals by a hash.
-Whoever comes first and is not silent has the duty. Nobody is elected and
-nothing is agreed on, so that two may have a duty at once for a moment; a duty
-has to bear that.
+Members are the entry VMs of a failure domain or the failure domains of a fleet.
+All entry VMs compute the same order: larger members first, equal ones by a
+hash. The first ones that are not silent are selected. There is no election and
+no consensus, so different members may be selected by different views for a
+short time, which each duty has to tolerate.
 
-A member that was not relied on so far may never have told this entry VM
-anything. It is trusted for as long as a silence may last, and passed over only
-if it stays silent then.
+A member that was not selected so far may never have sent this entry VM a
+message. It is passed over only if it stays silent for `SILENT_SECONDS` after
+its selection.
 """
 
 from collections.abc import Mapping
@@ -20,59 +21,61 @@
 Member = types.EntryVmId | types.FailureDomain
 
 SILENT_SECONDS = 1.0
-"""Silence after which a member is passed over: twice its slowest pause between
-two messages. What it was relied on for matters in two to three seconds."""
+"""Silence after which a member is passed over: twice the longest interval
+between its messages. The duties it was selected for must be performed again
+within two to three seconds."""
 
 
 class Members(Protocol):
-    """The others that may have a duty."""
+    """The other members that may be selected."""
 
     @property
     def changes(self) -> int:
-        """Grows when a member comes or goes or tells another size."""
+        """Incremented when a member comes or goes, or its size changes."""
 
     def sizes(self) -> dict[Member, float]:
-        """Return all members, silent ones included, and their sizes."""
+        """Return the sizes of all members, including silent ones."""
 
     def heard_at(self, member: Member) -> float:
-        """Return when a member was heard last; minus infinity for never."""
+        """Return when a member was last heard; minus infinity for never."""
 
     def is_stopping(self, member: Member) -> bool:
-        """Return whether a member has said that it is about to end."""
+        """Return whether a member has announced that it is about to stop."""
 
 
 class PerformsTask(Protocol):
-    """Whether a member does its duty, as far as others can see."""
+    """Tells whether a selected member visibly performs the duty."""
 
     def __call__(self, member: Member, *, since: float, first: bool) -> bool:
-        """Return whether it does its duty, or may be about to.
+        """Return whether the member performs the duty, or may be about to.
 
         Parameters
         ----------
         since
-            Reading of the clock since when it is relied on.
+            Monotonic time since when the member is selected.
         first
-            Whether it is one of the first, who have time to begin.
+            Whether it is among the first `wanted_count`, which are given time
+            to begin.
         """
 
 
 class Roster:
-    """The order in which members take up one duty.
+    """Selects the members that perform one duty.
 
     Parameters
     ----------
     duty
-        Name of the duty: members of one size have another order for each.
-    places
-        Members that are to do the duty.
-    most
-        Members that have it at once while one of the first ones is there but
-        does not do it; None for no more than `places`.
-    fills
-        Tells those that do the duty from those that only have it; None where
-        whoever is not silent does it.
+        Name of the duty; the order of members of equal size depends on it.
+    wanted_count
+        Number of members that should perform the duty.
+    max_count
+        Maximum number of members that are selected while one of the first is
+        not silent but does not perform the duty; None for `wanted_count`.
+    performs_task
+        Tells whether a selected member performs the duty; None if each member
+        that is not silent does.
     own
-        This entry VM or its domain, which belongs to the order.
+        This entry VM or its failure domain, which is one of the members.
     own_size
         Its size.
     others
@@ -91,61 +94,62 @@
         others: Members,
     ) -> None:
         self._duty = duty
-        self._places = wanted_count
-        self._most = max_count or wanted_count
-        self._fills = performs_task
+        self._wanted_count = wanted_count
+        self._max_count = max_count or wanted_count
+        self._performs_task = performs_task
         self._own = own
         self._own_size = own_size
         self._others = others
         self._order: tuple[Member, ...] = (own,)
-        self._order_of_changes = -1
-        self._relied_on_since: dict[Member, float] = {}
+        self._order_changes = -1
+        self._selected_since: dict[Member, float] = {}
         self.stopping = False
-        """Whether this entry VM is about to end and takes up no duty."""
+        """Whether this entry VM is about to stop and is not to be selected."""
 
     def on_duty(
         self, *, now: float, wanted_count: int | None = None
     ) -> tuple[Member, ...]:
-        """Return who has the duty, in their order.
+        """Return the selected members in their order.
 
         Parameters
         ----------
-        places
-            Members that are to do it; None for as many as usual.
+        wanted_count
+            Number of members that should perform the duty; None for the usual
+            one.
         """
-        wanted_count = wanted_count or self._places
-        chosen: list[Member] = []
-        done = 0
-        since_by_id = {}
-        for one in self._in_order():
-            if len(chosen) >= wanted_count and done >= wanted_count:
+        wanted_count = wanted_count or self._wanted_count
+        selected: list[Member] = []
+        performing = 0
+        since_by_member = {}
+        for one in self._ordered():
+            if len(selected) >= wanted_count and performing >= wanted_count:
                 break
-            if len(chosen) >= max(wanted_count, self._most):
+            if len(selected) >= max(wanted_count, self._max_count):
                 break
-            since = self._relied_on_since.get(one, now)
-            since_by_id[one] = since
+            since = self._selected_since.get(one, now)
+            since_by_member[one] = since
             if self._is_silent(one, since=since, now=now):
                 continue
-            done += self._does_duty(
-                one, since, first=len(chosen) < wanted_count
+            performing += self._is_performing(
+                one, since, first=len(selected) < wanted_count
             )
-            chosen.append(one)
-        # Those behind are trusted anew when they are needed.
-        self._relied_on_since = since_by_id
-        return tuple(chosen)
+            selected.append(one)
+        # Members further back get a new period to become heard when needed.
+        self._selected_since = since_by_member
+        return tuple(selected)
 
-    def _does_duty(self, one: Member, since: float, *, first: bool) -> bool:
-        """Return whether a member does its duty.
+    def _is_performing(self, one: Member, since: float, *, first: bool) -> bool:
+        """Return whether a selected member performs the duty.
 
-        The first ones have time to begin. While one of them fails, the others
-        begin all at once: to wait for each in turn would take too long.
+        The first ones are given time to begin. While one of them fails to, the
+        others begin all at once: waiting for each in turn would take too long.
         """
-        if self._fills is None:
+        if self._performs_task is None:
             return True
-        return self._fills(one, since=since, first=first)
+        return self._performs_task(one, since=since, first=first)
 
     def is_first(self, *, now: float) -> bool:
-        """Return whether the own member comes first."""
+        """Return whether the own member is the first one selected."""
         return self.on_duty(now=now)[:1] == (self._own,)
 
     def _is_silent(self, one: Member, *, since: float, now: float) -> bool:
@@ -156,9 +160,9 @@
         heard_at = max(self._others.heard_at(one), since)
         return now - heard_at >= SILENT_SECONDS
 
-    def _in_order(self) -> tuple[Member, ...]:
-        if self._order_of_changes != self._others.changes:
-            self._order_of_changes = self._others.changes
+    def _ordered(self) -> tuple[Member, ...]:
+        if self._order_changes != self._others.changes:
+            self._order_changes = self._others.changes
             size_by_member = self._others.sizes()
             size_by_member[self._own] = self._own_size
             self._order = self.order_of(size_by_member)
@@ -167,7 +171,7 @@
     def order_of(
         self, size_by_member: Mapping[Member, float]
     ) -> tuple[Member, ...]:
-        """Return the order of any members, by their sizes."""
+        """Return the given members in their order, from their sizes."""
         return tuple(
             sorted(
                 size_by_member,
--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -1,4 +1,11 @@
-"""Turn what the store and the peers tell into declarations and upstreams."""
+"""The local replica of the store: declarations, upstreams and blocked requests.
+
+The replica is updated by the store follower, where this entry VM reads the
+store itself, and otherwise by changes and copies that peers send. Revisions of
+the store begin with its era: a counter that the store increments on each
+restore from a backup, after which the rest of the revision may be lower than
+before.
+"""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -20,49 +27,51 @@
 
 
 class DeclarationsListener(Protocol):
-    """Receives each revision that comes into force."""
+    """Receives each new revision of the declarations."""
 
     def __call__(self, declared: declarations.Declarations) -> None:
-        """Put `declared` into force."""
+        """Apply `declared`."""
 
 
 class BlocksListener(Protocol):
-    """Receives the blocked requests that the store keeps."""
+    """Receives the blocked requests that are stored."""
 
     def apply_stored(self, request: types.RequestDigest, value: bytes) -> None:
-        """Take in a block."""
+        """Apply a stored block."""
 
     def apply_removed(self, request: types.RequestDigest) -> None:
-        """Take in that a block was removed, or its time has passed."""
+        """Apply that a block was removed or has expired."""
 
     def on_store_restored(self) -> None:
-        """Take in that the store may have lost blocks that it had."""
+        """React to a restore, by which the store may have lost blocks."""
 
 
 class ChangesListener(Protocol):
-    """Receives what this entry VM has read of the store itself."""
+    """Receives changes that this entry VM has read from the store."""
 
     def __call__(self, changes: router_messages.StoreChanges) -> None:
-        """Tell the neighbours that rely on this entry VM."""
+        """Send the changes to the neighbours that do not read the store."""
 
 
 class StoreReplica:
-    """Receives the store's contents; the declarations only move forwards.
+    """The store's contents as this entry VM knows them.
+
+    The revision of the declarations never decreases.
 
     Parameters
     ----------
     layout
-        Keys and formats of the store.
+        Keys and value formats of the store.
     directory
-        Receives the upstreams.
+        Receives the registrations of upstreams.
     peers
-        Receives the entry VMs.
+        Receives the records of entry VMs.
     blocks
         Receives the blocked requests.
     on_declarations
-        Receives each newer revision.
+        Receives each newer revision of the declarations.
     on_upstreams
-        Called when upstreams have changed.
+        Called after upstreams have changed.
     clock
         Source of time.
     """
@@ -80,23 +89,23 @@
     ) -> None:
         self._layout = layout
         self._directory = directory
-        self._peers = peers
+        self._peer_table = peers
         self._blocks = blocks
         self._on_declarations = on_declarations
         self._on_upstreams = on_upstreams
         self._clock = clock
         self.declared = declared_values.DeclaredValues()
-        """The declarations in force as they were read, for peers."""
+        """The encoded declarations in force, for peers to fetch."""
         self.on_changes: ChangesListener | None = None
         self.upstreams_known = False
         self.follows_store = False
-        """Whether the last own reading of the store succeeded."""
+        """Whether the last read of the store by this entry VM succeeded."""
         self.store_revision = store_module.ABSENT
-        """Revision of the store that last changed the upstreams, as known."""
+        """Newest known store revision that changed upstreams or blocks."""
         self.read_revision = store_module.ABSENT
         """Revision of the store up to which all keys are known."""
         self.newest_told_revision = store_module.ABSENT
-        """The same of whichever peer knows most."""
+        """Highest `read_revision` that a peer has reported."""
         self._entries_by_key: dict[str, bytes] = {}
 
     @property
@@ -104,63 +113,64 @@
         """Revision of the declarations in force; 0 for none."""
         return self.declared.newest.revision
 
-    # What the store follower tells.
+    # Updates by the store follower.
 
     def apply_listing(
         self,
         items: tuple[store_module.KeyValue, ...],
         revision: store_module.StoreRevision,
     ) -> None:
-        """Take in all keys, as of `revision` at least."""
+        """Apply a listing of all keys, as of `revision` or later."""
         restored = _is_restored(since=self.read_revision, until=revision)
         if restored:
-            self._note_restored()
+            self._on_restored()
         since = self.store_revision
         entries_before = self._entries_by_key
         declared_before = self.declared.newest.digest
         self.follows_store = True
         entries_by_key = {}
         for item in items:
-            if self._is_entry(item.key):
+            if self._is_shared_key(item.key):
                 entries_by_key[item.key] = item.value
             else:
-                self._take_value(item.key, item.value)
-        self._take_entries(entries_by_key)
+                self._apply_value(item.key, item.value)
+        self._apply_entries(entries_by_key)
         self.read_revision = max(self.read_revision, revision)
         changed = {
             key
             for key in entries_before.keys() | entries_by_key.keys()
             if entries_before.get(key) != entries_by_key.get(key)
         }
-        # After a restore also where nothing changed here: a neighbour may have
-        # heard of what the store has lost, and has to look at all anew.
+        # After a restore the revision rises even if nothing changed here: a
+        # neighbour may know writes that the store has lost, and has to fetch
+        # all entries again.
         if changed or restored or since == store_module.ABSENT:
             self.store_revision = max(self.store_revision, revision)
-        self._tell_changes(since, changed, declared_before)
+        self._notify_changes(since, changed, declared_before)
 
     def apply_changes(
         self,
         changes: tuple[store_module.Event, ...],
         revision: store_module.StoreRevision,
     ) -> None:
-        """Take in all changes up to `revision`; there may be none."""
+        """Apply all changes up to `revision`; `changes` may be empty."""
         since = self.store_revision
         declared_before = self.declared.newest.digest
         self.follows_store = True
         changed = set()
         for change in changes:
-            if self._is_entry(change.key):
+            if self._is_shared_key(change.key):
                 changed.add(change.key)
                 self.store_revision = max(self.store_revision, change.modified)
             if change.value is None:
-                self._take_removal(change.key)
+                self._apply_removal(change.key)
             else:
-                self._take_value(change.key, change.value)
+                self._apply_value(change.key, change.value)
         self.read_revision = max(self.read_revision, revision)
-        self._tell_changes(since, changed, declared_before)
+        self._notify_changes(since, changed, declared_before)
 
-    def _is_entry(self, key: str) -> bool:
-        """Return whether the entry VMs hand a key on to each other."""
+    def _is_shared_key(self, key: str) -> bool:
+        """Return whether entry VMs send entries with this key to each other."""
         return key.startswith(
             (
                 self._layout.upstreams_prefix,
@@ -168,26 +178,26 @@
             )
         )
 
-    def _take_removal(self, key: str) -> None:
+    def _apply_removal(self, key: str) -> None:
         if key.startswith(self._layout.upstreams_prefix):
             self._entries_by_key.pop(key, None)
             now = self._clock.monotonic()
-            self._directory.apply_removal(self._upstream_id(key), now=now)
+            self._directory.apply_removal(self._upstream_of(key), now=now)
             self._on_upstreams()
         elif key.startswith(self._layout.blocked_requests_prefix):
             self._entries_by_key.pop(key, None)
-            self._blocks.apply_removed(self._blocked_request(key))
+            self._blocks.apply_removed(self._request_of(key))
         elif key.startswith(self._layout.entry_vms_prefix):
             name = key.removeprefix(self._layout.entry_vms_prefix)
-            self._peers.remove(types.EntryVmId(name))
+            self._peer_table.remove(types.EntryVmId(name))
 
-    def _tell_changes(
+    def _notify_changes(
         self,
         since: store_module.StoreRevision,
         changed: Iterable[str],
         declared_before: str,
     ) -> None:
-        """Tell what this entry VM has just read, if anything is new."""
+        """Notify the listener of changes just read from the store, if any."""
         declared = ()
         if self.declared.newest.digest != declared_before:
             declared = (self.declared.change_from(declared_before),)
@@ -210,72 +220,72 @@
         )
 
     def on_store_call_failed(self) -> None:
-        """Have others read until the store answers again."""
+        """Leave reading to others until the store answers again."""
         self.follows_store = False
 
     def on_store_unreachable(self) -> None:
-        """Keep upstreams whose entries run out meanwhile."""
+        """Keep upstreams whose entries expire during the outage."""
         self.follows_store = False
         self._directory.on_store_unreachable()
 
     def on_store_reachable(self) -> None:
-        """Give entries that ran out the time to come back."""
+        """Allow expired entries the time to be written again."""
         self._directory.on_store_reachable(now=self._clock.monotonic())
 
     def on_reading_delegated(self) -> None:
-        """Rely on peers from now on."""
+        """Rely on the changes that peers send from now on."""
         self.follows_store = False
 
-    # What peers tell and ask.
+    # Updates and queries by peers.
 
     def upstream_entries(self) -> dict[str, bytes]:
-        """Return the entries of upstreams and blocks as they were read."""
+        """Return the encoded entries of upstreams and blocks by key."""
         return dict(self._entries_by_key)
 
-    def take_changes_of_peer(
-        self, changes: router_messages.StoreChanges
-    ) -> bool:
-        """Take in what another entry VM has just read of the store.
+    def apply_peer_changes(self, changes: router_messages.StoreChanges) -> bool:
+        """Apply changes that another entry VM has just read from the store.
 
-        Returns whether anything of it was new here. Changes of upstreams count
-        only where the store is not read from here, and where nothing is missing
-        between them and what is known; else all of them are fetched.
+        Returns whether any of them was new. Changes of upstreams and blocks are
+        applied only if this entry VM does not read the store itself and no
+        change before them is missing; otherwise all entries are fetched.
         """
         revision = self.revision
         for change in changes.declared:
-            self.take_declared_change(change, source=changes.entry_vm)
-        return self._take_items(changes) or self.revision > revision
+            self.apply_declared_change(change, source=changes.entry_vm)
+        return self._apply_changed_items(changes) or self.revision > revision
 
-    def _take_items(self, changes: router_messages.StoreChanges) -> bool:
+    def _apply_changed_items(
+        self, changes: router_messages.StoreChanges
+    ) -> bool:
         if self.follows_store:
             return False
         if not changes.since <= self.store_revision < changes.until:
             return False
         if _is_restored(since=changes.since, until=changes.until):
-            # What stands in an older copy is no news; all is looked at.
+            # A restore also removes entries, so all entries are fetched.
             return False
         for item in changes.items:
             if item.removed:
-                self._take_removal(item.key)
+                self._apply_removal(item.key)
             else:
-                self._take_value(item.key, item.value)
+                self._apply_value(item.key, item.value)
         self.store_revision = store_module.StoreRevision(changes.until)
         return True
 
-    def take_declared_change(
+    def apply_declared_change(
         self, change: router_messages.DeclaredChange, *, source: str
     ) -> None:
-        """Put newer declarations into force by what has changed in them.
+        """Apply newer declarations that are given as a delta.
 
-        A change of another value than the one in force is left: its sender, or
-        another peer, is asked for one that fits.
+        A delta against another value than the one in force is ignored: a
+        matching one is fetched from its sender or another peer.
         """
         newest = self.declared.newest
         fits = change.base in ("", newest.digest)
         if change.revision <= newest.revision or not fits:
             return
         try:
-            value = self.declared.made_by(change)
+            value = self.declared.apply_change(change)
         except format_error.FormatError as error:
             logs.emit(
                 events.LogEvent.PEER_FRAME_REJECTED,
@@ -286,48 +296,48 @@
             return
         self.take_declarations(value, source=source)
 
-    def note_read_by_peer(
-        self, told: router_messages.RouterState | router_messages.DomainNews
+    def record_peer_revision(
+        self, message: router_messages.RouterState | router_messages.DomainNews
     ) -> None:
-        """Take in up to where a peer knows the store.
+        """Record up to which revision a peer knows the store.
 
-        What it knows is all known here where it knows the same declarations
-        and upstreams.
+        If it has the same declarations and upstreams as this entry VM, this one
+        knows the store up to the same revision.
         """
         self.newest_told_revision = max(
             self.newest_told_revision,
-            store_module.StoreRevision(told.read_revision),
+            store_module.StoreRevision(message.read_revision),
         )
         if self.follows_store:
             return
-        if (told.revision, told.store_revision) == (
+        if (message.revision, message.store_revision) == (
             self.revision,
             self.store_revision,
         ):
             self.read_revision = max(
                 self.read_revision,
-                store_module.StoreRevision(told.read_revision),
+                store_module.StoreRevision(message.read_revision),
             )
 
-    def take_entries_of_peer(
+    def apply_peer_entries(
         self,
         entries_by_key: Mapping[str, bytes],
         revision: store_module.StoreRevision,
     ) -> None:
-        """Take in the entries of upstreams and blocks as a peer knows them.
+        """Replace the entries of upstreams and blocks by those of a peer.
 
-        Only where the store is not read from here, and only what is newer: a
-        peer that is behind must not bring back what has left.
+        Applied only if this entry VM does not read the store itself, and only
+        newer ones: a peer that lags must not restore removed entries.
         """
         if self.follows_store or revision <= self.store_revision:
             return
         if _is_restored(since=self.store_revision, until=revision):
-            self._note_restored()
+            self._on_restored()
         self.store_revision = revision
-        self._take_entries(entries_by_key)
+        self._apply_entries(entries_by_key)
 
     def take_declarations(self, value: bytes, *, source: str) -> None:
-        """Put a value of the declarations into force if it is newer."""
+        """Apply an encoded value of the declarations if it is newer."""
         try:
             declared = self._layout.decode_declarations(value)
         except format_error.FormatError as error:
@@ -342,7 +352,7 @@
         if declared.revision <= self.revision:
             return
         previous = self.revision
-        self.declared.take(value, revision=declared.revision)
+        self.declared.put(value, revision=declared.revision)
         logs.emit(
             events.LogEvent.CONFIGURATION_IN_FORCE,
             revision=declared.revision,
@@ -352,54 +362,52 @@
         )
         self._on_declarations(declared)
 
-    # Parts.
-
-    def _take_value(self, key: str, value: bytes) -> None:
+    def _apply_value(self, key: str, value: bytes) -> None:
         if key == self._layout.declarations_key:
             self.take_declarations(value, source="store")
         elif key.startswith(self._layout.upstreams_prefix):
             self._entries_by_key[key] = value
-            self._take_entry(key, value)
+            self._apply_upstream_entry(key, value)
         elif key.startswith(self._layout.blocked_requests_prefix):
             self._entries_by_key[key] = value
-            self._blocks.apply_stored(self._blocked_request(key), value)
+            self._blocks.apply_stored(self._request_of(key), value)
         elif key.startswith(self._layout.entry_vms_prefix):
             name = key.removeprefix(self._layout.entry_vms_prefix)
-            self._peers.take_record(types.EntryVmId(name), value)
+            self._peer_table.apply_record(types.EntryVmId(name), value)
 
-    def _take_entry(self, key: str, value: bytes) -> None:
-        """Take in one upstream's entry.
+    def _apply_upstream_entry(self, key: str, value: bytes) -> None:
+        """Apply one upstream's entry.
 
-        One that makes no sense, of another writer, names no upstream; the
-        others hold.
+        An entry that cannot be decoded, such as one overwritten by another
+        writer, makes its upstream unusable and leaves the others as they are.
         """
-        registration = self._decoded(key, value)
+        registration = self._decode_upstream(key, value)
         if registration is None:
-            self._directory.take_unreadable(self._upstream_id(key))
+            self._directory.mark_unreadable(self._upstream_of(key))
         else:
             now = self._clock.monotonic()
             self._directory.apply_entry(registration, now=now)
             self.upstreams_known = True
         self._on_upstreams()
 
-    def _upstream_id(self, key: str) -> types.UpstreamId:
+    def _upstream_of(self, key: str) -> types.UpstreamId:
         return types.UpstreamId(key.removeprefix(self._layout.upstreams_prefix))
 
-    def _note_restored(self) -> None:
-        """Take in that a listing is of an older copy of what was known.
+    def _on_restored(self) -> None:
+        """Notify the directory and the blocks that the store was restored.
 
-        Upstreams that are missing in it register again; those that have gone
-        since the copy was made stand in it, and don't come back by that. Blocks
-        that it lacks are written again.
+        Upstreams that the backup lacks register again; those that have ended
+        since it was made are still listed, but must not be used because of
+        that. Blocks that it lacks are written again.
         """
         self._directory.on_store_restored(now=self._clock.monotonic())
         self._blocks.on_store_restored()
 
-    def _blocked_request(self, key: str) -> types.RequestDigest:
+    def _request_of(self, key: str) -> types.RequestDigest:
         prefix = self._layout.blocked_requests_prefix
         return types.RequestDigest(key.removeprefix(prefix))
 
-    def _take_entries(self, entries_by_key: Mapping[str, bytes]) -> None:
+    def _apply_entries(self, entries_by_key: Mapping[str, bytes]) -> None:
         self._entries_by_key = dict(entries_by_key)
         prefix = self._layout.upstreams_prefix
         upstream_entries = {
@@ -407,19 +415,19 @@
             for key, value in entries_by_key.items()
             if key.startswith(prefix)
         }
-        self._take_upstreams(upstream_entries)
-        # Those that are missing are left to end by time: a listing does not
-        # say whether they were removed or never written.
+        self._apply_upstreams(upstream_entries)
+        # Blocks that are missing are left to expire: a listing does not say
+        # whether they were removed or never written.
         for key in entries_by_key.keys() - upstream_entries.keys():
-            self._take_value(key, entries_by_key[key])
+            self._apply_value(key, entries_by_key[key])
 
-    def _take_upstreams(self, entries_by_key: Mapping[str, bytes]) -> None:
+    def _apply_upstreams(self, entries_by_key: Mapping[str, bytes]) -> None:
         registrations = []
         unreadable = []
         for key, value in entries_by_key.items():
-            registration = self._decoded(key, value)
+            registration = self._decode_upstream(key, value)
             if registration is None:
-                unreadable.append(self._upstream_id(key))
+                unreadable.append(self._upstream_of(key))
             else:
                 registrations.append(registration)
         self._directory.apply_listing(
@@ -430,7 +438,9 @@
         self.upstreams_known = self.upstreams_known or bool(entries_by_key)
         self._on_upstreams()
 
-    def _decoded(self, key: str, value: bytes) -> upstreams.Registration | None:
+    def _decode_upstream(
+        self, key: str, value: bytes
+    ) -> upstreams.Registration | None:
         try:
             return self._layout.decode_upstream(key, value)
         except format_error.FormatError as error:
@@ -444,7 +454,7 @@
 
 
 def _is_restored(*, since: int, until: int) -> bool:
-    """Return whether the store came back from an older copy in between."""
+    """Return whether the store was restored between two revisions."""
     return since != store_module.ABSENT and (
         store_eras.era_of(since) < store_eras.era_of(until)
     )
--- a/packages/router/src/lagoonrun_router/upstreams.py
+++ b/packages/router/src/lagoonrun_router/upstreams.py
@@ -1,13 +1,14 @@
-"""What an entry VM believes of the upstreams that register in the store.
+"""State of the upstreams that register in the store, as one entry VM knows it.
 
-An entry that disappears means one of two things. In calm, the upstream is
-leaving or dead, and gets nothing new. While the store is away, entries may
-run out although their upstreams live; they come back within seconds of the
-store's return, so that until then the upstream stays in use.
+An entry that disappears means one of two things. In normal operation the
+upstream is leaving or dead and gets no new requests. During an outage of the
+store, leases may expire although their upstreams are alive; the entries are
+written again within seconds after the store is reachable, so the upstream stays
+in use until then.
 
-An upstream may start again under its id. What was known of the process before
-is void then: it may have said that it leaves, and it held prompts and runs
-that the new one knows nothing of.
+An upstream may restart under the same id. What was known of the previous
+instance is then void: it may have announced that it leaves, and its prefix
+cache and running requests are lost.
 """
 
 import dataclasses
@@ -17,61 +18,66 @@
 from lagoonrun_core import events, logs, types
 from lagoonrun_protocol import router_messages
 
-LAPSE_SECONDS = 2.5
-"""How long after the store's return a missing entry may still come back.
+LEASE_EXPIRY_GRACE_SECONDS = 2.5
+"""Time after an outage of the store in which a missing entry may be written
+again.
 
-The platform promises about two seconds; the rest is for the watch's delay.
+The platform promises about two seconds; the rest allows for the watch's delay.
 """
 
-DOUBTFUL_SECONDS = 1.2
-"""How long a removed upstream may serve in calm where few others are left.
+REMOVAL_GRACE_SECONDS = 1.2
+"""Time for which a removed upstream may still be used in normal operation,
+where most of its pool is missing.
 
-An upstream that left goes on for two seconds at least after its entry is
-removed; past this time a request might reach it too late.
+An upstream that leaves serves for at least two seconds after its entry is
+removed; after this time a request might reach it too late.
 """
 
-_COPY_SECONDS = 60.0
-"""Age that a copy of the store may have at most; it is some seconds old."""
+_MAX_BACKUP_AGE_SECONDS = 60.0
+"""Maximum age of a backup at a restore; it is usually some seconds."""
 
-_RESTORED_SECONDS = 10.0
-"""Time after a restore in which entries of the copy may stand for upstreams that
-have ended: their leases run out after three heartbeats."""
+_STALE_ENTRIES_SECONDS = 10.0
+"""Time after a restore in which the backup's entries may belong to upstreams
+that have ended: their leases expire after three heartbeats."""
 
-_LEAST_SHARE = 0.5
-"""Part of a pool that has to be registered for missing upstreams to be left
-out. Operators replace or take away a few at a time, and new ones register
-before old ones leave. When most of a pool is missing, entries have run out."""
+_MIN_REGISTERED_SHARE = 0.5
+"""Share of a pool that must be registered for missing upstreams to be excluded.
+
+Operators replace or remove a few at a time, and new ones register before old
+ones leave. When most of a pool is missing, leases have expired.
+"""
 
 
 class UpstreamState(enum.Enum):
-    """Whether an upstream may be given work."""
+    """Whether an upstream may be sent requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
     MISSING = "missing"
     UNREADABLE = "unreadable"
-    """Its entry was overwritten by something that names no upstream."""
+    """Its entry was overwritten by a value that cannot be decoded."""
 
 
-_SENDABLE = (UpstreamState.SERVING, UpstreamState.MISSING)
+_USABLE_STATES = (UpstreamState.SERVING, UpstreamState.MISSING)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Registration:
-    """What an upstream says of itself.
+    """What an upstream has registered in the store.
 
     Parameters
     ----------
     slots
-        Requests that it works on at once.
+        Requests that it processes concurrently.
     leaving
-        Whether it takes no more work soon.
+        Whether it is about to stop accepting requests.
     cold_seconds
-        How much longer it is slow after its start.
+        Remaining time for which it is slow after its start.
     start
-        Tells this start of the upstream from earlier ones under its id.
+        Start number of the process; a later instance with the same id has a
+        higher one.
     reclaimable
-        Whether the platform may take it away at any time.
+        Whether the platform may terminate it at any time.
     """
 
     id: types.UpstreamId
@@ -87,16 +93,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Restarted:
-    """An upstream that has started again under its id.
+class RestartedUpstream:
+    """An upstream that has restarted under the same id.
 
     Parameters
     ----------
     before
-        What the process before said of itself.
+        Registration of the previous instance.
     heard_at
-        Reading of the clock when it last did: all connections made until
-        then lead to it and not to the new process.
+        Monotonic time of that registration's last update: connections opened
+        until then lead to the previous instance.
     """
 
     before: Registration
@@ -110,7 +116,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Known:
+class _KnownUpstream:
     registration: Registration
     state: UpstreamState
     heard_at: float
@@ -118,42 +124,44 @@
 
 
 class UpstreamDirectory:
-    """Beliefs about all upstreams, by the store, by peers and by answers."""
+    """State of all upstreams, from the store, from peers and from answers."""
 
     def __init__(self) -> None:
-        self._known_by_id: dict[types.UpstreamId, _Known] = {}
+        self._known_by_id: dict[types.UpstreamId, _KnownUpstream] = {}
         self._gone_start_by_id: dict[types.UpstreamId, types.UpstreamStart] = {}
         self._expired_by_id: dict[types.UpstreamId, _Expired] = {}
-        self._restarted: list[Restarted] = []
-        self._store_lost = False
-        self._store_regained_at = float("-inf")
+        self._restarted: list[RestartedUpstream] = []
+        self._store_unreachable = False
+        self._store_reachable_at = float("-inf")
         self._restored_at = float("-inf")
 
-    # What is asked.
+    # Queries.
 
     def usable(
         self, pool: types.PoolName, *, now: float
     ) -> tuple[Registration, ...]:
-        """Return the upstreams of `pool` that may be given work, by id."""
+        """Return the upstreams of `pool` that may be sent requests, by id."""
         self._expire(now)
         known = [
             one
             for one in self._known_by_id.values()
-            if one.registration.pool == pool and one.state in _SENDABLE
+            if one.registration.pool == pool and one.state in _USABLE_STATES
         ]
         serving = [one for one in known if one.state is UpstreamState.SERVING]
-        if len(serving) >= _LEAST_SHARE * len(known):
+        if len(serving) >= _MIN_REGISTERED_SHARE * len(known):
             known = serving
-        return tuple(sorted((one.registration for one in known), key=_id_of))
+        return tuple(
+            sorted((one.registration for one in known), key=_registration_id)
+        )
 
     def may_send(self, upstream: types.UpstreamId, *, now: float) -> bool:
         """Return whether a request may still be sent to `upstream`."""
         self._expire(now)
         known = self._known_by_id.get(upstream)
-        return known is not None and known.state in _SENDABLE
+        return known is not None and known.state in _USABLE_STATES
 
     def is_serving(self, upstream: types.UpstreamId) -> bool:
-        """Return whether `upstream` is in service and has not said it leaves."""
+        """Return whether `upstream` is registered and not about to leave."""
         known = self._known_by_id.get(upstream)
         return known is not None and known.state is UpstreamState.SERVING
 
@@ -166,13 +174,13 @@
 
     @property
     def leaving(self) -> tuple[router_messages.LeavingUpstream, ...]:
-        """Upstreams that get nothing new, for the other entry VMs."""
+        """Upstreams that get no new requests, to be reported to peers."""
         start_by_id = self._gone_start_by_id | {
             id: one.registration.start
             for id, one in self._known_by_id.items()
             if one.state is UpstreamState.LEAVING
         }
-        newest = list(start_by_id.items())[-_TOLD_LEAVING:]
+        newest = list(start_by_id.items())[-_MAX_REPORTED_LEAVING:]
         return tuple(
             router_messages.LeavingUpstream(upstream=id, start=start)
             for id, start in newest
@@ -180,10 +188,10 @@
 
     @property
     def registrations(self) -> tuple[Registration, ...]:
-        """All registrations, those of missing and leaving ones included."""
+        """All registrations, also those of missing and leaving upstreams."""
         return tuple(one.registration for one in self._known_by_id.values())
 
-    # What the store tells.
+    # Updates from the store.
 
     def apply_listing(
         self,
@@ -192,26 +200,26 @@
         unreadable: Collection[types.UpstreamId] = (),
         now: float,
     ) -> None:
-        """Take in all entries of the store at once.
+        """Apply a listing of all entries in the store.
 
         Parameters
         ----------
         unreadable
-            Ids whose entries make no sense.
+            Ids whose entries could not be decoded.
         """
         listed = {one.id: one for one in registrations}
         for registration in listed.values():
-            if self._stands_in_copy_only(registration, now):
+            if self._is_stale_entry(registration, now):
                 continue
             self.apply_entry(registration, now=now)
         for id in unreadable:
-            self.take_unreadable(id)
+            self.mark_unreadable(id)
         present = {*listed, *unreadable}
         for id in [id for id in self._known_by_id if id not in present]:
             self.apply_removal(id, now=now)
 
     def apply_entry(self, registration: Registration, *, now: float) -> None:
-        """Take in a new or changed entry; one of an earlier start is void."""
+        """Apply a new or changed entry; ignore one of a previous instance."""
         gone_start = self._gone_start_by_id.get(registration.id)
         if gone_start is not None and registration.start <= gone_start:
             return
@@ -219,7 +227,7 @@
         if known is not None and registration.start < known.registration.start:
             return
         if known is not None and registration.start > known.registration.start:
-            self._note_restart(known, registration)
+            self._record_restart(known, registration)
             known = None
         state = (
             UpstreamState.LEAVING
@@ -227,17 +235,21 @@
             else UpstreamState.SERVING
         )
         if known is not None and known.state is UpstreamState.LEAVING:
-            # An older listing, or a lagging one, must not bring it back.
+            # An outdated listing must not make it usable again.
             state = UpstreamState.LEAVING
-        self._known_by_id[registration.id] = _Known(
+        self._known_by_id[registration.id] = _KnownUpstream(
             registration=registration, state=state, heard_at=now
         )
         if known is None or known.state is not state:
             _log_state(registration, state, source="store")
 
-    def _note_restart(self, known: _Known, registration: Registration) -> None:
+    def _record_restart(
+        self, known: _KnownUpstream, registration: Registration
+    ) -> None:
         self._restarted.append(
-            Restarted(before=known.registration, heard_at=known.heard_at)
+            RestartedUpstream(
+                before=known.registration, heard_at=known.heard_at
+            )
         )
         logs.emit(
             events.LogEvent.UPSTREAM_RESTARTED,
@@ -248,14 +260,14 @@
             previous_state=known.state.value,
         )
 
-    def pop_restarted(self) -> tuple[Restarted, ...]:
-        """Return the upstreams that started again since the last call."""
+    def pop_restarted(self) -> tuple[RestartedUpstream, ...]:
+        """Return and clear the upstreams that restarted since the last call."""
         restarted = tuple(self._restarted)
         self._restarted.clear()
         return restarted
 
     def apply_removal(self, upstream: types.UpstreamId, *, now: float) -> None:
-        """Take in that an entry is not there any more."""
+        """Apply the removal of an entry."""
         known = self._known_by_id.get(upstream)
         if known is None or known.state is UpstreamState.MISSING:
             return
@@ -269,39 +281,39 @@
         known.missing_since = now
         _log_state(known.registration, known.state, source="store")
 
-    def take_unreadable(self, upstream: types.UpstreamId) -> None:
-        """Take in that an entry makes no sense any more.
+    def mark_unreadable(self, upstream: types.UpstreamId) -> None:
+        """Record that an entry can no longer be decoded.
 
-        It names no upstream until a readable one replaces it; one that is
-        missing may come back, but this one was there and said something else.
+        Unlike a missing upstream, which may register again, it is not used
+        until a valid entry replaces this one.
         """
         known = self._known_by_id.get(upstream)
-        if known is None or known.state not in _SENDABLE:
+        if known is None or known.state not in _USABLE_STATES:
             return
         known.state = UpstreamState.UNREADABLE
         _log_state(known.registration, known.state, source="store")
 
     def on_store_unreachable(self) -> None:
-        """Take in that the store cannot be reached."""
-        self._store_lost = True
+        """Record that the store cannot be reached."""
+        self._store_unreachable = True
 
     def on_store_restored(self, *, now: float) -> None:
-        """Take in that the store has come back from an older copy.
+        """Record that the store was restored from a backup.
 
-        Upstreams that registered since are not in it, and do so again within the
-        time that they have after an outage.
+        Upstreams that registered after the backup are missing and register
+        again within the time that they have after an outage.
         """
-        self._store_lost = False
-        self._store_regained_at = now
+        self._store_unreachable = False
+        self._store_reachable_at = now
         self._restored_at = now
 
     def on_store_reachable(self, *, now: float) -> None:
-        """Take in that the store answers again."""
-        if self._store_lost:
-            self._store_lost = False
-            self._store_regained_at = now
+        """Record that the store answers again."""
+        if self._store_unreachable:
+            self._store_unreachable = False
+            self._store_reachable_at = now
 
-    # What others tell.
+    # Updates from peers and answers.
 
     def mark_leaving(
         self,
@@ -310,19 +322,21 @@
         start: types.UpstreamStart,
         source: str,
     ) -> None:
-        """Take in that an upstream takes no more work.
+        """Record that an upstream accepts no more requests.
 
         Parameters
         ----------
         start
-            Which start of it; one that has started again since stays in use.
+            Start number of the instance that leaves; a later instance stays in
+            use.
         source
-            Who says so, for the log.
+            Who reported it, for the log.
         """
         known = self._known_by_id.get(upstream)
         if known is None:
-            # Its entry may have run out, and be back before the upstream ends.
-            self._note_gone(upstream, start)
+            # Its lease may have expired, and its entry may be written again
+            # before the upstream ends.
+            self._record_gone(upstream, start)
             return
         if known.state is UpstreamState.LEAVING:
             return
@@ -332,28 +346,24 @@
         _log_state(known.registration, known.state, source=source)
 
     def mark_gone(self, upstream: types.UpstreamId, *, source: str) -> None:
-        """Take in that another process has the upstream's address."""
+        """Record that another process answers at the upstream's address."""
         known = self._known_by_id.get(upstream)
         if known is not None:
             _log_state(known.registration, UpstreamState.LEAVING, source=source)
             self._forget(upstream)
 
-    # Parts.
-
-    def _stands_in_copy_only(
-        self, registration: Registration, now: float
-    ) -> bool:
-        """Return whether a listed entry is one that has ended before.
+    def _is_stale_entry(self, registration: Registration, now: float) -> bool:
+        """Return whether a listed entry belongs to an upstream that has ended.
 
-        A store that came back from an older copy has the entries of upstreams
-        that have ended since. Those that live write theirs again, which is a
-        change and no listing.
+        After a restore the store has the entries of upstreams that have ended
+        since the backup. Those that are alive write theirs again, which arrives
+        as a change and not in a listing.
         """
         expired = self._expired_by_id.get(registration.id)
         return (
             expired is not None
-            and now - self._restored_at < _RESTORED_SECONDS
-            and now - expired.at < _COPY_SECONDS
+            and now - self._restored_at < _STALE_ENTRIES_SECONDS
+            and now - expired.at < _MAX_BACKUP_AGE_SECONDS
             and registration.start <= expired.start
         )
 
@@ -365,59 +375,61 @@
         ]
         if not missing:
             return
-        hold_seconds = DOUBTFUL_SECONDS
-        if self._may_be_lapse(now, missing=len(missing)):
-            hold_seconds = LAPSE_SECONDS
+        grace_seconds = REMOVAL_GRACE_SECONDS
+        if self._may_be_lease_expiry(now, missing=len(missing)):
+            grace_seconds = LEASE_EXPIRY_GRACE_SECONDS
         for id, one in missing:
-            if now - one.missing_since >= hold_seconds:
+            if now - one.missing_since >= grace_seconds:
                 _log_state(
                     one.registration, UpstreamState.LEAVING, source="absence"
                 )
-                # Not for good: one that was only cut off registers again.
+                # Not permanently: one that was only cut off registers again.
                 del self._known_by_id[id]
-                self._note_expired(one.registration, now)
+                self._record_expired(one.registration, now)
 
-    def _note_expired(self, registration: Registration, now: float) -> None:
+    def _record_expired(self, registration: Registration, now: float) -> None:
         self._expired_by_id.pop(registration.id, None)
         self._expired_by_id[registration.id] = _Expired(
             start=registration.start, at=now
         )
-        while len(self._expired_by_id) > _REMEMBERED_GONE:
+        while len(self._expired_by_id) > _MAX_REMEMBERED_IDS:
             del self._expired_by_id[next(iter(self._expired_by_id))]
 
-    def _may_be_lapse(self, now: float, *, missing: int) -> bool:
-        """Return whether entries may have run out while the store was away.
+    def _may_be_lease_expiry(self, now: float, *, missing: int) -> bool:
+        """Return whether leases may have expired during an outage of the store.
 
-        A long outage may end without any call of ours having failed; then
+        A long outage may end without any failed call of this entry VM; then
         most entries are missing at once.
         """
-        if self._store_lost:
+        if self._store_unreachable:
             return True
-        if now - self._store_regained_at < 2.0 * LAPSE_SECONDS:
+        if now - self._store_reachable_at < 2.0 * LEASE_EXPIRY_GRACE_SECONDS:
             return True
-        return missing > _LEAST_SHARE * len(self._known_by_id)
+        return missing > _MIN_REGISTERED_SHARE * len(self._known_by_id)
 
     def _forget(self, upstream: types.UpstreamId) -> None:
         known = self._known_by_id.pop(upstream)
-        self._note_gone(upstream, known.registration.start)
+        self._record_gone(upstream, known.registration.start)
 
-    def _note_gone(
+    def _record_gone(
         self, upstream: types.UpstreamId, start: types.UpstreamStart
     ) -> None:
         before = self._gone_start_by_id.pop(upstream, start)
         self._gone_start_by_id[upstream] = max(before, start)
-        while len(self._gone_start_by_id) > _REMEMBERED_GONE:
+        while len(self._gone_start_by_id) > _MAX_REMEMBERED_IDS:
             del self._gone_start_by_id[next(iter(self._gone_start_by_id))]
 
 
-_REMEMBERED_GONE = 1024
-"""Ids that stay refused, so that a late entry brings none of them back."""
+_MAX_REMEMBERED_IDS = 1024
+"""Ids of ended upstreams that are remembered, so that a late entry does not
+make one of them usable again."""
 
-_TOLD_LEAVING = 16
-"""Most ids that other entry VMs are told: the newest; fits a datagram."""
+_MAX_REPORTED_LEAVING = 16
+"""Maximum number of leaving upstreams in a message, the newest ones: it has to
+fit into a datagram."""
 
 
-def _id_of(registration: Registration) -> types.UpstreamId:
+def _registration_id(registration: Registration) -> types.UpstreamId:
     return registration.id
 
 
--- a/packages/router/src/lagoonrun_router/value_delta.py
+++ b/packages/router/src/lagoonrun_router/value_delta.py
@@ -1,10 +1,10 @@
-"""What has changed between two values, so that not all of one has to be sent.
+"""Deltas between values, so that changed ones need not be sent whole.
 
-A declared configuration is a text of hundreds of kilobytes, in which a change
-touches a few hundred bytes. Both values are cut into pieces, each of which ends
-at a closing brace, the end of an entry in the formats in use; pieces that the
-older value has are named by their place there, and the rest is compressed. In
-a format without braces the whole is sent, compressed.
+A declared configuration is a text of hundreds of kilobytes, of which a change
+affects a few hundred bytes. Both values are split into pieces, each of which
+ends at a closing brace, the end of an entry in the formats in use. Pieces that
+the older value has are copied from there by their offset, and the rest is
+compressed. In a format without braces the whole value is compressed.
 """
 
 import dataclasses
@@ -18,25 +18,26 @@
 
 _PIECE = re.compile(rb"[^}]*\}?")
 _COMPRESSION_LEVEL = 1
-"""The fastest: 3 ms for 300 KB of JSON, to a tenth of their size."""
+"""The fastest level: 300 KB of JSON take 3 ms and shrink to a tenth."""
 
-_LARGEST_VALUE_BYTES = 16 * 1024 * 1024
-"""Bound on what a delta may unpack to; sixteen times the store's largest value."""
+_MAX_VALUE_BYTES = 16 * 1024 * 1024
+"""Limit on the decompressed text of a delta; sixteen times the store's maximum
+value size."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ValueDelta:
-    """How to make a value out of an older one.
+    """Steps that make a value out of an older one.
 
-    The n-th step takes `new_lengths[n]` bytes of the new text, then
-    `copied_lengths[n]` bytes of the older value from `copied_starts[n]` on.
+    Step n appends `new_lengths[n]` bytes of the new text, then
+    `copied_lengths[n]` bytes of the older value from offset `copied_starts[n]`.
 
     Parameters
     ----------
     base, result
-        Digests of the older value, empty for none, and of the one made.
+        Digests of the older value, empty for none, and of the resulting one.
     packed_text
-        New text of all steps, compressed.
+        Compressed new text of all steps.
     """
 
     base: str
@@ -48,13 +49,13 @@
 
 
 def digest_of(value: bytes) -> str:
-    """Return what tells a value from others; empty for an empty one."""
+    """Return the digest of a value; empty for an empty value."""
     return xxhash.xxh3_128_hexdigest(value) if value else ""
 
 
 def between(base: bytes, value: bytes) -> ValueDelta:
-    """Return how to make `value` out of `base`, which may be empty."""
-    start_by_piece = _starts(base)
+    """Return the delta that makes `value` out of `base`, which may be empty."""
+    start_by_piece = _piece_offsets(base)
     steps = _Steps()
     for piece in _PIECE.findall(value):
         if not piece:
@@ -83,53 +84,53 @@
     Raises
     ------
     FormatError
-        Where it was made for another value, or does not make what it says.
+        If it was made for another value, or the result has another digest.
     """
     if digest_of(base) != delta.base:
-        raise _fault(f"{len(base)} bytes are not the value it was made for")
+        raise _error(f"{len(base)} bytes are not the value it was made for")
     text = _unpacked(delta.packed_text)
     parts = []
-    taken = 0
+    text_offset = 0
     for new_length, start, length in zip(
         delta.new_lengths,
         delta.copied_starts,
         delta.copied_lengths,
         strict=False,
     ):
-        parts.append(text[taken : taken + new_length])
+        parts.append(text[text_offset : text_offset + new_length])
         parts.append(base[start : start + length])
-        taken += new_length
+        text_offset += new_length
     value = b"".join(parts)
     if digest_of(value) != delta.result:
-        raise _fault(f"it makes {len(value)} bytes of another digest")
+        raise _error(f"it makes {len(value)} bytes of another digest")
     return value
 
 
 def _unpacked(packed: bytes) -> bytes:
     unpacking = zlib.decompressobj()
     try:
-        return unpacking.decompress(packed, _LARGEST_VALUE_BYTES)
+        return unpacking.decompress(packed, _MAX_VALUE_BYTES)
     except zlib.error as error:
-        raise _fault(f"its text is not compressed: {error}") from error
+        raise _error(f"its text is not compressed: {error}") from error
 
 
-def _starts(base: bytes) -> dict[bytes, int]:
+def _piece_offsets(base: bytes) -> dict[bytes, int]:
     start_by_piece: dict[bytes, int] = {}
-    at = 0
+    offset = 0
     for piece in _PIECE.findall(base):
-        start_by_piece.setdefault(piece, at)
-        at += len(piece)
+        start_by_piece.setdefault(piece, offset)
+        offset += len(piece)
     return start_by_piece
 
 
-def _fault(detail: str) -> format_error.FormatError:
+def _error(detail: str) -> format_error.FormatError:
     return format_error.FormatError(
         step=errors.Step.PEER_FRAME, detail=f"delta of a value: {detail}"
     )
 
 
 class _Steps:
-    """The steps of a delta as they are found."""
+    """Collects the steps of a delta."""
 
     def __init__(self) -> None:
         self.new_lengths: list[int] = []
@@ -144,29 +145,29 @@
 
     @property
     def copied_end(self) -> int:
-        """Place in the older value after the last bytes that were copied."""
+        """Offset in the older value after the last bytes that were copied."""
         if not self.copied_starts:
             return 0
         return self.copied_starts[-1] + self.copied_lengths[-1]
 
     def add(self, text: bytes) -> None:
-        """Go on with new text."""
+        """Append new text."""
         if self.copying or not self.new_lengths:
-            self._begin()
+            self._append_step()
         self.new_lengths[-1] += len(text)
         self.text.append(text)
 
     def copy(self, start: int, length: int) -> None:
-        """Go on with bytes of the older value."""
+        """Append bytes of the older value."""
         if self.copying and start == self.copied_end:
             self.copied_lengths[-1] += length
             return
         if self.copying or not self.new_lengths:
-            self._begin()
+            self._append_step()
         self.copied_starts[-1] = start
         self.copied_lengths[-1] = length
 
-    def _begin(self) -> None:
+    def _append_step(self) -> None:
         self.new_lengths.append(0)
         self.copied_starts.append(0)
         self.copied_lengths.append(0)
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Known:
+class Replica:
     """What an entry VM knows of the store."""
 
     revision: int = 3
@@ -66,7 +66,7 @@
     pressed: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
-    gathered: domain_aggregate.DomainAggregate
+    aggregate: domain_aggregate.DomainAggregate
     sent: list
 
     def tick(self, now):
@@ -103,14 +103,14 @@
             "pressed": pressure.Pressure(),
             "table": table,
             "relays": relays_of(name, table),
-            "gathered": domain_aggregate.DomainAggregate(),
+            "aggregate": domain_aggregate.DomainAggregate(),
         }
         exchange = domain_news.DomainNewsExchange(
             entry_vm=name,
             domain=DOMAIN_OF[name],
             port=1,
             start=1,
-            known=Known(),
+            replica=Replica(),
             domains=reach.DomainReach(),
             send=lambda news, to: sent.append((news, tuple(to))),
             **shared,
@@ -164,7 +164,7 @@
     news, addresses = relay.sent[-1]
     assert address_of(far_relay.name) in addresses
     assert peer_loads.from_rows(news.loads)["u-1"].running == 2
-    far_relay.exchange.take(news, host=address_of(relay.name).host, now=0.1)
+    far_relay.exchange.receive(news, host=address_of(relay.name).host, now=0.1)
     known = far_relay.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (2, 7000.0)
     handed_on, neighbours = far_relay.sent[-1]
@@ -177,7 +177,7 @@
     news, _ = relay.sent[-1]
     assert (news.revision, news.store_revision, news.read_revision) == (3, 8, 9)
     assert news.reads_store
-    assert far_relay.exchange.take(
+    assert far_relay.exchange.receive(
         news, host=address_of(relay.name).host, now=0.1
     )
     assert far_relay.exchange._domains.is_reading("north")
@@ -187,14 +187,14 @@
     relay.tick(now=0.1)
     news, _ = relay.sent[-1]
     other = vm_of(neighbour_of(far_relay))
-    other.exchange.take(news, host=address_of(far_relay.name).host, now=0.1)
+    other.exchange.receive(news, host=address_of(far_relay.name).host, now=0.1)
     assert other.sent == []
 
 
 def test_far_work_is_not_told_back(relay, far_relay):
     begin(far_relay, 3000.0, now=0.0)
     far_relay.tick(now=0.1)
-    relay.exchange.take(
+    relay.exchange.receive(
         far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
     )
     relay.tick(now=0.2)
@@ -209,7 +209,7 @@
     second = relay.sent[-1][0]
     host = address_of(relay.name).host
     for news in (second, first, second):
-        far_relay.exchange.take(news, host=host, now=0.3)
+        far_relay.exchange.receive(news, host=host, now=0.3)
     assert far_relay.ledger.load_of("u-1", now=0.3).running == 1
 
 
@@ -237,7 +237,7 @@
     relay.tick(now=0.1)
     assert len(relay.sent[-1][1]) == 2
     far_relay.tick(now=0.1)
-    relay.exchange.take(
+    relay.exchange.receive(
         far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
     )
     relay.tick(now=0.2)
@@ -251,7 +251,7 @@
     for _ in range(pressure.LEAST_REQUESTS):
         relay.pressed.record_rejection("pool", 1, now=0.0)
     relay.tick(now=0.1)
-    far_relay.exchange.take(
+    far_relay.exchange.receive(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
     assert far_relay.prompt_locations.has("part", "u-1", now=0.1)
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -41,7 +41,7 @@
 
     name: str
     exchange: fleet_news.FleetNewsExchange
-    gathered: domain_aggregate.DomainAggregate
+    aggregate: domain_aggregate.DomainAggregate
     ledger: load_ledger.LoadLedger
     prompt_locations: prompt_locations.PromptLocations
     pressed: pressure.Pressure
@@ -63,11 +63,13 @@
             revision=1,
             relay=relay,
             loads=peer_loads.to_rows(self.ledger.own_loads(now=now)),
-            pressed=peer_loads.pressed(self.pressed.recent(now=now)),
-            placements=peer_loads.placements(self.prompt_locations.pop_own()),
+            pressed=peer_loads.to_pressed_tiers(self.pressed.recent(now=now)),
+            placements=peer_loads.to_placements(
+                self.prompt_locations.pop_own()
+            ),
             **more,
         )
-        self.exchange.note_told(made)
+        self.exchange.record_sent_state(made)
         return made
 
     def begin(self, tokens=2000.0, upstream="u-1", now=0.0):
@@ -96,7 +98,7 @@
         for other in NAMES:
             table.add(other, address_of(other), "north")
         shared = {
-            "gathered": domain_aggregate.DomainAggregate(),
+            "aggregate": domain_aggregate.DomainAggregate(),
             "ledger": load_ledger.LoadLedger(),
             "prompt_locations": prompt_locations.PromptLocations(
                 reuse_seconds=10.0
@@ -144,7 +146,7 @@
         relay.exchange.receive_state(vm.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
     for vm in (member, other):
-        vm.exchange.take(news, now=0.1)
+        vm.exchange.receive(news, now=0.1)
         known = vm.ledger.load_of("u-1", now=0.1)
         assert (known.running, known.waiting_tokens) == (2, 7000.0)
 
@@ -154,7 +156,7 @@
     relay.exchange.receive_state(member.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
     member.ledger.end(work)
-    member.exchange.take(news, now=0.1)
+    member.exchange.receive(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (0, 0.0)
 
@@ -167,7 +169,7 @@
     member.state(RELAY)
     relay.exchange.receive_state(heard, now=0.1)
     (news,) = relay.tick(0.1)
-    member.exchange.take(news, now=0.1)
+    member.exchange.receive(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (2, 3500.0)
 
@@ -184,7 +186,7 @@
 
 def test_relay_tells_nobody_who_has_fallen_silent(relay, member):
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
-    assert relay.tick(domain_aggregate.TELLER_SECONDS) == []
+    assert relay.tick(domain_aggregate.REPORTER_TIMEOUT_SECONDS) == []
 
 
 def test_second_in_order_takes_over_with_all_that_it_has_heard(
@@ -200,7 +202,7 @@
     assert second.tick(0.1) == []
     second.exchange.receive_state(member.state(SECOND), now=0.5)
     (news,) = second.tick(0.5)
-    member.exchange.take(news, now=0.5)
+    member.exchange.receive(news, now=0.5)
     assert member.ledger.load_of("u-1", now=0.5).running == 1
 
 
@@ -221,7 +223,7 @@
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.0)
-    member.exchange.take(news, now=0.0)
+    member.exchange.receive(news, now=0.0)
     assert member.ledger.load_of("u-1", now=1.0).running == 1
     old = load_ledger.PEER_LOAD_SECONDS
     assert member.ledger.load_of("u-1", now=old) == loads.NO_LOAD
@@ -233,14 +235,14 @@
     other.begin()
     relay.exchange.receive_state(other.state(RELAY), now=0.1)
     (second,) = relay.tick(0.1)
-    member.exchange.take(second, now=0.1)
-    member.exchange.take(first, now=0.1)
+    member.exchange.receive(second, now=0.1)
+    member.exchange.receive(first, now=0.1)
     assert member.ledger.load_of("u-1", now=0.1).running == 1
 
 
 def test_other_domains_are_part_of_the_sum(relay, member):
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
-    relay.gathered.take_domain(
+    relay.aggregate.apply_domain_news(
         router_messages.DomainNews(
             entry_vm="s-1",
             domain="south",
@@ -252,7 +254,7 @@
     )
     relay.domains.record_contact("south", now=0.0)
     (news,) = relay.tick(0.3)
-    member.exchange.take(news, now=0.3)
+    member.exchange.receive(news, now=0.3)
     assert member.ledger.load_of("u-2", now=0.3).running == 5
     assert not member.domains.is_silent("south", now=0.9)
     assert member.domains.is_silent("south", now=1.1)
@@ -268,7 +270,7 @@
     other.begin(tokens=9000.0)
     relay.exchange.receive_state(other.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
-    member.exchange.take(news, now=0.1)
+    member.exchange.receive(news, now=0.1)
     assert member.prompt_locations.has("part", "u-1", now=0.1)
     assert member.pressed.higher_tier_pressed(POOL, 2, now=0.1)
     assert member.ledger.recent_prefill("u-1", now=0.1) > 1000.0
@@ -279,7 +281,7 @@
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
-    member.exchange.take(news, now=0.1)
+    member.exchange.receive(news, now=0.1)
     assert OTHER in member.table.neighbours()
     relay.exchange.receive_state(other.state(RELAY, stopping=True), now=0.2)
     (news,) = relay.tick(0.2)
@@ -301,4 +303,4 @@
     (news,) = relay.tick(0.1)
     broken = dataclasses.replace(news, prefill_rates=b"")
     with pytest.raises(format_error.FormatError):
-        member.exchange.take(broken, now=0.1)
+        member.exchange.receive(broken, now=0.1)
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -103,7 +103,7 @@
 
 def test_short_wait_is_not_overdue_at_once():
     at = loads.overdue_at(now=0.0, expected_seconds=0.0)
-    assert at == loads.LEAST_OVERDUE_SECONDS
+    assert at == loads.MIN_OVERDUE_SECONDS
 
 
 def test_restarted_upstream_begins_with_nothing(ledger):
--- a/packages/router/tests/test_peer_table.py
+++ b/packages/router/tests/test_peer_table.py
@@ -21,7 +21,7 @@
 
 
 def test_record_in_the_store_is_read_back(table):
-    table.take_record("vm-2", table.record(A, processor_cores=0.5))
+    table.apply_record("vm-2", table.record(A, processor_cores=0.5))
     assert table.address_of("vm-2") == A
     assert table.sizes() == {"vm-2": 0.5}
 
@@ -29,14 +29,14 @@
 def test_record_of_an_entry_vm_that_tells_no_size_is_read(table):
     """A fleet is upgraded one entry VM after the other."""
     record = b'{"host": "10.0.0.1", "port": 1, "domain": "north"}'
-    table.take_record("vm-2", record)
+    table.apply_record("vm-2", record)
     assert table.sizes() == {"vm-2": 0.0}
 
 
 def test_own_and_broken_records_are_left_out(table):
-    table.take_record("vm-1", table.record(A, processor_cores=1.0))
-    table.take_record("vm-3", b"{")
-    table.take_record("vm-4", b'{"host": "x"}')
+    table.apply_record("vm-1", table.record(A, processor_cores=1.0))
+    table.apply_record("vm-3", b"{")
+    table.apply_record("vm-4", b'{"host": "x"}')
     assert table.addresses() == ()
 
 
@@ -87,8 +87,8 @@
 def test_now_and_then_another_domain_is_told(table):
     hear(table, "near", A)
     hear(table, "far", B, domain="south")
-    assert table.near_addresses() == (A,)
-    assert table.far_told(random.Random(1)) == (B,)
+    assert table.neighbour_addresses() == (A,)
+    assert table.sample_remote_addresses(random.Random(1)) == (B,)
 
 
 def test_only_a_large_domain_has_a_relay(table):
@@ -111,7 +111,7 @@
 
 def test_relay_that_lists_a_peer_shows_that_it_lives(table):
     hear(table, now=0.0)
-    table.note_alive("vm-2", now=2.5)
+    table.record_alive("vm-2", now=2.5)
     assert table.pop_lost(now=3.0) == ()
     assert table.neighbours() == ("vm-2",)
 
@@ -119,9 +119,9 @@
 def test_stopping_peer_is_not_revived_by_what_was_heard_before(table):
     """A relay lists a neighbour that it heard just before it said it ends."""
     hear(table, now=0.0, stopping=True)
-    table.note_alive("vm-2", now=0.1)
+    table.record_alive("vm-2", now=0.1)
     assert table.is_stopping("vm-2")
-    table.note_alive("vm-2", now=peer_table.HEARD_SECONDS)
+    table.record_alive("vm-2", now=peer_table.PEER_TIMEOUT_SECONDS)
     assert not table.is_stopping("vm-2")
 
 
