--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -216,14 +216,14 @@
     if state.revision > member.known.revision:
         digest = member.known.declared.newest.digest
         change = peer.known.declared.change_from(digest)
-        member.known.take_declared_change(
+        member.known.apply_declared_change(
             over_the_wire(change), source=peer.name
         )
     if state.store_revision > member.known.store_revision:
-        member.known.take_entries_of_peer(
+        member.known.apply_peer_entries(
             peer.known.upstream_entries(), state.store_revision
         )
-    member.known.note_read_by_peer(state)
+    member.known.record_peer_revision(state)
 
 
 def test_told_change_is_in_force_without_a_fetch(layout, store, reader):
@@ -234,7 +234,7 @@
     reader.told.clear()
     read_changes(reader, store)
     (changes,) = reader.told
-    member.known.take_changes_of_peer(over_the_wire(changes))
+    member.known.apply_peer_changes(over_the_wire(changes))
     assert member.known.revision == 2
     assert set(member.usable()) == {"u-1", "u-2"}
 
@@ -251,7 +251,7 @@
     read_changes(reader, store)
     store.put_upstream("u-2")
     read_changes(reader, store)
-    member.known.take_changes_of_peer(reader.told[1])
+    member.known.apply_peer_changes(reader.told[1])
     assert set(member.usable()) == {"u-1"}
     fetch(member, reader)
     assert member.known.upstream_entries() == reader.known.upstream_entries()
@@ -266,7 +266,7 @@
     store.put_upstream("u-2")
     read_all(reader, store)
     (changes,) = reader.told
-    member.known.take_changes_of_peer(over_the_wire(changes))
+    member.known.apply_peer_changes(over_the_wire(changes))
     assert member.known.upstream_entries() == reader.known.upstream_entries()
 
 
@@ -279,7 +279,7 @@
     store.unblock("request-2")
     read_changes(reader, store)
     for changes in reader.told[1:]:
-        member.known.take_changes_of_peer(over_the_wire(changes))
+        member.known.apply_peer_changes(over_the_wire(changes))
     assert member.blocks == reader.blocks == {"request-1"}
 
 
@@ -309,7 +309,7 @@
     assert member.known.read_revision == store.revision
     store.put_upstream("u-2")
     read_changes(reader, store)
-    member.known.note_read_by_peer(reader.state())
+    member.known.record_peer_revision(reader.state())
     assert member.known.read_revision < store.revision
 
 
@@ -349,7 +349,7 @@
     store.put_upstream("u-9")
     read_changes(other, store)
     store.restore(1)
-    member.known.take_changes_of_peer(over_the_wire(other.told[0]))
+    member.known.apply_peer_changes(over_the_wire(other.told[0]))
     assert "u-9" in member.usable()
     read_changes(reader, store)
     fetch(member, reader)
@@ -415,7 +415,7 @@
         """Send what a reader has read; some members hear it."""
         for changes in self.vms[name].told:
             for member in heard:
-                self.vms[member].known.take_changes_of_peer(
+                self.vms[member].known.apply_peer_changes(
                     over_the_wire(changes)
                 )
         self.vms[name].told.clear()
--- a/packages/router/tests/test_state_telling.py
+++ b/packages/router/tests/test_state_publisher.py
@@ -14,7 +14,7 @@
     retry_budget,
     roster,
     settings,
-    state_telling,
+    state_publisher,
     store_replica,
     upstreams,
 )
@@ -34,7 +34,7 @@
 
 
 @pytest.fixture
-def known(table):
+def replica(table):
     return store_replica.StoreReplica(
         layout=PlainLayout(),
         directory=upstreams.UpstreamDirectory(),
@@ -47,7 +47,7 @@
 
 
 @pytest.fixture
-def teller(table, ledger, known):
+def publisher(table, ledger, replica):
     configured = settings.RouterSettings(
         entry_vm="vm-1",
         domain="north",
@@ -64,11 +64,11 @@
         reuse_seconds=10.0,
         processor_cores=0.5,
     )
-    made = state_telling.StateTeller(
+    made = state_publisher.StatePublisher(
         configured=configured,
         start=7,
         table=table,
-        known=known,
+        replica=replica,
         directory=upstreams.UpstreamDirectory(),
         ledger=ledger,
         prompt_locations=prompt_locations.PromptLocations(reuse_seconds=10.0),
@@ -82,60 +82,62 @@
     return made
 
 
-def beats_until_told(teller):
-    beats = 0
+def ticks_until_sent(publisher):
+    ticks = 0
     while True:
-        beats += 1
-        if teller.tick(now=beats * 0.05) is not None:
-            return beats
+        ticks += 1
+        if publisher.tick(now=ticks * 0.05) is not None:
+            return ticks
 
 
-def begin(ledger, tokens):
-    work = loads.InFlightRequest(
+def begin_request(ledger, tokens):
+    request = loads.InFlightRequest(
         upstream="u-1", new_tokens=tokens, sensitivity=0.0
     )
-    ledger.begin(work, now=0.0)
-    return work
+    ledger.begin(request, now=0.0)
+    return request
 
 
-def test_long_prompt_is_told_at_once_and_its_end_a_beat_later(teller, ledger):
-    work = begin(ledger, load_ledger.URGENT_TOKENS)
-    assert beats_until_told(teller) == 1
-    ledger.end(work)
-    assert beats_until_told(teller) == 2
+def test_long_prompt_is_told_at_once_and_its_end_a_beat_later(
+    publisher, ledger
+):
+    request = begin_request(ledger, load_ledger.URGENT_TOKENS)
+    assert ticks_until_sent(publisher) == 1
+    ledger.end(request)
+    assert ticks_until_sent(publisher) == 2
 
 
-def test_nothing_new_is_told_before_others_would_take_it_for_silence(teller):
-    seconds = beats_until_told(teller) * 0.05
+def test_nothing_new_is_told_before_others_would_take_it_for_silence(publisher):
+    seconds = ticks_until_sent(publisher) * 0.05
     assert 2 * seconds < roster.SILENT_SECONDS
 
 
-def test_reader_that_has_lost_the_store_says_so_to_all(teller, known):
+def test_reader_that_has_lost_the_store_says_so_to_all(publisher, replica):
     """Its neighbours rely on it, and hear of it through the relay only.
 
     Told to the relay alone, the loss of the store would be news to them
     after the change that they should have had.
     """
-    known.apply_changes((), 5)
-    teller.tick(now=0.1)
-    assert teller.was_reader
-    known.on_store_call_failed()
-    assert beats_until_told(teller) == 1
-    assert teller.was_reader
-    assert teller.news_changed
-    beats_until_told(teller)
-    assert not teller.was_reader
-
-
-def test_size_and_relay_are_told(teller, table):
-    assert teller.greeting(now=0.0).processor_hundredths == 50
-    assert teller.greeting(now=0.0).relay == ""
+    replica.apply_changes((), 5)
+    publisher.tick(now=0.1)
+    assert publisher.was_reader
+    replica.on_store_call_failed()
+    assert ticks_until_sent(publisher) == 1
+    assert publisher.was_reader
+    assert publisher.concerns_all_neighbours
+    ticks_until_sent(publisher)
+    assert not publisher.was_reader
+
+
+def test_size_and_relay_are_told(publisher, table):
+    assert publisher.announcement(now=0.0).processor_hundredths == 50
+    assert publisher.announcement(now=0.0).relay == ""
     for number in range(13):
         address = settings.Address(host=f"10.0.1.{number}", port=1)
         table.add(f"near-{number}", address, "north", processor_cores=2.0)
-    assert teller.greeting(now=0.0).relay.startswith("near-")
+    assert publisher.announcement(now=0.0).relay.startswith("near-")
 
 
-def test_greeting_tells_no_work(teller, ledger):
-    begin(ledger, 5000.0)
-    assert teller.greeting(now=0.0).loads.upstreams == ""
+def test_greeting_tells_no_work(publisher, ledger):
+    begin_request(ledger, 5000.0)
+    assert publisher.announcement(now=0.0).loads.upstreams == ""
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -90,13 +90,13 @@
     The others hold.
     """
     listed(directory, "u-1", "u-2")
-    directory.take_unreadable("u-1")
+    directory.mark_unreadable("u-1")
     assert ids(directory) == ["u-2"]
     directory.apply_listing(
         [make_registration("u-2")], unreadable=["u-1"], now=1000.5
     )
     assert not directory.may_send("u-1", now=1000.5)
-    directory.take_unreadable("u-2")
+    directory.mark_unreadable("u-2")
     assert ids(directory, 1001.0) == []
     directory.apply_entry(make_registration("u-1"), now=1002.0)
     assert ids(directory, 1002.0) == ["u-1"]
@@ -142,7 +142,7 @@
     assert ids(directory, 1011.0) == ["u-1", "u-2", "u-3"]
     directory.apply_entry(make_registration("u-1"), now=1011.2)
     assert ids(directory, 1011.2) == ["u-1", "u-2"]
-    gone = 1010.0 + upstreams.LAPSE_SECONDS
+    gone = 1010.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS
     assert ids(directory, gone) == ["u-1", "u-2"]
 
 
@@ -154,12 +154,14 @@
     listed(directory, "u-1", "u-2", "u-3")
     for name in ("u-1", "u-2", "u-3"):
         directory.apply_removal(name, now=1000.0)
-    assert ids(directory, 1000.0 + upstreams.LAPSE_SECONDS - 0.1) == [
+    assert ids(
+        directory, 1000.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS - 0.1
+    ) == [
         "u-1",
         "u-2",
         "u-3",
     ]
-    assert ids(directory, 1000.0 + upstreams.LAPSE_SECONDS) == []
+    assert ids(directory, 1000.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS) == []
 
 
 def test_absent_upstream_may_register_again(directory):
@@ -215,7 +217,7 @@
     listed(directory, "u-1", "u-2", "u-3")
     directory.on_store_restored(now=1000.0)
     listed(directory, "u-1", "u-2", now=1000.0)
-    later = 1000.0 + upstreams.DOUBTFUL_SECONDS
+    later = 1000.0 + upstreams.REMOVAL_GRACE_SECONDS
     assert directory.may_send("u-3", now=later)
     directory.apply_entry(make_registration("u-3"), now=1002.0)
     assert ids(directory, 1010.0) == ["u-1", "u-2", "u-3"]
@@ -225,7 +227,7 @@
     listed(directory, "u-1", "u-2", "u-3")
     directory.on_store_restored(now=1000.0)
     listed(directory, "u-1", "u-2", now=1000.0)
-    later = 1000.0 + upstreams.LAPSE_SECONDS
+    later = 1000.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS
     assert not directory.may_send("u-3", now=later)
 
 
