--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -1,4 +1,4 @@
-"""News of a whole failure domain, by one entry VM of it to all others."""
+"""News of a whole failure domain, sent by its relay to the other ones."""
 
 import dataclasses
 
@@ -24,7 +24,7 @@
 DOMAIN_OF = {"n-1": "north", "n-2": "north", "s-1": "south", "s-2": "south"}
 
 
-def relays_of(name, table):
+def make_roster(name, table):
     return roster.Roster(
         duty="relay",
         wanted_count=2,
@@ -33,9 +33,9 @@
     )
 
 
-def first_of(*names):
+def first_in_order(*names):
     table = peer_table.PeerTable(entry_vm=names[0], domain="any")
-    order = relays_of(names[0], table).order_of(dict.fromkeys(names, 1.0))
+    order = make_roster(names[0], table).order_of(dict.fromkeys(names, 1.0))
     return order[0]
 
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Replica:
-    """What an entry VM knows of the store."""
+    """Revisions of an entry VM's store replica."""
 
     revision: int = 3
     store_revision: int = 8
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Vm:
-    """One entry VM's part in the exchange, with what it has sent."""
+    """One entry VM's side of the exchange, with the messages it has sent."""
 
     name: str
     exchange: domain_news.DomainNewsExchange
@@ -70,12 +70,12 @@
     sent: list
 
     def tick(self, now):
-        """Let a tenth of a second pass."""
+        """Let a tenth of a second pass: two ticks."""
         self.exchange.tick(now=now)
         self.exchange.tick(now=now)
 
-    def hear_of(self, name, now, sequence=1, **more):
-        """Take in another one's state."""
+    def receive_state_of(self, name, now, sequence=1, **more):
+        """Record a state of another entry VM."""
         self.table.record_message(
             name,
             address_of(name),
@@ -89,8 +89,8 @@
 
 
 @pytest.fixture
-def vm_of():
-    """Return a function that makes an entry VM that has heard all others."""
+def make_vm():
+    """Return a factory of entry VMs that have heard from all others."""
 
     def make(name, now=0.0):
         sent = []
@@ -102,7 +102,7 @@
             ),
             "pressed": pressure.Pressure(),
             "table": table,
-            "relays": relays_of(name, table),
+            "relays": make_roster(name, table),
             "aggregate": domain_aggregate.DomainAggregate(),
         }
         exchange = domain_news.DomainNewsExchange(
@@ -118,20 +118,20 @@
         made = Vm(name=name, exchange=exchange, sent=sent, **shared)
         for other in DOMAIN_OF:
             if other != name:
-                made.hear_of(other, now)
+                made.receive_state_of(other, now)
         return made
 
     return make
 
 
 @pytest.fixture
-def relay(vm_of):
-    return vm_of(first_of("n-1", "n-2"))
+def relay(make_vm):
+    return make_vm(first_in_order("n-1", "n-2"))
 
 
 @pytest.fixture
-def far_relay(vm_of):
-    return vm_of(first_of("s-1", "s-2"))
+def remote_relay(make_vm):
+    return make_vm(first_in_order("s-1", "s-2"))
 
 
 def neighbour_of(vm):
@@ -142,19 +142,21 @@
     )
 
 
-def begin(vm, tokens, now):
-    work = loads.InFlightRequest(
+def begin_request(vm, tokens, now):
+    request = loads.InFlightRequest(
         upstream="u-1", new_tokens=tokens, sensitivity=0.0
     )
-    vm.ledger.begin(work, now=now)
+    vm.ledger.begin(request, now=now)
 
 
-def test_relay_sums_up_its_domain_and_the_other_hands_it_on(relay, far_relay):
-    """Two entry VMs of one domain send long prompts to the same runner.
+def test_relay_sums_up_its_domain_and_the_remote_relay_forwards_it(
+    relay, remote_relay
+):
+    """An entry VM of another domain must count the load of each VM once.
 
-    An entry VM of another domain has to know of both, and of nothing twice.
+    Here two entry VMs of one domain send long prompts to the same runner.
     """
-    begin(relay, 3000.0, now=0.0)
+    begin_request(relay, 3000.0, now=0.0)
     relay.ledger.apply_report(
         neighbour_of(relay),
         {"u-1": loads.Load(waiting_by_tier=(4000.0,), running=1)},
@@ -162,104 +164,114 @@
     )
     relay.tick(now=0.1)
     news, addresses = relay.sent[-1]
-    assert address_of(far_relay.name) in addresses
+    assert address_of(remote_relay.name) in addresses
     assert peer_loads.from_rows(news.loads)["u-1"].running == 2
-    far_relay.exchange.receive(news, host=address_of(relay.name).host, now=0.1)
-    known = far_relay.ledger.load_of("u-1", now=0.1)
+    remote_relay.exchange.receive(
+        news, host=address_of(relay.name).host, now=0.1
+    )
+    known = remote_relay.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (2, 7000.0)
-    handed_on, neighbours = far_relay.sent[-1]
-    assert handed_on == news
-    assert neighbours == (address_of(neighbour_of(far_relay)),)
+    forwarded, neighbours = remote_relay.sent[-1]
+    assert forwarded == news
+    assert neighbours == (address_of(neighbour_of(remote_relay)),)
 
 
-def test_relay_tells_what_its_domain_knows_of_the_store(relay, far_relay):
+def test_relay_reports_the_store_revisions_of_its_domain(relay, remote_relay):
     relay.tick(now=0.1)
     news, _ = relay.sent[-1]
     assert (news.revision, news.store_revision, news.read_revision) == (3, 8, 9)
     assert news.reads_store
-    assert far_relay.exchange.receive(
+    assert remote_relay.exchange.receive(
         news, host=address_of(relay.name).host, now=0.1
     )
-    assert far_relay.exchange._domains.is_reading("north")
+    assert remote_relay.exchange._domains.is_reading("north")
 
 
-def test_news_that_were_handed_on_go_no_further(vm_of, relay, far_relay):
+def test_forwarded_news_are_not_forwarded_again(make_vm, relay, remote_relay):
     relay.tick(now=0.1)
     news, _ = relay.sent[-1]
-    other = vm_of(neighbour_of(far_relay))
-    other.exchange.receive(news, host=address_of(far_relay.name).host, now=0.1)
+    other = make_vm(neighbour_of(remote_relay))
+    other.exchange.receive(
+        news, host=address_of(remote_relay.name).host, now=0.1
+    )
     assert other.sent == []
 
 
-def test_far_work_is_not_told_back(relay, far_relay):
-    begin(far_relay, 3000.0, now=0.0)
-    far_relay.tick(now=0.1)
+def test_remote_load_is_not_reported_back(relay, remote_relay):
+    begin_request(remote_relay, 3000.0, now=0.0)
+    remote_relay.tick(now=0.1)
     relay.exchange.receive(
-        far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
+        remote_relay.sent[-1][0],
+        host=address_of(remote_relay.name).host,
+        now=0.1,
     )
     relay.tick(now=0.2)
     assert relay.sent[-1][0].loads.upstreams == ""
 
 
-def test_news_that_come_twice_or_late_change_nothing(relay, far_relay):
+def test_news_that_come_twice_or_late_change_nothing(relay, remote_relay):
     relay.tick(now=0.1)
     first = relay.sent[-1][0]
-    begin(relay, 3000.0, now=0.2)
+    begin_request(relay, 3000.0, now=0.2)
     relay.tick(now=0.2)
     second = relay.sent[-1][0]
     host = address_of(relay.name).host
     for news in (second, first, second):
-        far_relay.exchange.receive(news, host=host, now=0.3)
-    assert far_relay.ledger.load_of("u-1", now=0.3).running == 1
+        remote_relay.exchange.receive(news, host=host, now=0.3)
+    assert remote_relay.ledger.load_of("u-1", now=0.3).running == 1
 
 
-def test_another_speaks_when_the_relay_falls_silent_or_stops(vm_of, relay):
-    """The entry VM that spoke for its domain is lost.
+def test_second_in_order_sends_when_the_relay_falls_silent_or_stops(
+    make_vm, relay
+):
+    """The relay of a domain is lost.
 
-    Its like in other domains would take the last news for old and know
-    nothing of the work here, if no other took its place.
+    If no other entry VM took over, the other domains would drop its last news
+    as expired and know nothing of this domain's load.
     """
-    other = vm_of(neighbour_of(relay))
+    other = make_vm(neighbour_of(relay))
     other.tick(now=0.1)
     assert other.sent == []
     other.tick(now=0.1 + roster.SILENT_SECONDS)
     assert len(other.sent) == 1
-    other.hear_of(relay.name, 3.0, sequence=2)
+    other.receive_state_of(relay.name, 3.0, sequence=2)
     other.tick(now=3.0)
     assert len(other.sent) == 1
-    other.hear_of(relay.name, 3.1, sequence=3, stopping=True)
+    other.receive_state_of(relay.name, 3.1, sequence=3, stopping=True)
     other.tick(now=3.1)
     assert len(other.sent) == 2
 
 
-def test_relay_that_is_heard_gets_the_news_alone(relay, far_relay):
-    """Until it is, the first two of its domain get them."""
+def test_known_remote_relay_is_the_only_recipient(relay, remote_relay):
+    """Until it is known, the first two of its domain get the news."""
     relay.tick(now=0.1)
     assert len(relay.sent[-1][1]) == 2
-    far_relay.tick(now=0.1)
+    remote_relay.tick(now=0.1)
     relay.exchange.receive(
-        far_relay.sent[-1][0], host=address_of(far_relay.name).host, now=0.1
+        remote_relay.sent[-1][0],
+        host=address_of(remote_relay.name).host,
+        now=0.1,
     )
     relay.tick(now=0.2)
-    assert relay.sent[-1][1] == (address_of(far_relay.name),)
+    assert relay.sent[-1][1] == (address_of(remote_relay.name),)
     relay.tick(now=2.0)
     assert len(relay.sent[-1][1]) == 2
 
 
-def test_placements_and_pressed_tiers_reach_other_domains(relay, far_relay):
+def test_placements_and_pressed_tiers_reach_other_domains(relay, remote_relay):
     relay.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         relay.pressed.record_rejection("pool", 1, now=0.0)
     relay.tick(now=0.1)
-    far_relay.exchange.receive(
+    remote_relay.exchange.receive(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
-    assert far_relay.prompt_locations.has("part", "u-1", now=0.1)
-    assert far_relay.pressed.higher_tier_pressed("pool", 2, now=0.1)
+    assert remote_relay.prompt_locations.has("part", "u-1", now=0.1)
+    assert remote_relay.pressed.higher_tier_pressed("pool", 2, now=0.1)
 
 
 async def test_loads_reach_entry_vms_of_another_domain(world_of):
-    """Three entry VMs in two domains, as processes on sockets."""
+    """Three routers in two domains exchange messages over real sockets."""
     north = await world_of("n-1", domain="north")
     await north.declare(make_stream_route())
     await north.add_upstream(answer_events(b"id: 1\n\n", then="hang"))
--- a/packages/router/tests/test_fleet_duties.py
+++ b/packages/router/tests/test_fleet_duties.py
@@ -1,4 +1,4 @@
-"""Two routers of which one reports usage and orders runners for both."""
+"""Two routers, one of which reports usage and orders runners for both."""
 
 import dataclasses
 
@@ -18,18 +18,18 @@
 
 @dataclasses.dataclass
 class _Platform:
-    """The platform's side, which takes all calls."""
+    """A platform that accepts all calls."""
 
     holders: list
     reports: list
     orders: list
 
     def of(self, holder):
-        """Return the platform as one entry VM calls it."""
+        """Return the platform as seen by one entry VM."""
         return _Caller(platform=self, holder=holder)
 
     def reported(self):
-        """Return the requests in all windows, each counted once."""
+        """Return the number of requests in all windows, each counted once."""
         counts = {
             one.window: sum(one.count_by_organisation.values())
             for one in self.reports
@@ -90,7 +90,7 @@
     return first, second
 
 
-async def test_one_entry_vm_reports_what_both_have_counted(pair, platform):
+async def test_one_entry_vm_reports_the_counts_of_both(pair, platform):
     for world in pair:
         for number in range(5):
             answer = await world.ask(f"/lookups/{number}")
@@ -112,7 +112,7 @@
 
 
 async def test_planned_stop_hands_the_duties_over(pair, platform):
-    """Nobody reports for seconds after each planned restart of the holder."""
+    """Without it, nobody would report for seconds after a planned stop."""
     await wait_for(lambda: platform.reports)
     fencing, holder = platform.holders[-1]
     stopping, other = pair
@@ -121,14 +121,14 @@
     await stopping.router.stop()
     await wait_for(lambda: platform.holders[-1][1] != holder)
     assert platform.holders[-1][0] > fencing
-    # Alone now: nobody else of its failure domain is waited for.
+    # It is alone now, and waits for no other of its failure domain.
     before = platform.reported()
     await other.ask("/lookups/1")
     await wait_for(lambda: platform.reported() > before)
 
 
-async def test_router_without_duties_calls_nobody(world, store):
-    """Deployments without duties pay nothing for them."""
+async def test_router_without_duties_makes_no_calls_for_them(world, store):
+    """Guards against leases, which cost calls to the store, without duties."""
     await world.add_upstream()
     await world.ready()
     assert (await world.ask("/lookups/1")).status == 200
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -1,8 +1,8 @@
-"""A relay sums up a large failure domain for all entry VMs there.
+"""Sums of the fleet's load that the relay of a large failure domain sends.
 
-The load: forty neighbours that each route two or three requests a second. Told
-to all by each, a request would cost fifty messages; through the relay each
-hears ten a second, whatever their number.
+The case to support is forty neighbours that each route two or three requests a
+second. If each sent its state to all, a request would cost fifty messages; with
+a relay each receives ten a second, whatever their number.
 """
 
 import dataclasses
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Vm:
-    """One entry VM's part in the exchange, with what it has sent."""
+    """One entry VM's side of the exchange, with the messages it has sent."""
 
     name: str
     exchange: fleet_news.FleetNewsExchange
@@ -52,7 +52,7 @@
     sequence: int = 0
 
     def state(self, relay, *, now=0.0, **more):
-        """Return the state that it tells next."""
+        """Return the state that it sends next."""
         self.sequence += 1
         made = router_messages.RouterState(
             entry_vm=self.name,
@@ -72,16 +72,16 @@
         self.exchange.record_sent_state(made)
         return made
 
-    def begin(self, tokens=2000.0, upstream="u-1", now=0.0):
+    def begin_request(self, tokens=2000.0, upstream="u-1", now=0.0):
         """Send a request to an upstream."""
-        work = loads.InFlightRequest(
+        request = loads.InFlightRequest(
             upstream=upstream, new_tokens=tokens, sensitivity=1.0
         )
-        self.ledger.begin(work, now=now)
-        return work
+        self.ledger.begin(request, now=now)
+        return request
 
     def tick(self, now):
-        """Let a tenth of a second pass; return the news that were sent."""
+        """Let two ticks, a tenth of a second, pass; return the news sent."""
         before = len(self.sent)
         self.exchange.tick(now=now)
         self.exchange.tick(now=now)
@@ -89,8 +89,8 @@
 
 
 @pytest.fixture
-def vm_of():
-    """Return a function that makes an entry VM of a large domain."""
+def make_vm():
+    """Return a factory of entry VMs in a large failure domain."""
 
     def make(name):
         sent = []
@@ -121,27 +121,27 @@
 
 
 @pytest.fixture
-def relay(vm_of):
-    return vm_of(RELAY)
+def relay(make_vm):
+    return make_vm(RELAY)
 
 
 @pytest.fixture
-def member(vm_of):
-    return vm_of(MEMBER)
+def member(make_vm):
+    return make_vm(MEMBER)
 
 
 @pytest.fixture
-def other(vm_of):
-    return vm_of(OTHER)
+def other(make_vm):
+    return make_vm(OTHER)
 
 
-def test_member_knows_the_work_of_all_and_its_own_once(relay, member, other):
+def test_member_knows_the_load_of_all_and_its_own_once(relay, member, other):
     """Two members send long prompts to the same runner.
 
-    The sum has both; each must count its own as it is now and not twice.
+    The sum includes both; each must count its own current load, and only once.
     """
-    member.begin(tokens=3000.0)
-    other.begin(tokens=4000.0)
+    member.begin_request(tokens=3000.0)
+    other.begin_request(tokens=4000.0)
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
@@ -151,21 +151,21 @@
         assert (known.running, known.waiting_tokens) == (2, 7000.0)
 
 
-def test_own_work_that_has_ended_since_counts_no_more(relay, member):
-    work = member.begin()
+def test_own_request_that_has_ended_since_is_not_counted(relay, member):
+    request = member.begin_request()
     relay.exchange.receive_state(member.state(RELAY), now=0.1)
     (news,) = relay.tick(0.1)
-    member.ledger.end(work)
+    member.ledger.end(request)
     member.exchange.receive(news, now=0.1)
     known = member.ledger.load_of("u-1", now=0.1)
     assert (known.running, known.waiting_tokens) == (0, 0.0)
 
 
-def test_own_work_is_taken_out_as_the_relay_heard_it(relay, member):
-    """The relay has not heard the newest state of a member, or lost it."""
-    member.begin(tokens=3000.0)
+def test_own_load_is_subtracted_as_the_relay_received_it(relay, member):
+    """The newest state of a member was lost or has not arrived at the relay."""
+    member.begin_request(tokens=3000.0)
     heard = member.state(RELAY)
-    member.begin(tokens=500.0)
+    member.begin_request(tokens=500.0)
     member.state(RELAY)
     relay.exchange.receive_state(heard, now=0.1)
     (news,) = relay.tick(0.1)
@@ -174,8 +174,8 @@
     assert (known.running, known.waiting_tokens) == (2, 3500.0)
 
 
-def test_only_who_relies_on_a_relay_is_told(relay, member, other):
-    """The second in order hears all states and keeps silent meanwhile."""
+def test_only_subscribers_are_sent_the_sum(relay, member, other):
+    """The second in the order receives all states but sends no sum."""
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     relay.exchange.receive_state(other.state(SECOND), now=0.0)
     relay.tick(0.1)
@@ -184,17 +184,17 @@
     assert relay.tick(0.2) == []
 
 
-def test_relay_tells_nobody_who_has_fallen_silent(relay, member):
+def test_relay_sends_nothing_to_silent_subscribers(relay, member):
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     assert relay.tick(domain_aggregate.REPORTER_TIMEOUT_SECONDS) == []
 
 
-def test_second_in_order_takes_over_with_all_that_it_has_heard(
-    vm_of, relay, member, other
+def test_second_in_order_takes_over_with_all_received_states(
+    make_vm, relay, member, other
 ):
-    """The relay is killed; the members rely on the second from now on."""
-    second = vm_of(SECOND)
-    other.begin(tokens=4000.0)
+    """The relay is killed; the members then subscribe to the second."""
+    second = make_vm(SECOND)
+    other.begin_request(tokens=4000.0)
     for vm in (member, other):
         state = vm.state(RELAY)
         relay.exchange.receive_state(state, now=0.0)
@@ -206,10 +206,10 @@
     assert member.ledger.load_of("u-1", now=0.5).running == 1
 
 
-def test_relay_relies_on_its_own_sum(relay, other):
-    """What its decisions rest on is what the others' do."""
-    other.begin()
-    own = relay.begin()
+def test_relay_uses_its_own_sum(relay, other):
+    """A relay bases its decisions on the same data as the other entry VMs."""
+    other.begin_request()
+    own = relay.begin_request()
     relay.exchange.receive_state(relay.state(RELAY), now=0.0)
     relay.exchange.receive_state(other.state(RELAY), now=0.0)
     relay.tick(0.1)
@@ -218,8 +218,8 @@
     assert relay.ledger.load_of("u-1", now=0.1).running == 1
 
 
-def test_silence_of_all_relays_makes_the_sum_old(relay, member, other):
-    other.begin()
+def test_sum_expires_when_all_relays_are_silent(relay, member, other):
+    other.begin_request()
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.0)
@@ -229,10 +229,10 @@
     assert member.ledger.load_of("u-1", now=old) == loads.NO_LOAD
 
 
-def test_overtaken_news_change_nothing(relay, member, other):
+def test_out_of_order_news_are_ignored(relay, member, other):
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     (first,) = relay.tick(0.0)
-    other.begin()
+    other.begin_request()
     relay.exchange.receive_state(other.state(RELAY), now=0.1)
     (second,) = relay.tick(0.1)
     member.exchange.receive(second, now=0.1)
@@ -260,14 +260,14 @@
     assert member.domains.is_silent("south", now=1.1)
 
 
-def test_prompt_homes_failed_tiers_and_flow_of_prompts_are_told(
+def test_placements_pressed_tiers_and_prefill_rates_are_reported(
     relay, member, other
 ):
     other.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.LEAST_REQUESTS):
         other.pressed.record_rejection(POOL, 1, now=0.0)
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
-    other.begin(tokens=9000.0)
+    other.begin_request(tokens=9000.0)
     relay.exchange.receive_state(other.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     member.exchange.receive(news, now=0.1)
@@ -276,8 +276,8 @@
     assert member.ledger.recent_prefill("u-1", now=0.1) > 1000.0
 
 
-def test_members_learn_from_the_relay_who_lives(relay, member, other):
-    """A member tells the relay only; the others know of it all the same."""
+def test_members_learn_from_the_relay_who_is_alive(relay, member, other):
+    """A member sends its state to the relay only; others still know of it."""
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
@@ -288,7 +288,7 @@
     assert domain_aggregate.short_hash(OTHER) not in news.tellers
 
 
-def test_leaving_upstreams_are_named(relay, member):
+def test_leaving_upstreams_are_reported(relay, member):
     relay.directory.apply_entry(make_registration("u-1", port=1), now=0.0)
     relay.directory.mark_leaving("u-1", start=0, source="store")
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
@@ -297,7 +297,7 @@
 
 
 def test_news_with_too_few_numbers_are_refused(relay, member, other):
-    other.begin()
+    other.begin_request()
     for vm in (member, other):
         relay.exchange.receive_state(vm.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
--- a/packages/router/tests/test_load_ledger.py
+++ b/packages/router/tests/test_load_ledger.py
@@ -1,4 +1,4 @@
-"""Own and told loads, and how they fade."""
+"""Own and reported loads, and their decay."""
 
 import pytest
 from hypothesis import given
@@ -12,49 +12,49 @@
     return load_ledger.LoadLedger()
 
 
-def work(upstream="u-1", tokens=1000.0, sensitivity=2.0):
+def make_request(upstream="u-1", tokens=1000.0, sensitivity=2.0):
     return loads.InFlightRequest(
         upstream=upstream, new_tokens=tokens, sensitivity=sensitivity
     )
 
 
-def test_own_work_is_counted_from_its_sending_to_its_end(ledger):
-    one = work()
-    ledger.begin(one, now=0.0)
+def test_own_request_is_counted_from_its_sending_to_its_end(ledger):
+    request = make_request()
+    ledger.begin(request, now=0.0)
     assert ledger.load_of("u-1", now=0.0) == loads.Load(
         waiting_by_tier=(1000.0,), running=1, sensitive=2.0, held_tokens=1000.0
     )
-    ledger.first_event(one)
+    ledger.first_event(request)
     assert ledger.load_of("u-1", now=0.0).waiting_tokens == 0.0
     assert ledger.load_of("u-1", now=0.0).running == 1
-    ledger.end(one)
+    ledger.end(request)
     assert ledger.load_of("u-1", now=0.0) == loads.NO_LOAD
 
 
-def test_two_alike_works_are_counted_each(ledger):
-    first, second = work(), work()
+def test_two_equal_requests_are_counted_separately(ledger):
+    first, second = make_request(), make_request()
     ledger.begin(first, now=0.0)
     ledger.begin(second, now=0.0)
     ledger.end(first)
     assert ledger.load_of("u-1", now=0.0).running == 1
 
 
-def test_what_peers_told_is_added_until_it_is_old(ledger):
-    told = {"u-1": loads.Load(waiting_by_tier=(500.0,), running=2)}
-    ledger.apply_report("vm-2", told, now=10.0)
-    ledger.apply_report("vm-3", told, now=10.0)
+def test_reports_of_peers_are_added_until_they_expire(ledger):
+    report = {"u-1": loads.Load(waiting_by_tier=(500.0,), running=2)}
+    ledger.apply_report("vm-2", report, now=10.0)
+    ledger.apply_report("vm-3", report, now=10.0)
     assert ledger.load_of("u-1", now=10.1).running == 4
     old = 10.0 + load_ledger.PEER_LOAD_SECONDS
     assert ledger.load_of("u-1", now=old).running == 0
 
 
-def test_lost_peer_counts_no_more(ledger):
+def test_report_of_a_lost_peer_is_dropped(ledger):
     ledger.apply_report("vm-2", {"u-1": loads.Load(running=2)}, now=10.0)
     ledger.forget_peer("vm-2")
     assert ledger.load_of("u-1", now=10.0).running == 0
 
 
-def test_failures_fade(ledger):
+def test_failures_decay(ledger):
     ledger.add_failure("u-1", now=0.0)
     ledger.add_failure("u-1", now=0.0)
     assert ledger.failures("u-1", now=0.0) == pytest.approx(2.0)
@@ -62,7 +62,7 @@
     assert ledger.failures("u-2", now=0.0) == 0.0
 
 
-def test_steady_prefill_is_read_as_its_rate(ledger):
+def test_steady_prefill_is_returned_as_its_rate(ledger):
     for step in range(200):
         ledger.add_prefill("u-1", 100.0, now=step * 0.1)
     assert ledger.recent_prefill("u-1", now=20.0) == pytest.approx(
@@ -70,34 +70,34 @@
     )
 
 
-def test_told_prompts_count_as_recent_once(ledger):
-    told = {"u-1": loads.Load(waiting_by_tier=(1000.0,), running=1)}
-    ledger.apply_report("vm-2", told, now=0.0)
+def test_repeated_report_adds_prefill_once(ledger):
+    report = {"u-1": loads.Load(waiting_by_tier=(1000.0,), running=1)}
+    ledger.apply_report("vm-2", report, now=0.0)
     once = ledger.recent_prefill("u-1", now=0.0)
-    ledger.apply_report("vm-2", told, now=0.0)
+    ledger.apply_report("vm-2", report, now=0.0)
     assert ledger.recent_prefill("u-1", now=0.0) == pytest.approx(once)
 
 
-def test_gone_upstreams_are_forgotten(ledger):
+def test_failures_of_removed_upstreams_are_dropped(ledger):
     ledger.add_failure("u-1", now=0.0)
     ledger.forget_upstreams(["u-2"])
     assert ledger.failures("u-1", now=0.0) == 0.0
 
 
 def test_request_without_an_answer_becomes_overdue(ledger):
-    """A runner goes dark with its connections open.
+    """A runner stops answering while its connections stay open.
 
-    Nothing fails until the callers leave; requests that came meanwhile went
-    there as well.
+    Nothing fails until the callers leave, and more requests would be sent to it
+    until then.
     """
     at = loads.overdue_at(now=0.0, expected_seconds=0.5)
-    one = loads.InFlightRequest(
+    request = loads.InFlightRequest(
         upstream="u-1", new_tokens=10.0, sensitivity=0.0, overdue_at=at
     )
-    ledger.begin(one, now=0.0)
+    ledger.begin(request, now=0.0)
     assert ledger.load_of("u-1", now=1.4).overdue == 0
     assert ledger.load_of("u-1", now=1.5).overdue == 1
-    ledger.first_event(one)
+    ledger.first_event(request)
     assert ledger.load_of("u-1", now=1.5).overdue == 0
 
 
@@ -106,29 +106,29 @@
     assert at == loads.MIN_OVERDUE_SECONDS
 
 
-def test_restarted_upstream_begins_with_nothing(ledger):
-    """A runner starts again under its id while requests ran there.
+def test_load_of_a_restarted_upstream_is_dropped(ledger):
+    """A runner restarts under the same id while requests run there.
 
-    Counted on, they would keep new ones away from an empty runner; their
-    late ends must not be counted a second time either.
+    If they were still counted, new requests would avoid an idle runner. When
+    their end is noticed later, it must not be counted a second time.
     """
-    lost = work()
+    lost = make_request()
     ledger.begin(lost, now=0.0)
     ledger.add_failure("u-1", now=0.0)
-    told = {"u-1": loads.Load(running=2), "u-2": loads.Load(running=3)}
-    ledger.apply_report("vm-2", told, now=0.0)
+    report = {"u-1": loads.Load(running=2), "u-2": loads.Load(running=3)}
+    ledger.apply_report("vm-2", report, now=0.0)
     ledger.forget_instance("u-1")
     assert ledger.load_of("u-1", now=0.0) == loads.NO_LOAD
     assert ledger.failures("u-1", now=0.0) == 0.0
     assert ledger.recent_prefill("u-1", now=0.0) == 0.0
     assert ledger.load_of("u-2", now=0.0).running == 3
-    fresh = work()
+    fresh = make_request()
     ledger.begin(fresh, now=0.1)
     ledger.end(lost)
     assert ledger.load_of("u-1", now=0.1).running == 1
 
 
-TOLD = st.dictionaries(
+REPORTS = st.dictionaries(
     st.sampled_from(["u-1", "u-2", "u-3"]),
     st.builds(
         loads.Load,
@@ -141,20 +141,22 @@
     max_size=3,
 )
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["vm-2", "vm-3", "south"]), TOLD, st.floats(0, 1))
+    st.tuples(
+        st.sampled_from(["vm-2", "vm-3", "south"]), REPORTS, st.floats(0, 1)
+    )
 )
 
 
 @given(STEPS)
 def test_sums_are_those_of_the_latest_messages(steps):
-    """The differential test against adding up what each teller told last."""
+    """Compares the sums with sums of the reporters' last reports."""
     ledger = load_ledger.LoadLedger()
     latest = {}
     now = 0.0
-    for teller, told, pause in steps:
+    for reporter, report, pause in steps:
         now += pause
-        ledger.apply_report(teller, told, now=now)
-        latest[teller] = (now, told)
+        ledger.apply_report(reporter, report, now=now)
+        latest[reporter] = (now, report)
         for upstream in ("u-1", "u-2", "u-3"):
             known = [
                 loads_by_upstream[upstream]
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -1,4 +1,4 @@
-"""News that two entry VMs hand on at a time, each as the relay of its domain."""
+"""News that two neighbours both forward, each considering itself the relay."""
 
 import itertools
 import random
@@ -18,29 +18,29 @@
 
 NOW = 1000.0
 HOP_SECONDS = 0.002
-MOST_MESSAGES = 20
+MAX_MESSAGES = 20
 
 
-class Leads:
-    """Each entry VM takes itself for the relay."""
+class AlwaysRelay:
+    """Relays of the fleet, as seen by an entry VM that considers itself one."""
 
     def remote_relay_addresses(self):
-        """Return nobody: the other domain is not of interest."""
+        """Return none: messages to the other domain are not simulated."""
         return ()
 
     def is_relay(self):
-        """Return what each believes."""
+        """Return true for each entry VM."""
         return True
 
 
 class Pair:
-    """Two neighbours, and the messages between them that are under way."""
+    """Two neighbours, and the messages in transit between them."""
 
-    def __init__(self, exchange_of):
-        self.under_way = []
+    def __init__(self, make_exchange):
+        self.in_transit = []
         self.sent = 0
         self.exchanges = [
-            exchange_of(f"vm-{n}", self._spreader(n)) for n in range(2)
+            make_exchange(f"vm-{n}", self._spreader(n)) for n in range(2)
         ]
 
     def _spreader(self, number):
@@ -52,23 +52,23 @@
         def send(message, addresses):
             for _ in addresses:
                 self.sent += 1
-                self.under_way.append((1 - number, message))
+                self.in_transit.append((1 - number, message))
 
         return news_broadcaster.NewsBroadcaster(
             domain="north",
             table=table,
-            fleet=Leads(),
+            fleet=AlwaysRelay(),
             send=send,
             rng=random.Random(1),
         )
 
     def run(self, *messages):
-        """Deliver messages of another domain, and all that they bring about."""
-        self.under_way = [(n, one) for one in messages for n in range(2)]
+        """Deliver messages of another domain and all that follow."""
+        self.in_transit = [(n, one) for one in messages for n in range(2)]
         for step in itertools.count():
-            if not self.under_way or self.sent > MOST_MESSAGES:
+            if not self.in_transit or self.sent > MAX_MESSAGES:
                 return
-            number, message = self.under_way.pop(0)
+            number, message = self.in_transit.pop(0)
             now = NOW + step * HOP_SECONDS
             self.exchanges[number].take(message, now=now)
 
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    ("exchange_of", "messages"),
+    ("make_exchange", "messages"),
     [
         (rest_exchange, (rest(3000),)),
         (rest_exchange, (rest(3000), rest(3001))),
@@ -126,8 +126,8 @@
         (limit_exchange, (limit(0, 4), limit(1500, 5))),
     ],
 )
-def test_news_that_two_relays_hand_on_comes_to_rest(exchange_of, messages):
-    """Guards against news that goes round between relays for ever."""
-    pair = Pair(exchange_of)
+def test_forwarding_between_two_relays_terminates(make_exchange, messages):
+    """Guards against news that two relays forward to each other for ever."""
+    pair = Pair(make_exchange)
     pair.run(*messages)
-    assert pair.sent <= MOST_MESSAGES
+    assert pair.sent <= MAX_MESSAGES
--- a/packages/router/tests/test_peer_loads.py
+++ b/packages/router/tests/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""Loads as rows of whole numbers, and back."""
+"""Conversion of loads to rows of integers and back."""
 
 import dataclasses
 
@@ -21,14 +21,14 @@
 
 
 def padded(load, tiers):
-    """Return a load with a figure for each tier."""
+    """Return a load with a number for each tier."""
     waiting = tuple(map(float, load.waiting_by_tier))
     missing = tiers - len(waiting)
     return dataclasses.replace(load, waiting_by_tier=waiting + (0.0,) * missing)
 
 
 @given(st.dictionaries(st.sampled_from("abcdef"), LOADS))
-def test_rows_tell_what_was_known(known):
+def test_rows_round_trip_through_a_message(loads_by_upstream):
     state = router_messages.RouterState(
         entry_vm="vm-1",
         domain="north",
@@ -36,20 +36,25 @@
         sequence=1,
         port=1,
         revision=1,
-        loads=peer_loads.to_rows(known),
+        loads=peer_loads.to_rows(loads_by_upstream),
     )
-    told = peer_loads.from_rows(
+    decoded = peer_loads.from_rows(
         router_codec.decode(router_codec.encode(state)).loads
     )
-    tiers = max((len(one.waiting_by_tier) for one in known.values()), default=0)
-    assert told == {id: padded(load, tiers) for id, load in known.items()}
+    tiers = max(
+        (len(one.waiting_by_tier) for one in loads_by_upstream.values()),
+        default=0,
+    )
+    assert decoded == {
+        id: padded(load, tiers) for id, load in loads_by_upstream.items()
+    }
 
 
 @pytest.mark.parametrize("missing", [1, 4, 20])
-def test_rows_of_another_length_are_a_fault(missing):
-    """A datagram of another version has a number less in each row.
+def test_rows_of_another_length_are_rejected(missing):
+    """A datagram of another version has one number less in each row.
 
-    Read as it stands, loads would be taken for those of other upstreams.
+    If it were accepted, loads would be attributed to the wrong upstreams.
     """
     rows = peer_loads.to_rows(
         {"u-1": loads.Load(waiting_by_tier=(1.0,), running=1)}
@@ -59,7 +64,7 @@
         peer_loads.from_rows(broken)
 
 
-def test_number_beyond_its_bytes_is_told_as_the_largest():
+def test_number_beyond_its_range_is_reduced_to_the_maximum():
     rows = peer_loads.to_rows({"u-1": loads.Load(held_tokens=1e12)})
-    told = peer_loads.from_rows(rows)["u-1"]
-    assert told.held_tokens == 2**32 - 1
+    decoded = peer_loads.from_rows(rows)["u-1"]
+    assert decoded.held_tokens == 2**32 - 1
--- a/packages/router/tests/test_peer_socket.py
+++ b/packages/router/tests/test_peer_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams of the fleet, of others, and of nobody who makes sense."""
+"""Datagrams of the own fleet, of other fleets, and invalid ones."""
 
 import logging
 
@@ -17,55 +17,55 @@
 
 @pytest.fixture
 async def socket_of():
-    """Return a function that opens sockets; they end with the test."""
+    """Return a function that opens sockets, which are closed after the test."""
     opened = []
 
     async def open_socket(key):
-        heard = []
+        received = []
         made = peer_socket.PeerSocket(
-            key=key, on_message=lambda message, host: heard.append(message)
+            key=key, on_message=lambda message, host: received.append(message)
         )
         address = settings.Address(host=HOST, port=free_ports(1)[0])
         await made.start(address)
         opened.append(made)
-        return made, address, heard
+        return made, address, received
 
     yield open_socket
     for made in opened:
         made.close()
 
 
-async def test_message_of_the_fleet_arrives(socket_of):
+async def test_message_of_the_same_fleet_arrives(socket_of):
     first, _, _ = await socket_of(b"key")
-    _, address, heard = await socket_of(b"key")
+    _, address, received = await socket_of(b"key")
     first.send(NEWS, (address,))
-    await wait_for(lambda: heard)
-    assert heard == [NEWS]
+    await wait_for(lambda: received)
+    assert received == [NEWS]
 
 
 async def test_datagram_of_another_fleet_is_dropped(socket_of, caplog):
-    """Addresses are used again: the other fleet's loads would be taken for ours."""
+    """Addresses are reused: another fleet's loads must not be counted."""
     first, _, _ = await socket_of(b"key")
-    _, address, heard = await socket_of(b"other key")
+    _, address, received = await socket_of(b"other key")
     with caplog.at_level(logging.WARNING):
         first.send(NEWS, (address,))
         await wait_for(lambda: caplog.records)
-    assert not heard
+    assert not received
     assert caplog.records[0].detail.endswith("wrong tag")
 
 
-async def test_bytes_that_are_no_message_are_dropped(socket_of, caplog):
-    made, _, heard = await socket_of(b"key")
+async def test_invalid_message_is_dropped(socket_of, caplog):
+    made, _, received = await socket_of(b"key")
     body = router_codec.encode(NEWS)[:-3]
     with caplog.at_level(logging.WARNING):
         made.receive(made._tag(body) + body, HOST)
-    assert not heard
+    assert not received
     assert "no valid message" in caplog.records[0].detail
 
 
-async def test_nothing_is_sent_after_the_end(socket_of):
+async def test_nothing_is_sent_after_close(socket_of):
     first, _, _ = await socket_of(b"key")
-    _, address, heard = await socket_of(b"key")
+    _, address, received = await socket_of(b"key")
     first.close()
     first.send(NEWS, (address,))
-    assert not heard
+    assert not received
--- a/packages/router/tests/test_roster.py
+++ b/packages/router/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Who has a duty: one order, silent ones passed over, nobody trusted for long."""
+"""Selection for a duty: one order for all, silent members passed over."""
 
 import pytest
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
 
 
 class Vm:
-    """One entry VM's view of who has the duty."""
+    """One entry VM's view of who is selected for the duty."""
 
     def __init__(self, name, **options):
         self.name = name
@@ -39,8 +39,8 @@
         )
         self.sequence = 0
 
-    def hear(self, other, now, **more):
-        """Take in a message of another one."""
+    def receive_from(self, other, now, **more):
+        """Record a message of another entry VM."""
         self.sequence += 1
         self.table.record_message(
             other,
@@ -53,35 +53,35 @@
         )
 
     def on_duty(self, now):
-        """Return who has the duty by this view."""
+        """Return who is selected by this view."""
         return self.roster.on_duty(now=now)
 
 
 @pytest.fixture
-def small():
-    """Return the view of an entry VM that comes behind the large ones."""
+def small_vm():
+    """Return the view of an entry VM that is ordered after the large ones."""
     return Vm("vm-0")
 
 
-def test_all_agree_on_the_large_ones_before_any_message():
-    """A fleet starts: nobody has heard anybody yet."""
+def test_all_select_the_largest_before_any_message():
+    """A fleet starts, and no messages have been received yet."""
     views = {Vm(name).on_duty(0.0) for name in NAMES}
     assert len(views) == 1
     assert set(views.pop()) == {"vm-1", "vm-3"}
 
 
-def test_silent_ones_are_passed_over_and_come_back(small):
-    first, second = small.on_duty(0.0)
-    small.hear(second, SILENT / 2)
-    assert small.on_duty(SILENT)[0] == second
-    third = small.on_duty(SILENT)[1]
+def test_silent_members_are_passed_over_and_selected_again(small_vm):
+    first, second = small_vm.on_duty(0.0)
+    small_vm.receive_from(second, SILENT / 2)
+    assert small_vm.on_duty(SILENT)[0] == second
+    third = small_vm.on_duty(SILENT)[1]
     assert third not in (first, second)
-    small.hear(first, SILENT + 0.1)
-    assert small.on_duty(SILENT + 0.1) == (first, second)
+    small_vm.receive_from(first, SILENT + 0.1)
+    assert small_vm.on_duty(SILENT + 0.1) == (first, second)
 
 
-def test_whoever_takes_a_place_has_time_to_be_heard():
-    """The third in order has never told anything: nobody relied on it."""
+def test_newly_selected_member_has_time_to_be_heard():
+    """The third in the order was not selected so far, and has sent nothing."""
     first, second, third, fourth, last = Vm("vm-0").roster.order_of(CORES)
     vm = Vm(last)
     assert vm.on_duty(0.0) == (first, second)
@@ -90,13 +90,13 @@
     assert vm.on_duty(2.1 * SILENT) == (last,)
 
 
-def test_stopping_one_is_passed_over_at_once(small):
-    first, second = small.on_duty(0.0)
-    small.hear(first, 0.1, stopping=True)
-    assert small.on_duty(0.1)[0] == second
+def test_stopping_member_is_passed_over_at_once(small_vm):
+    first, second = small_vm.on_duty(0.0)
+    small_vm.receive_from(first, 0.1, stopping=True)
+    assert small_vm.on_duty(0.1)[0] == second
 
 
-def test_stopping_entry_vm_takes_up_no_duty():
+def test_stopping_entry_vm_does_not_select_itself():
     first = Vm("vm-0").on_duty(0.0)[0]
     own = Vm(first)
     assert own.on_duty(0.0)[0] == first
@@ -104,84 +104,88 @@
     assert first not in own.on_duty(0.0)
 
 
-def test_one_that_hears_nobody_relies_on_itself(small):
-    """An entry VM is cut off from all others, which it knows by name."""
+def test_entry_vm_that_hears_nobody_selects_itself(small_vm):
+    """An entry VM is cut off from all others but knows that they exist."""
     now = 0.0
-    while small.on_duty(now)[0] != "vm-0":
+    while small_vm.on_duty(now)[0] != "vm-0":
         now += SILENT
         assert now <= len(NAMES) * SILENT
 
 
-def test_places_that_are_not_filled_bring_in_others():
-    """The first two live, but the store turns them away.
+def test_others_are_selected_while_the_first_do_not_perform():
+    """The first two are alive, but the store rejects their requests.
 
-    Up to four try at a time, and at once: each would need a second to find out
-    that it is turned away as well. The rest would only ask in vain.
+    Then up to four are selected at once, because each needs a second to notice
+    that it is rejected as well. The rest would only cause failing requests.
     """
-    filled = set()
+    performing = set()
 
     def performs_task(member, *, since, first):
         del since, first
-        return member in filled
+        return member in performing
 
     vm = Vm("vm-0", max_count=4, performs_task=performs_task)
     order = vm.roster.order_of(CORES)
     assert vm.on_duty(0.0) == order[:4]
-    filled.add(order[0])
+    performing.add(order[0])
     assert vm.on_duty(0.0) == order[:4]
-    filled.add(order[2])
+    performing.add(order[2])
     assert vm.on_duty(0.0) == order[:3]
-    filled.add(order[1])
+    performing.add(order[1])
     assert vm.on_duty(0.0) == order[:2]
 
 
 class Fleet(RuleBasedStateMachine):
-    """Entry VMs that die, come back and are cut off from each other."""
+    """Entry VMs that stop, restart and are cut off from each other."""
 
     @initialize()
     def begin(self):
-        """Start all."""
+        """Start all entry VMs."""
         self.now = 0.0
         self.views = {name: Vm(name) for name in NAMES}
-        self.dead = set()
-        self.cut = set()
-        self.calm_since = 0.0
+        self.stopped_vms = set()
+        self.cut_off = set()
+        self.unchanged_since = 0.0
 
     @rule(name=st.sampled_from(NAMES))
-    def die_or_return(self, name):
-        """Kill one, or start it again."""
-        self.dead ^= {name}
+    def stop_or_start(self, name):
+        """Stop one, or start it again."""
+        self.stopped_vms ^= {name}
         self.views[name] = Vm(name)
-        self.calm_since = self.now
+        self.unchanged_since = self.now
 
     @rule(name=st.sampled_from(NAMES))
-    def cut_or_heal(self, name):
-        """Cut one off from all others, or heal the cut."""
-        self.cut ^= {name}
-        self.calm_since = self.now
-
-    @rule(beats=st.integers(1, 40))
-    def wait(self, beats):
-        """Let those that have a duty by their own view tell the others."""
-        for _ in range(beats):
+    def cut_or_reconnect(self, name):
+        """Cut one off from all others, or reconnect it."""
+        self.cut_off ^= {name}
+        self.unchanged_since = self.now
+
+    @rule(messages=st.integers(1, 40))
+    def wait(self, messages):
+        """Let those that are selected by their own view send to the others."""
+        for _ in range(messages):
             self.now += 0.4 * SILENT
-            live = [one for one in NAMES if one not in self.dead]
+            live = [one for one in NAMES if one not in self.stopped_vms]
             for name in live:
                 if name in self.views[name].on_duty(self.now):
-                    self.tell(name, live)
+                    self.send(name, live)
 
-    def tell(self, name, live):
-        """Have one tell all that it reaches."""
+    def send(self, name, live):
+        """Send a message of one to all that it reaches."""
         for other in live:
-            if other != name and not self.cut & {name, other}:
-                self.views[other].hear(name, self.now)
+            if other != name and not self.cut_off & {name, other}:
+                self.views[other].receive_from(name, self.now)
 
     @invariant()
-    def all_that_reach_each_other_agree_after_a_while(self):
-        """After one silence for each that may have to be passed over."""
-        if self.now - self.calm_since < (len(NAMES) + 2) * SILENT:
+    def all_that_are_connected_agree_in_time(self):
+        """Check after `SILENT_SECONDS` for each that may be passed over."""
+        if self.now - self.unchanged_since < (len(NAMES) + 2) * SILENT:
             return
-        live = [n for n in NAMES if n not in self.dead and n not in self.cut]
+        live = [
+            n
+            for n in NAMES
+            if n not in self.stopped_vms and n not in self.cut_off
+        ]
         answers = {self.views[name].on_duty(self.now)[0] for name in live}
         order = Vm(NAMES[0]).roster.order_of(CORES)
         wanted = [name for name in order if name in live][:1]
--- a/packages/router/tests/test_spread_of_changes.py
+++ b/packages/router/tests/test_spread_of_changes.py
@@ -1,8 +1,8 @@
-"""Changes of the store reach all entry VMs, whatever is lost on the way.
+"""Changes of the store reach all entry VMs although messages may be lost.
 
-Two entry VMs read the store and tell their neighbours what has changed, in
-datagrams that may be lost. Whoever misses one hears from the next state of a
-neighbour that there is more, and fetches what it lacks: a change, or all.
+Two entry VMs read the store and send changes to their neighbours in datagrams,
+which may be lost. An entry VM that has missed one learns from the next state of
+a neighbour that it is outdated, and fetches a delta or everything.
 """
 
 import dataclasses
@@ -35,8 +35,8 @@
 REQUESTS = ("request-1", "request-2")
 
 
-class KeptBlocks(set):
-    """Blocked requests that an entry VM was told of by the store."""
+class StoredBlocks(set):
+    """Blocked requests that an entry VM has received from the store."""
 
     def apply_stored(self, request, value):
         """Keep a block."""
@@ -48,18 +48,18 @@
         self.discard(request)
 
     def on_store_restored(self):
-        """Keep what is known."""
+        """Keep all blocks."""
 
 
 class Vm:
-    """What one entry VM believes, and what it has told."""
+    """The store replica of one entry VM, and the changes it has sent."""
 
     def __init__(self, name, layout):
         self.name = name
-        self.told = []
+        self.sent = []
         self.directory = upstreams.UpstreamDirectory()
-        self.blocks = KeptBlocks()
-        self.known = store_replica.StoreReplica(
+        self.blocks = StoredBlocks()
+        self.replica = store_replica.StoreReplica(
             layout=layout,
             directory=self.directory,
             peers=peer_table.PeerTable(entry_vm=name, domain="north"),
@@ -68,10 +68,10 @@
             on_upstreams=lambda: None,
             clock=clocks.ManualClock(),
         )
-        self.known.on_changes = self.told.append
+        self.replica.on_changes = self.sent.append
 
     def usable(self):
-        """Return the upstreams that it would send to."""
+        """Return the upstreams that it would send requests to."""
         return {
             one.id: one.start
             for one in self.directory.registrations
@@ -79,40 +79,40 @@
         }
 
     def state(self):
-        """Return what it tells of its knowledge."""
+        """Return the state that reports its revisions."""
         return router_messages.RouterState(
             entry_vm=self.name,
             domain="north",
             start=1,
             sequence=1,
             port=1,
-            revision=self.known.revision,
-            follows_store=self.known.follows_store,
-            store_revision=self.known.store_revision,
-            read_revision=self.known.read_revision,
+            revision=self.replica.revision,
+            follows_store=self.replica.follows_store,
+            store_revision=self.replica.store_revision,
+            read_revision=self.replica.read_revision,
         )
 
 
 class Store:
-    """Keys with their revisions, and all that has changed."""
+    """A store: keys with their revisions, and all changes."""
 
     def __init__(self, layout):
         self.layout = layout
         self.era = 1
-        self.plain_revision = 1
+        self.counter = 1
         self.declared = 0
-        self.most_declared = 0
+        self.max_declared = 0
         self.starts = 0
         self.items = {}
         self.events = []
 
     @property
     def revision(self):
-        """Number of the last write, as the client of the store makes it."""
-        return self.era << store_eras.ERA_BITS | self.plain_revision
+        """Revision of the last write, as the store's client composes it."""
+        return self.era << store_eras.ERA_BITS | self.counter
 
     def restore(self, lost):
-        """Come back from a copy that lacks the last writes."""
+        """Restore the store from a backup that lacks the last writes."""
         kept = self.events[: max(0, len(self.events) - lost)]
         self.era += 1
         self.items = {}
@@ -121,13 +121,13 @@
                 self.items.pop(one.key, None)
             else:
                 self.items[one.key] = one.value
-        self.plain_revision = 1 + len(kept)
+        self.counter = 1 + len(kept)
         self.declared = int(self.items.get(self.layout.declarations_key, b"0"))
         self.events = kept
 
     def write(self, key, value):
         """Write a key, or remove it."""
-        self.plain_revision += 1
+        self.counter += 1
         if value is None:
             self.items.pop(key, None)
         else:
@@ -139,7 +139,7 @@
     def declare(self):
         """Write the next revision of the declarations."""
         self.declared += 1
-        self.most_declared = max(self.most_declared, self.declared)
+        self.max_declared = max(self.max_declared, self.declared)
         self.layout.declared_by_revision[self.declared] = make_declarations(
             revision=self.declared
         )
@@ -188,89 +188,93 @@
 
 @pytest.fixture
 def reader(layout, store):
-    return read_all(Vm("reader-1", layout), store)
+    return read_listing(Vm("reader-1", layout), store)
 
 
-def read_all(vm, store):
-    vm.known.apply_listing(store.listing(), store.revision)
+def read_listing(vm, store):
+    vm.replica.apply_listing(store.listing(), store.revision)
     return vm
 
 
 def read_changes(vm, store):
-    known = vm.known.read_revision
-    if store_eras.era_of(known) != store.era:
-        # The store has no watch from there.
-        read_all(vm, store)
+    read_revision = vm.replica.read_revision
+    if store_eras.era_of(read_revision) != store.era:
+        # After a restore no watch can begin at a revision of before.
+        read_listing(vm, store)
         return
-    new = tuple(one for one in store.events if one.modified > known)
-    vm.known.apply_changes(new, store.revision)
+    new = tuple(one for one in store.events if one.modified > read_revision)
+    vm.replica.apply_changes(new, store.revision)
 
 
-def over_the_wire(message):
+def encoded_and_decoded(message):
     return router_codec.decode(router_codec.encode(message))
 
 
 def fetch(member, peer):
-    """Fetch from a peer what its state says is newer there."""
+    """Fetch from a peer what is newer there according to its state."""
     state = peer.state()
-    if state.revision > member.known.revision:
-        digest = member.known.declared.newest.digest
-        change = peer.known.declared.change_from(digest)
-        member.known.apply_declared_change(
-            over_the_wire(change), source=peer.name
+    if state.revision > member.replica.revision:
+        digest = member.replica.declared.newest.digest
+        change = peer.replica.declared.change_from(digest)
+        member.replica.apply_declared_change(
+            encoded_and_decoded(change), source=peer.name
         )
-    if state.store_revision > member.known.store_revision:
-        member.known.apply_peer_entries(
-            peer.known.upstream_entries(), state.store_revision
+    if state.store_revision > member.replica.store_revision:
+        member.replica.apply_peer_entries(
+            peer.replica.upstream_entries(), state.store_revision
         )
-    member.known.record_peer_revision(state)
+    member.replica.record_peer_revision(state)
 
 
-def test_told_change_is_in_force_without_a_fetch(layout, store, reader):
+def test_sent_change_is_in_force_without_a_fetch(layout, store, reader):
     member = Vm("member-1", layout)
     fetch(member, reader)
     store.declare()
     store.put_upstream("u-2")
-    reader.told.clear()
+    reader.sent.clear()
     read_changes(reader, store)
-    (changes,) = reader.told
-    member.known.apply_peer_changes(over_the_wire(changes))
-    assert member.known.revision == 2
+    (changes,) = reader.sent
+    member.replica.apply_peer_changes(encoded_and_decoded(changes))
+    assert member.replica.revision == 2
     assert set(member.usable()) == {"u-1", "u-2"}
 
 
 def test_change_after_a_lost_one_waits_for_a_fetch(layout, store, reader):
-    """A datagram is lost in which an upstream was said to be gone.
+    """A datagram with the removal of an upstream is lost.
 
-    The next one must not be taken for all there is to know.
+    The next one must not be taken for the only change since.
     """
     member = Vm("member-1", layout)
     fetch(member, reader)
-    reader.told.clear()
+    reader.sent.clear()
     store.write(layout.upstreams_prefix + "u-1", None)
     read_changes(reader, store)
     store.put_upstream("u-2")
     read_changes(reader, store)
-    member.known.apply_peer_changes(reader.told[1])
+    member.replica.apply_peer_changes(reader.sent[1])
     assert set(member.usable()) == {"u-1"}
     fetch(member, reader)
-    assert member.known.upstream_entries() == reader.known.upstream_entries()
+    assert (
+        member.replica.upstream_entries() == reader.replica.upstream_entries()
+    )
 
 
-def test_change_is_told_after_a_reading_of_all_keys(layout, store, reader):
-    """The store has forgotten what came; a reader reads everything anew."""
+def test_change_found_by_a_listing_is_sent(layout, store, reader):
+    """The store has compacted the changes; a reader lists all keys again."""
     member = Vm("member-1", layout)
     fetch(member, reader)
-    reader.told.clear()
+    reader.sent.clear()
     store.write(layout.upstreams_prefix + "u-1", None)
     store.put_upstream("u-2")
-    read_all(reader, store)
-    (changes,) = reader.told
-    member.known.apply_peer_changes(over_the_wire(changes))
-    assert member.known.upstream_entries() == reader.known.upstream_entries()
+    read_listing(reader, store)
+    (changes,) = reader.sent
+    member.replica.apply_peer_changes(encoded_and_decoded(changes))
+    assert (
+        member.replica.upstream_entries() == reader.replica.upstream_entries()
+    )
 
 
-def test_block_is_told_and_so_is_its_end(layout, store, reader):
+def test_block_and_its_removal_are_sent(layout, store, reader):
     member = Vm("member-1", layout)
     fetch(member, reader)
     store.block("request-1")
@@ -278,46 +282,48 @@
     read_changes(reader, store)
     store.unblock("request-2")
     read_changes(reader, store)
-    for changes in reader.told[1:]:
-        member.known.apply_peer_changes(over_the_wire(changes))
+    for changes in reader.sent[1:]:
+        member.replica.apply_peer_changes(encoded_and_decoded(changes))
     assert member.blocks == reader.blocks == {"request-1"}
 
 
-def test_block_is_known_to_an_entry_vm_that_starts(layout, store, reader):
-    """All that knew it may have ended; the store keeps it."""
+def test_block_is_known_to_a_newly_started_entry_vm(layout, store, reader):
+    """All entry VMs that knew it may have ended, but the store keeps it."""
     store.block("request-1")
-    assert read_all(Vm("reader-2", layout), store).blocks == {"request-1"}
+    assert read_listing(Vm("reader-2", layout), store).blocks == {"request-1"}
     read_changes(reader, store)
     member = Vm("member-1", layout)
     fetch(member, reader)
     assert member.blocks == {"request-1"}
 
 
-def test_reading_that_shows_nothing_new_tells_nothing(store, reader):
-    reader.told.clear()
-    read_all(reader, store)
-    assert reader.told == []
+def test_listing_without_changes_sends_nothing(store, reader):
+    reader.sent.clear()
+    read_listing(reader, store)
+    assert reader.sent == []
 
 
-def test_member_knows_up_to_where_the_store_was_read(layout, store, reader):
-    """It takes up the reading itself and goes on from there."""
+def test_member_knows_up_to_which_revision_the_store_was_read(
+    layout, store, reader
+):
+    """When it starts to read the store itself, it continues from there."""
     member = Vm("member-1", layout)
     fetch(member, reader)
     store.write("something-else", b"")
     read_changes(reader, store)
     fetch(member, reader)
-    assert member.known.read_revision == store.revision
+    assert member.replica.read_revision == store.revision
     store.put_upstream("u-2")
     read_changes(reader, store)
-    member.known.record_peer_revision(reader.state())
-    assert member.known.read_revision < store.revision
+    member.replica.record_peer_revision(reader.state())
+    assert member.replica.read_revision < store.revision
 
 
 def test_member_follows_a_store_that_was_restored(layout, store, reader):
-    """Revisions go back; the members' neighbours read the store for them.
+    """Revisions decrease on a restore, while members do not read the store.
 
-    By revisions alone each change after the restore looks old to a member, for as
-    long as the store is behind where it was.
+    Without the era in revisions, each change after the restore would look old
+    to a member until the store reached its former revision.
     """
     for _ in range(5):
         store.put_upstream("u-2")
@@ -326,42 +332,45 @@
     fetch(member, reader)
     store.restore(4)
     read_changes(reader, store)
-    reader.told.clear()
+    reader.sent.clear()
     store.put_upstream("u-3")
     read_changes(reader, store)
     fetch(member, reader)
-    assert member.known.upstream_entries() == reader.known.upstream_entries()
+    assert (
+        member.replica.upstream_entries() == reader.replica.upstream_entries()
+    )
     assert set(member.usable()) >= {"u-1", "u-3"}
 
 
-def test_late_news_of_what_a_restore_has_lost_does_not_stay(
-    layout, store, reader
-):
-    """One reader had seen a write that the store lost; its news comes late.
+def test_late_change_that_a_restore_has_lost_is_dropped(layout, store, reader):
+    """One reader sends a write that the store loses; the message is late.
 
-    For the other reader nothing has changed; by its state the member, whose
-    number is the larger one, would keep for ever what nobody has.
+    For the other reader nothing has changed. The member has the higher
+    revision, so without an update after the restore it would keep that write
+    for ever.
     """
-    other = read_all(Vm("reader-2", layout), store)
+    other = read_listing(Vm("reader-2", layout), store)
     member = Vm("member-1", layout)
     fetch(member, reader)
-    other.told.clear()
+    other.sent.clear()
     store.put_upstream("u-9")
     read_changes(other, store)
     store.restore(1)
-    member.known.apply_peer_changes(over_the_wire(other.told[0]))
+    member.replica.apply_peer_changes(encoded_and_decoded(other.sent[0]))
     assert "u-9" in member.usable()
     read_changes(reader, store)
     fetch(member, reader)
-    assert member.known.upstream_entries() == reader.known.upstream_entries()
+    assert (
+        member.replica.upstream_entries() == reader.replica.upstream_entries()
+    )
 
 
-class Spread(RuleBasedStateMachine):
-    """Changes, readings, losses, restarts and fetches in any order."""
+class ChangesMachine(RuleBasedStateMachine):
+    """Changes, reads, lost messages, restarts and fetches in any order."""
 
     @initialize()
-    def begin(self):
-        """Start all, with a first configuration in the store."""
+    def start_all(self):
+        """Start all entry VMs, with a first configuration in the store."""
         self.layout = PlainLayout()
         self.store = Store(self.layout)
         self.store.declare()
@@ -369,7 +378,7 @@
         self.revisions = dict.fromkeys(self.vms, 0)
 
     def start(self, name):
-        """Start one entry VM that knows nothing."""
+        """Start one entry VM with an empty replica."""
         return Vm(name, self.layout)
 
     @rule()
@@ -377,55 +386,55 @@
         """Have an operator change the configuration."""
         self.store.declare()
 
-    @rule(id=st.sampled_from(UPSTREAMS), gone=st.booleans())
-    def change_upstream(self, id, gone):
+    @rule(id=st.sampled_from(UPSTREAMS), removed=st.booleans())
+    def change_upstream(self, id, removed):
         """Have an upstream register, restart or leave."""
-        if gone:
+        if removed:
             self.store.write(self.layout.upstreams_prefix + id, None)
         else:
             self.store.put_upstream(id)
 
-    @rule(request=st.sampled_from(REQUESTS), ended=st.booleans())
-    def change_block(self, request, ended):
-        """Have an entry VM block a request, or its block end."""
-        if ended:
+    @rule(request=st.sampled_from(REQUESTS), unblocked=st.booleans())
+    def change_block(self, request, unblocked):
+        """Have an entry VM block a request, or remove its block."""
+        if unblocked:
             self.store.unblock(request)
         else:
             self.store.block(request)
 
     @rule(lost=st.integers(0, 6))
     def restore(self, lost):
-        """Have the store come back from a copy, which may lack nothing."""
+        """Restore the store from a backup, which may lack some last writes."""
         self.store.restore(lost)
 
-    @rule(name=st.sampled_from(READERS), everything=st.booleans())
-    def read(self, name, everything):
-        """Have a reader read on, or all."""
+    @rule(name=st.sampled_from(READERS), whole_listing=st.booleans())
+    def read(self, name, whole_listing):
+        """Have a reader read the changes, or list all keys."""
         vm = self.vms[name]
-        if everything or not vm.known.read_revision:
-            read_all(vm, self.store)
+        if whole_listing or not vm.replica.read_revision:
+            read_listing(vm, self.store)
         else:
             read_changes(vm, self.store)
 
     @rule(
         name=st.sampled_from(READERS),
-        heard=st.sets(st.sampled_from(MEMBERS)),
+        received=st.sets(st.sampled_from(MEMBERS)),
     )
-    def tell(self, name, heard):
-        """Send what a reader has read; some members hear it."""
-        for changes in self.vms[name].told:
-            for member in heard:
-                self.vms[member].known.apply_peer_changes(
-                    over_the_wire(changes)
+    def send_changes(self, name, received):
+        """Send the changes of a reader, which some members receive."""
+        for changes in self.vms[name].sent:
+            for member in received:
+                self.vms[member].replica.apply_peer_changes(
+                    encoded_and_decoded(changes)
                 )
-        self.vms[name].told.clear()
+        self.vms[name].sent.clear()
 
     @rule(
         member=st.sampled_from(MEMBERS),
         peer=st.sampled_from((*READERS, *MEMBERS)),
     )
     def fetch(self, member, peer):
-        """Have a member fetch what a peer has."""
+        """Have a member fetch what is newer at a peer."""
         if member != peer:
             fetch(self.vms[member], self.vms[peer])
 
@@ -436,16 +445,20 @@
         self.revisions[name] = 0
 
     @rule(member=st.sampled_from(MEMBERS))
-    @precondition(lambda self: self.vms[READERS[0]].known.follows_store)
+    @precondition(lambda self: self.vms[READERS[0]].replica.follows_store)
     def member_is_up_to_date_after_one_fetch(self, member):
-        """Have a member fetch from a reader: it knows all that one knows."""
+        """Have a member fetch from a reader: it then has the same entries."""
         reader, vm = self.vms[READERS[0]], self.vms[member]
         read_changes(reader, self.store)
         fetch(vm, reader)
-        # Nobody goes back to what an older copy has.
-        assert vm.known.revision >= reader.known.revision >= self.store.declared
+        # No entry VM returns to the older declarations of a backup.
+        assert (
+            vm.replica.revision
+            >= reader.replica.revision
+            >= self.store.declared
+        )
         prefix = self.layout.blocked_requests_prefix
-        assert vm.known.upstream_entries() == {
+        assert vm.replica.upstream_entries() == {
             key: value
             for key, value in self.store.items.items()
             if key.startswith((self.layout.upstreams_prefix, prefix))
@@ -458,18 +471,18 @@
         assert vm.blocks >= stored
 
     @invariant()
-    def nobody_goes_back(self):
-        """Check that no revision in force gives way to an older one."""
+    def revisions_never_decrease(self):
+        """Check that no revision in force is replaced by an older one."""
         for name, vm in self.vms.items():
-            assert vm.known.revision >= self.revisions[name]
-            self.revisions[name] = vm.known.revision
+            assert vm.replica.revision >= self.revisions[name]
+            self.revisions[name] = vm.replica.revision
 
     @invariant()
-    def what_is_known_was_true(self):
-        """Check that nobody knows more than the store has said."""
+    def known_revisions_are_not_ahead_of_the_store(self):
+        """Check that no replica is ahead of the store."""
         for vm in self.vms.values():
-            assert vm.known.read_revision <= self.store.revision
-            assert vm.known.revision <= self.store.most_declared
+            assert vm.replica.read_revision <= self.store.revision
+            assert vm.replica.revision <= self.store.max_declared
 
 
-TestSpread = Spread.TestCase
+TestChanges = ChangesMachine.TestCase
--- a/packages/router/tests/test_state_publisher.py
+++ b/packages/router/tests/test_state_publisher.py
@@ -1,4 +1,4 @@
-"""When an entry VM tells its state, and what others must not miss."""
+"""When the states of an entry VM are due, and whom their changes concern."""
 
 import random
 
@@ -20,7 +20,7 @@
 )
 from lagoonrun_standins.router_words import PlainLayout
 
-HERE = settings.Address(host="10.0.0.1", port=1)
+ADDRESS = settings.Address(host="10.0.0.1", port=1)
 
 
 @pytest.fixture
@@ -51,12 +51,12 @@
     configured = settings.RouterSettings(
         entry_vm="vm-1",
         domain="north",
-        caller=HERE,
-        readiness=HERE,
-        peer=HERE,
+        caller=ADDRESS,
+        readiness=ADDRESS,
+        peer=ADDRESS,
         metrics=None,
         seeds=(),
-        store=HERE,
+        store=ADDRESS,
         stop_seconds=8.0,
         retry_allowance=retry_budget.Allowance(
             ratio=0.2, window_seconds=10.0, fixed=50.0
@@ -98,7 +98,7 @@
     return request
 
 
-def test_long_prompt_is_told_at_once_and_its_end_a_beat_later(
+def test_long_prompt_is_sent_at_once_and_its_end_a_tick_later(
     publisher, ledger
 ):
     request = begin_request(ledger, load_ledger.URGENT_TOKENS)
@@ -107,16 +107,16 @@
     assert ticks_until_sent(publisher) == 2
 
 
-def test_nothing_new_is_told_before_others_would_take_it_for_silence(publisher):
+def test_unchanged_state_is_sent_before_the_silence_limit(publisher):
     seconds = ticks_until_sent(publisher) * 0.05
     assert 2 * seconds < roster.SILENT_SECONDS
 
 
-def test_reader_that_has_lost_the_store_says_so_to_all(publisher, replica):
-    """Its neighbours rely on it, and hear of it through the relay only.
+def test_loss_of_the_store_concerns_all_neighbours(publisher, replica):
+    """A reader loses the store, and its neighbours rely on it to read.
 
-    Told to the relay alone, the loss of the store would be news to them
-    after the change that they should have had.
+    If only the relay were sent this, they would learn of it too late, after a
+    change of the store that they should have had.
     """
     replica.apply_changes((), 5)
     publisher.tick(now=0.1)
@@ -129,7 +129,7 @@
     assert not publisher.was_reader
 
 
-def test_size_and_relay_are_told(publisher, table):
+def test_size_and_relay_are_reported(publisher, table):
     assert publisher.announcement(now=0.0).processor_hundredths == 50
     assert publisher.announcement(now=0.0).relay == ""
     for number in range(13):
@@ -138,6 +138,6 @@
     assert publisher.announcement(now=0.0).relay.startswith("near-")
 
 
-def test_greeting_tells_no_work(publisher, ledger):
+def test_announcement_reports_no_load(publisher, ledger):
     begin_request(ledger, 5000.0)
     assert publisher.announcement(now=0.0).loads.upstreams == ""
--- a/packages/router/tests/test_value_delta.py
+++ b/packages/router/tests/test_value_delta.py
@@ -1,7 +1,7 @@
-"""What has changed between two values of the declarations.
+"""Deltas between two values of the declarations.
 
-The load: a configuration of 1,400 routes and more that changes in one place, on
-links of 5 to 20 Mbit/s that forty entry VMs fetch it over.
+The case to support is a configuration of 1,400 routes or more that changes in
+one place, and that forty entry VMs fetch over links of 5 to 20 Mbit/s.
 """
 
 import json
@@ -17,13 +17,13 @@
 ).map(b"".join)
 
 
-def size_of(delta):
+def delta_size(delta):
     numbers = len(delta.new_lengths) * 3 * 4
     return len(delta.packed_text) + numbers
 
 
 def config(revision, routes, changed=None):
-    """Return a configuration as operators write it."""
+    """Return a configuration in the format that operators use."""
     return json.dumps(
         {
             "version": revision,
@@ -48,39 +48,39 @@
     assert value_delta.apply(delta, base) == value
 
 
-def test_one_changed_route_of_many_is_told_in_some_hundred_bytes():
+def test_one_changed_route_of_many_takes_a_few_hundred_bytes():
     before = config(1, 1900)
     after = config(2, 1900, changed=950)
     delta = value_delta.between(before, after)
     assert value_delta.apply(delta, before) == after
-    assert size_of(delta) < 500
+    assert delta_size(delta) < 500
     assert len(after) > 200_000
 
 
-def test_added_and_dropped_routes_are_told_alone():
+def test_delta_has_only_added_or_removed_routes():
     small, large = config(1, 300), config(2, 1700)
     growing = value_delta.between(small, large)
     shrinking = value_delta.between(large, small)
     assert value_delta.apply(growing, small) == large
-    assert size_of(growing) < len(large) / 5
-    assert size_of(shrinking) < 200
+    assert delta_size(growing) < len(large) / 5
+    assert delta_size(shrinking) < 200
 
 
-def test_whole_value_is_sent_packed():
+def test_delta_from_nothing_is_the_compressed_value():
     value = config(1, 1900)
     delta = value_delta.between(b"", value)
     assert delta.base == ""
-    assert size_of(delta) < len(value) / 5
+    assert delta_size(delta) < len(value) / 5
 
 
-def test_delta_of_another_value_is_refused():
+def test_delta_of_another_value_is_rejected():
     delta = value_delta.between(b"{a}", b"{b}")
     with pytest.raises(format_error.FormatError, match="not the value"):
         value_delta.apply(delta, b"{c}")
 
 
 @pytest.mark.parametrize("packed", [b"", b"no zlib"])
-def test_broken_text_is_refused(packed):
+def test_broken_text_is_rejected(packed):
     delta = value_delta.ValueDelta(
         base="",
         result="x",
