--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -34,7 +34,7 @@
 
 _LARGE_FLEET_TICKS_BETWEEN_MESSAGES = 4
 """The same in a large fleet, where a message has the loads of thirty or more
-runners, and traffic between failure domains costs money."""
+runners, and traffic between failure domains is expensive."""
 
 _RELAY_TIMEOUT_SECONDS = 1.0
 """Silence after which another failure domain's relay is considered unknown."""
@@ -68,7 +68,7 @@
 
 
 class DomainNewsExchange:
-    """Sends the news of the own failure domain, and receives those of others.
+    """Sends the news of the own failure domain, and receives that of others.
 
     Parameters
     ----------
@@ -213,8 +213,8 @@
     ) -> bool:
         """Apply the news of another failure domain.
 
-        Returns whether they are new and were received from that domain's relay
-        directly.
+        Returns whether it is newer than before and was received directly from
+        that domain's relay.
 
         Parameters
         ----------
@@ -237,7 +237,7 @@
         known_address = self._table.address_of(news.entry_vm)
         from_relay = known_address is not None and known_address.host == host
         if from_relay:
-            # News of the own failure domain are sent to this address.
+            # News of the own failure domain is sent to this address.
             self._relays_by_domain[news.domain] = _Relay(
                 address=settings.Address(host=host, port=news.port),
                 heard_at=now,
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -46,7 +46,7 @@
 
 
 class UsageCounting:
-    """Counts of usage, which each entry VM sends, also without duties.
+    """Usage counts, which are sent whether or not duties are held.
 
     Parameters
     ----------
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -190,7 +190,7 @@
             self._own_loads_by_sequence.popitem(last=False)
 
     def receive(self, news: router_messages.FleetNews, *, now: float) -> None:
-        """Apply news from a relay; out-of-order news are ignored.
+        """Apply news from a relay; out-of-order news is ignored.
 
         Raises
         ------
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -7,8 +7,8 @@
 from lagoonrun_router import news_broadcaster, running_requests, upstream_limits
 
 _REPEAT_SECONDS = 3.0
-"""Time for which a change is repeated often by the entry VM that an upstream
-told it."""
+"""Time for which a change is repeated often by the entry VM that received it
+from the upstream."""
 
 _MIN_BROADCAST_INTERVAL_SECONDS = 0.25
 """Minimum time between two changes of one upstream that are broadcast at once;
--- a/packages/router/src/lagoonrun_router/limit_shares.py
+++ b/packages/router/src/lagoonrun_router/limit_shares.py
@@ -18,9 +18,9 @@
     known
         All that may exist, including this one.
     near
-        Those of the own failure domain that are heard, including this one.
+        Those of the own failure domain that are not lost, including this one.
     silent
-        All that cannot be heard from here, or that cannot hear.
+        All that this one receives nothing from, or that receive nothing.
     """
 
     known: int
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -60,7 +60,7 @@
     changed
         Whether own loads have changed since the last report.
     urgent_change
-        Whether a change among them should be reported at once.
+        Whether one of these changes should be reported at once.
     """
 
     def __init__(self) -> None:
@@ -141,7 +141,7 @@
             else loads.NO_LOAD
         )
 
-    # What peers tell.
+    # Reports of peers.
 
     def apply_report(
         self,
--- a/packages/router/src/lagoonrun_router/news_broadcaster.py
+++ b/packages/router/src/lagoonrun_router/news_broadcaster.py
@@ -1,9 +1,9 @@
 """Distribution of news to the other entry VMs.
 
-News are broadcast to the whole fleet: to the neighbours directly, and to the
+News is broadcast to the whole fleet: to the neighbours directly, and to the
 other failure domains through their relays. Datagrams get lost, and a failure
 domain may be cut off at that time, so entry VMs that have received news repeat
-them to a sample.
+it to a sample.
 """
 
 import random
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -77,7 +77,7 @@
         Failure domain of this entry VM.
     relays
         Selects the relays of the own failure domain: traffic between failure
-        domains costs money, so the relay fetches for all its neighbours.
+        domains is expensive, so the relay fetches for all its neighbours.
     replica
         Store replica that is updated.
     clock
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -27,7 +27,7 @@
 
 _MAX_SAMPLED_REMOTE_PEERS = 1
 """Number of remote peers that a periodic message goes to: traffic between
-failure domains costs money, and membership spreads from peer to peer."""
+failure domains is expensive, and membership spreads from peer to peer."""
 
 _MAX_NEIGHBOURS_WITHOUT_RELAY = 12
 """Number of neighbours up to which each entry VM sends its state to all of
@@ -46,8 +46,9 @@
 loss of a relay it takes a second until the next one serves.
 """
 
-_BUDGET_TIMEOUT_SECONDS = 60.0
-"""Silence after which a peer no longer counts when budgets are divided."""
+_FORGET_AFTER_SECONDS = 60.0
+"""Silence after which a remote peer counts as lost, and a neighbour no longer
+counts when budgets are divided."""
 
 
 def rounded_cores(processor_cores: float) -> float:
@@ -236,7 +237,7 @@
         for entry_vm, peer in self._peers_by_id.items():
             # Remote peers send to this entry VM only at random.
             remote = self._is_remote(peer)
-            timeout = _BUDGET_TIMEOUT_SECONDS if remote else neighbour_timeout
+            timeout = _FORGET_AFTER_SECONDS if remote else neighbour_timeout
             if peer.alive and now - peer.heard_at > timeout:
                 peer.alive = False
                 lost.append(entry_vm)
@@ -270,7 +271,7 @@
     def neighbour_budget_sharers(self, *, now: float) -> int:
         """Return how many neighbours may run, including cut-off ones."""
         return sum(
-            now - peer.heard_at < _BUDGET_TIMEOUT_SECONDS
+            now - peer.heard_at < _FORGET_AFTER_SECONDS
             for peer in self._neighbours_by_id.values()
         )
 
@@ -376,7 +377,7 @@
         sharing = [
             peer
             for peer in self._peers_by_id.values()
-            if now - peer.heard_at < _BUDGET_TIMEOUT_SECONDS
+            if now - peer.heard_at < _FORGET_AFTER_SECONDS
             or self._is_remote(peer)
         ]
         return len(sharing) + 1
--- a/packages/router/tests/test_upstreams.py
+++ b/packages/router/tests/test_upstreams.py
@@ -146,8 +146,8 @@
     assert usable_ids(directory, 1011.0) == ["u-1", "u-2", "u-3"]
     directory.apply_entry(make_registration("u-1"), now=1011.2)
     assert usable_ids(directory, 1011.2) == ["u-1", "u-2"]
-    gone = 1010.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS
-    assert usable_ids(directory, gone) == ["u-1", "u-2"]
+    expired_at = 1010.0 + upstreams.LEASE_EXPIRY_GRACE_SECONDS
+    assert usable_ids(directory, expired_at) == ["u-1", "u-2"]
 
 
 def test_lease_expiry_is_detected_without_a_failed_call(directory):
