--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -1,4 +1,7 @@
-"""See one call to its final answer: attempts, retries, limits."""
+"""Execute one call until its caller has a final answer.
+
+Covers the attempts at upstreams, retries, and the time limit of the call.
+"""
 
 import asyncio
 import dataclasses
@@ -17,36 +20,38 @@
     place_bucket,
     retrying,
     running_requests,
-    sending,
     stream_relay,
+    upstream_attempt,
 )
 from lagoonrun_router import call as calls
 from lagoonrun_router import components as router_components
 
-_MOST_PLACES_ASKED = 4
-"""Upstreams with a limit that a request asks for a place, each for a few milliseconds,
-before its caller is told when to come back."""
+_MAX_PLACE_REQUESTS = 4
+"""Rate-limited upstreams at which a request tries to acquire a place, the right
+to send one request there. Each try takes a few milliseconds; after the last one
+the caller gets a Retry-After."""
 
-_LOGGED_UPSTREAMS = 4
+_MAX_LOGGED_UPSTREAMS = 4
 
 _REASON_BY_CLOSED = {
     availability.ClosedReason.LIMITED: outcomes.Reason.UPSTREAMS_LIMITED,
     availability.ClosedReason.RESTING: outcomes.Reason.UPSTREAMS_RESTING,
 }
 
-_OVERLOAD_PART = 0.25
-"""Part of a caller's patience from which a foreseen wait means overload."""
+_OVERLOAD_WAIT_FRACTION = 0.25
+"""Expected wait, as a fraction of the caller's time limit, from which a failed
+request counts as a sign of overload."""
 
 
 class CallExecution:
-    """Serve one call.
+    """Executes one call.
 
     Parameters
     ----------
     call
         The resolved call.
     exchange
-        Where its answer goes.
+        The HTTP exchange with the caller, which receives the answer.
     components
         Shared components of the process.
     """
@@ -68,35 +73,37 @@
         self._tried: set[types.UpstreamId] = set()
         self._sends = retrying.SendCounts()
         self._earlier_may_have_run = False
-        self._sending: sending.Sending | None = None
+        self._current_attempt: upstream_attempt.UpstreamAttempt | None = None
         self._sent_at = call.arrived_at
-        self._whole_at: float | None = None
-        self._foreseen_wait_seconds = 0.0
+        self._complete_at: float | None = None
+        self._expected_wait_seconds = 0.0
         self._pause_waiting_tokens = 0
 
     @property
     def first_answer_at(self) -> float | None:
-        """When the first event or the whole answer came."""
-        return self._relay.first_event_at or self._whole_at
+        """Time of the first event or of the complete answer; None before."""
+        return self._relay.first_event_at or self._complete_at
 
     @property
     def longest_pause_seconds(self) -> float:
-        """Longest pause between two events."""
+        """Longest pause between two consecutive events."""
         return self._relay.longest_pause_seconds
 
     @property
     def pause_waiting_tokens(self) -> int:
-        """Prompt tokens that waited at the upstream in the longest pause."""
+        """Prompt tokens queued at the upstream during the longest pause."""
         return self._pause_waiting_tokens
 
     async def run(self) -> outcomes.Ending:
-        """Return how the request ended; the caller has its answer."""
-        left = self._call.limit_at - self._components.clock.monotonic()
+        """Execute the call; return how it ended once the caller is answered."""
+        remaining_seconds = (
+            self._call.limit_at - self._components.clock.monotonic()
+        )
         try:
-            async with asyncio.timeout(max(0.0, left)):
+            async with asyncio.timeout(max(0.0, remaining_seconds)):
                 return await self._attempts()
         except TimeoutError:
-            self._note_failed_in_overload()
+            self._record_failure_in_overload()
             return await self._end(
                 reason=outcomes.Reason.DEADLINE,
                 detail="the time limit of the request has passed",
@@ -104,8 +111,8 @@
 
     async def _attempts(self) -> outcomes.Ending:
         while True:
-            # Before each send, also of a request that was sent before: what is
-            # known of it may have grown meanwhile.
+            # Checked before retries too: the request may have been found to
+            # crash upstreams since it was last sent.
             block = self._components.crashing_requests.block_of(
                 self._call.digest
             )
@@ -116,19 +123,19 @@
                 return await self._refuse_closed(choice)
             if not isinstance(choice, choosing.Choice):
                 return await self._refuse(choice)
-            result = await self._attempt(choice)
+            result = await self._attempt_at(choice)
             if isinstance(result, attempt_result.Delivered):
                 return result.ending
-            ending = await self._after_loss(result)
+            ending = await self._decide_retry(result)
             if ending is not None:
                 return ending
 
     async def _choose(
         self,
     ) -> choosing.Choice | admission.Refusal | choosing.AllClosed | None:
-        """Choose an upstream, and take a place there where it has a limit."""
-        for _ in range(_MOST_PLACES_ASKED):
-            choice = self._choose_among_all()
+        """Choose an upstream, and acquire a place there if it is rate limited."""
+        for _ in range(_MAX_PLACE_REQUESTS):
+            choice = self._choose_upstream()
             if not isinstance(choice, choosing.Choice):
                 return choice
             if not self._components.notices.places.is_limited(choice.upstream):
@@ -147,14 +154,14 @@
         )
         return choosing.AllClosed(closed=(refused,))
 
-    def _choose_among_all(
+    def _choose_upstream(
         self,
     ) -> choosing.Choice | admission.Refusal | choosing.AllClosed | None:
         choice = self._chooser.choose(self._call, excluded=self._tried)
         if self._tried and (
             choice is None or isinstance(choice, choosing.AllClosed)
         ):
-            # All were tried; one that failed may do better by now.
+            # Every upstream was tried; one that failed may have recovered.
             self._tried.clear()
             choice = self._chooser.choose(self._call, excluded=())
         return choice
@@ -162,23 +169,24 @@
     async def _refuse_closed(
         self, refusal: choosing.AllClosed
     ) -> outcomes.Ending:
-        """End a request that the upstreams of its pool don't take just now.
+        """Refuse a request while every upstream of its pool is closed.
 
-        Callers come back one after the other: what opens first is for few of
-        them.
+        An upstream is closed while it is rate limited or in a back-off that it
+        asked for. The Retry-After is spread, because the first upstream to
+        open has capacity for only a few of the callers that wait.
         """
-        self._note_pressure()
+        self._record_pressure()
         return await self._end_refused(
             reason=_REASON_BY_CLOSED[refusal.closed[0].reason],
-            detail="all upstreams of the pool are rate limited or asked for rest",
-            retry_after_seconds=self._opening_seconds(refusal.closed),
-            closed=refusal.closed[:_LOGGED_UPSTREAMS],
+            detail="all upstreams of the pool are rate limited or in a back-off",
+            retry_after_seconds=self._retry_after_closed(refusal.closed),
+            closed=refusal.closed[:_MAX_LOGGED_UPSTREAMS],
         )
 
-    def _opening_seconds(
+    def _retry_after_closed(
         self, closed: tuple[availability.ClosedUpstream, ...]
     ) -> float:
-        """Return when to come back to upstreams that take nothing now."""
+        """Return the Retry-After for a pool whose upstreams are all closed."""
         return answers.spread_retry_seconds(
             self._components.rng, wait_seconds=closed[0].wait_seconds
         )
@@ -186,28 +194,28 @@
     async def _refuse(
         self, refusal: admission.Refusal | None
     ) -> outcomes.Ending:
-        """End a request that no upstream may take now."""
+        """Refuse a request that was not admitted at any upstream."""
         if refusal is None:
-            # Not for want of room: other tiers need not stand back.
+            # No capacity is missing, so lower tiers are still admitted.
             reason = outcomes.Reason.NO_UPSTREAM
             detail = "no upstream of the pool is known"
         else:
             reason = outcomes.Reason.OVERLOADED
             detail = refusal.value
-            self._note_pressure()
+            self._record_pressure()
         return await self._end_refused(reason=reason, detail=detail)
 
     async def _refuse_blocked(
         self, block: crash_evidence.Block
     ) -> outcomes.Ending:
-        """End a request that has ended too many upstreams.
+        """Refuse a request that has crashed too many upstreams.
 
-        Its caller is told when it may be tried again: not sooner, since each
-        try that fails costs an upstream with all that it runs.
+        The Retry-After is the end of the block and not earlier: each further
+        crash also loses all other requests that run on that upstream.
         """
         return await self._end_refused(
             reason=outcomes.Reason.CRASHED_UPSTREAMS,
-            detail=f"{len(block.crashes)} upstreams ended while they ran it",
+            detail=f"{len(block.crashes)} upstreams crashed while they ran it",
             retry_after_seconds=block.until
             - self._components.clock.monotonic(),
             crashes=block.crashes,
@@ -222,14 +230,15 @@
         closed: tuple[availability.ClosedUpstream, ...] = (),
         crashes: tuple[running_requests.UpstreamInstance, ...] = (),
     ) -> outcomes.Ending:
-        """End a request that is not sent, with a line of what decided.
+        """End a request that is not sent, and log what it was refused for.
 
         Parameters
         ----------
         retry_after_seconds
-            When to come back; None for soon.
+            When the caller may retry; None for the default.
         closed, crashes
-            Upstreams that take nothing now, and those that ended under it.
+            Upstreams that are closed, and upstream instances that crashed
+            while they ran the request.
         """
         logs.emit(
             events.LogEvent.REQUEST_REFUSED,
@@ -240,8 +249,10 @@
             tier=self._call.tier,
             patience_seconds=round(self._call.patience_seconds, 3),
             digest=self._call.digest,
-            closed={one.upstream: one.reason.value for one in closed},
-            upstreams=[one.upstream for one in crashes],
+            closed={
+                refusing.upstream: refusing.reason.value for refusing in closed
+            },
+            upstreams=[instance.upstream for instance in crashes],
             retry_after=retry_after_seconds and round(retry_after_seconds, 3),
         )
         return await self._end(
@@ -250,8 +261,8 @@
             retry_after_seconds=retry_after_seconds,
         )
 
-    def _note_pressure(self) -> None:
-        """Tell lower tiers of the pool to stand back."""
+    def _record_pressure(self) -> None:
+        """Record that the tier was not served, so that lower tiers wait."""
         if self._call.pool.engine is not None:
             self._components.pressure.record_rejection(
                 self._call.pool.name,
@@ -259,49 +270,50 @@
                 now=self._components.clock.monotonic(),
             )
 
-    def note_caller_left(self) -> None:
-        """Take in that the caller has left before its answer was whole.
+    def record_caller_left(self) -> None:
+        """Record that the caller disconnected before its answer was complete.
 
-        One that has waited for half of its patience in vain left because of
-        the wait.
+        A caller that disconnects after half of its time limit without any
+        answer is taken to have left because of the wait.
         """
         waited = self._components.clock.monotonic() - self._call.arrived_at
         if waited >= self._call.patience_seconds / 2:
-            self._note_failed_in_overload()
+            self._record_failure_in_overload()
 
-    def _note_failed_in_overload(self) -> None:
-        """Count a request without any answer, where a long wait was foreseen.
+    def _record_failure_in_overload(self) -> None:
+        """Record pressure for a request without an answer after a long wait.
 
-        One that failed at a runner with little to do failed for another
-        reason, a crash or a fault, and turning others away would not help.
+        Only if a long wait was expected when it was sent: at a lightly loaded
+        runner it failed for another reason, such as a crash, and rejecting
+        lower tiers would not help.
         """
-        foreseen = self._foreseen_wait_seconds
-        long_wait = _OVERLOAD_PART * self._call.patience_seconds
-        if self.first_answer_at is None and foreseen >= long_wait:
-            self._note_pressure()
+        expected_wait = self._expected_wait_seconds
+        long_wait = _OVERLOAD_WAIT_FRACTION * self._call.patience_seconds
+        if self.first_answer_at is None and expected_wait >= long_wait:
+            self._record_pressure()
 
-    async def _after_loss(
+    async def _decide_retry(
         self, lost: attempt_result.Lost
     ) -> outcomes.Ending | None:
-        """Return the end of the request, or None to send it once more."""
+        """Return how the request ended, or None if it is sent again."""
         now = self._components.clock.monotonic()
-        self._note_loss(lost, now)
-        verdict = retrying.decide(self._call, lost, self._sends, now=now)
+        self._record_loss(lost, now)
+        decision = retrying.decide(self._call, lost, self._sends, now=now)
         pool = self._call.pool.name
-        if verdict is retrying.RetryDecision.PAID:
+        if decision is retrying.RetryDecision.PAID:
             if self._components.retry_budget.spend(pool, now=now):
                 self._components.metrics.repeats.labels(pool).inc()
             else:
                 self._components.metrics.denied_repeats.labels(pool).inc()
-                verdict = retrying.RetryDecision.END
-        if verdict is retrying.RetryDecision.END:
+                decision = retrying.RetryDecision.END
+        if decision is retrying.RetryDecision.END:
             if lost.reason is outcomes.Reason.UPSTREAM_REFUSED:
-                self._note_failed_in_overload()
+                self._record_failure_in_overload()
             return await self._end_lost(lost)
         logs.emit(
             events.LogEvent.REQUEST_RETRIED,
             request_id=self._call.request_id,
-            verdict=verdict.value,
+            verdict=decision.value,
             reached=self._sends.reached,
             unreached=self._sends.unreached,
             budget_left=round(
@@ -311,10 +323,10 @@
         )
         return None
 
-    def _note_loss(self, lost: attempt_result.Lost, now: float) -> None:
+    def _record_loss(self, lost: attempt_result.Lost, now: float) -> None:
         self._sends = self._sends.with_lost(lost, seconds=now - self._sent_at)
         self._tried.add(lost.upstream)
-        self._sending = None
+        self._current_attempt = None
         if lost.ran is not outcomes.Outcome.NOT_RUN:
             self._earlier_may_have_run = True
         if lost.misdirected:
@@ -336,13 +348,15 @@
             detail=lost.detail,
         )
 
-    async def _attempt(self, choice: choosing.Choice) -> attempt_result.Result:
+    async def _attempt_at(
+        self, choice: choosing.Choice
+    ) -> attempt_result.Result:
         components = self._components
         now = self._sent_at = components.clock.monotonic()
         components.admission_floor.record_admission(
             self._call.route.profile.name, now=now
         )
-        work = loads.InFlightRequest(
+        in_flight = loads.InFlightRequest(
             upstream=choice.upstream.id,
             new_tokens=choice.new_tokens,
             sensitivity=choosing.sensitivity_of(self._call),
@@ -351,44 +365,46 @@
                 now=now, expected_seconds=choice.wait_seconds
             ),
         )
-        components.ledger.begin(work, now=now)
-        self._foreseen_wait_seconds = choice.wait_seconds
+        components.ledger.begin(in_flight, now=now)
+        self._expected_wait_seconds = choice.wait_seconds
         components.metrics.new_tokens.labels(self._call.pool.name).inc(
             choice.new_tokens
         )
-        home = self._call.affinity_part
-        if home is not None:
+        affinity_part = self._call.affinity_part
+        if affinity_part is not None:
             components.prompt_locations.record_placement(
-                home.id, choice.upstream.id, now=now
+                affinity_part.id, choice.upstream.id, now=now
             )
-        self._sending = sending.Sending(
+        self._current_attempt = upstream_attempt.UpstreamAttempt(
             call=self._call,
             exchange=self._exchange,
             relay=self._relay,
             choice=choice,
-            work=work,
-            last=not self._may_repeat_elsewhere(),
+            in_flight=in_flight,
+            is_last=not self._may_send_again(),
             components=components,
         )
         try:
-            result = await self._sending.run()
+            result = await self._current_attempt.run()
         finally:
-            components.ledger.end(work)
-            self._pause_waiting_tokens = self._sending.pause_waiting_tokens
+            components.ledger.end(in_flight)
+            self._pause_waiting_tokens = (
+                self._current_attempt.pause_waiting_tokens
+            )
         if isinstance(result, attempt_result.Delivered):
-            self._whole_at = components.clock.monotonic()
+            self._complete_at = components.clock.monotonic()
         return result
 
-    def _may_repeat_elsewhere(self) -> bool:
-        """Return whether another upstream may have the request after this."""
-        most = self._call.route.profile.maximum_attempts
-        return self._call.idempotent and most - self._sends.reached > 1
+    def _may_send_again(self) -> bool:
+        """Return whether the request may be retried after this attempt."""
+        max_attempts = self._call.route.profile.maximum_attempts
+        return self._call.idempotent and max_attempts - self._sends.reached > 1
 
-    # The end without an upstream's answer.
+    # Endings after failed attempts and refusals.
 
     async def _end_lost(self, lost: attempt_result.Lost) -> outcomes.Ending:
         if lost.answer is not None and not self._exchange.started:
-            self._whole_at = self._components.clock.monotonic()
+            self._complete_at = self._components.clock.monotonic()
             return await answers.pass_on(
                 self._exchange, lost.answer, upstream=lost.upstream
             )
@@ -397,7 +413,7 @@
             reason=lost.reason,
             detail=lost.detail,
             upstream=lost.upstream,
-            retry_after_seconds=self._opening_seconds(closed)
+            retry_after_seconds=self._retry_after_closed(closed)
             if closed
             else None,
         )
@@ -410,16 +426,17 @@
         upstream: types.UpstreamId | None = None,
         retry_after_seconds: float | None = None,
     ) -> outcomes.Ending:
-        """End a request without an answer of an upstream.
+        """End a request that has no complete answer from an upstream.
 
         Parameters
         ----------
         retry_after_seconds
-            When to come back if it has not run; None for soon.
+            When the caller may retry a request that has not run; None for the
+            default.
         """
         if self._exchange.started:
-            # Part of the answer is with the caller: only a broken connection
-            # tells that it is not whole.
+            # The caller has part of the answer; only closing the connection
+            # shows it that the answer is incomplete.
             self._exchange.abort()
             return outcomes.Ending(
                 outcome=outcomes.Outcome.PARTIAL,
@@ -427,7 +444,7 @@
                 detail=detail,
                 upstream=upstream,
             )
-        ending = self._unanswered(reason, detail, upstream)
+        ending = self._ending_without_answer(reason, detail, upstream)
         not_run = ending.outcome is outcomes.Outcome.NOT_RUN
         if not_run and retry_after_seconds is not None:
             ending = dataclasses.replace(
@@ -438,13 +455,16 @@
         )
         return ending
 
-    def _unanswered(
+    def _ending_without_answer(
         self,
         reason: outcomes.Reason,
         detail: str,
         upstream: types.UpstreamId | None,
     ) -> outcomes.Ending:
-        running = self._sending is not None and self._sending.may_have_run
+        running = (
+            self._current_attempt is not None
+            and self._current_attempt.may_have_run
+        )
         if self._earlier_may_have_run or running:
             return outcomes.Ending(
                 outcome=outcomes.Outcome.UNKNOWN,
@@ -452,13 +472,15 @@
                 detail=detail,
                 upstream=upstream,
             )
-        left = self._call.limit_at - self._components.clock.monotonic()
+        remaining_seconds = (
+            self._call.limit_at - self._components.clock.monotonic()
+        )
         return outcomes.Ending(
             outcome=outcomes.Outcome.NOT_RUN,
             reason=reason,
             detail=detail,
             upstream=upstream,
             retry_after_seconds=answers.retry_after_seconds(
-                self._components.rng, left_seconds=left
+                self._components.rng, left_seconds=remaining_seconds
             ),
         )
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -170,7 +170,7 @@
                 # connection ends. What may run once only and is short goes
                 # on to its end.
                 work.cancel()
-                run.note_caller_left()
+                run.record_caller_left()
             ending = await _ending_of(work)
         except asyncio.CancelledError:
             work.cancel()
--- a/packages/router/src/lagoonrun_router/sending.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Send one call to one upstream, and take what it answers."""
+"""Send one call to one upstream, and read its answer."""
 
 import asyncio
 
@@ -17,39 +17,40 @@
 from lagoonrun_router import call as calls
 from lagoonrun_router import components as router_components
 
-_LARGEST_HELD_ANSWER_BYTES = 4 * 1024 * 1024
-"""Largest answer of a plain service. It is held until it is whole, so that a
-truncated one can be asked for again and is never delivered."""
+_MAX_BUFFERED_ANSWER_BYTES = 4 * 1024 * 1024
+"""Largest answer of a plain service. Answers are buffered until they are
+complete: a truncated one is never delivered, and its request can be retried."""
 
-_OLDEST_CHOICE_SECONDS = 1.0
-"""Age from which a choice is not acted on any more.
+_MAX_CHOICE_AGE_SECONDS = 1.0
+"""Age above which a choice of an upstream is discarded.
 
-The process may have stood still between the choice and the first byte; the
-upstream may have left meanwhile.
+The process may have been paused between the choice and the first byte, and the
+upstream may have shut down meanwhile.
 """
 
-_SILENT_TARGETS = 3.0
-"""Silence, in targets, after which a repeatable plain request goes to another
-upstream. Three times what is on time: rare in calm, and time is left."""
+_MAX_SILENCE_TARGETS = 3.0
+"""Silence, as a multiple of the class's target latency, after which an idempotent
+plain request is retried at another upstream. Three times the target is rare in
+normal operation and leaves time for the retry."""
 
-_REJECTED_LOW = 400
+_LOWEST_ERROR_STATUS = 400
 
-_FAILED_STATUS = 500
+_LOWEST_SERVER_ERROR_STATUS = 500
 
 
-class Sending:
-    """One send.
+class UpstreamAttempt:
+    """One attempt to get an answer from one upstream.
 
     Parameters
     ----------
     call, exchange, relay
-        The call, where its answer goes, and how far its stream has got.
+        The call, its exchange with the caller, and the state of its stream.
     choice
-        The upstream, and when it was chosen.
-    work
-        What the ledger counts for it.
-    last
-        Whether no other upstream may have the request after this one.
+        The chosen upstream, and when it was chosen.
+    in_flight
+        The entry of the attempt in the load ledger.
+    is_last
+        Whether the request may not be retried after this attempt.
     components
         Shared components of the process.
 
@@ -58,8 +59,8 @@
     may_have_run
         Whether a byte of the request may have reached the upstream.
     pause_waiting_tokens
-        Prompt tokens that were known to wait at the upstream when the longest
-        pause of the stream ended, for the log.
+        Prompt tokens that were known to be queued at the upstream when the
+        longest pause of the stream ended, for the log.
     """
 
     def __init__(
@@ -69,16 +70,16 @@
         exchange: exchanges.Exchange,
         relay: stream_relay.StreamRelay,
         choice: choosing.Choice,
-        work: loads.InFlightRequest,
-        last: bool,
+        in_flight: loads.InFlightRequest,
+        is_last: bool,
         components: router_components.Components,
     ) -> None:
         self._call = call
         self._exchange = exchange
         self._relay = relay
         self._choice = choice
-        self._work = work
-        self._last = last
+        self._in_flight = in_flight
+        self._is_last = is_last
         self._components = components
         self.may_have_run = False
         self._written_at = choice.decided_at
@@ -87,10 +88,10 @@
         self._longest_pause_seconds = 0.0
 
     async def run(self) -> attempt_result.Result:
-        """Return the answer that the caller has, or why it has none."""
+        """Send the request; return the delivered answer or the failure."""
         result: attempt_result.Result | None = None
         try:
-            result = await self._exchange_once()
+            result = await self._send_and_read()
             return result
         finally:
             if self._run is not None:
@@ -98,7 +99,7 @@
                     self._run, result, self._choice.upstream
                 )
 
-    async def _exchange_once(self) -> attempt_result.Result:
+    async def _send_and_read(self) -> attempt_result.Result:
         upstream = self._choice.upstream
         now = self._components.clock.monotonic()
         head = self._components.dialect.upstream_head(
@@ -111,7 +112,7 @@
             else self._call.urgency,
         )
         try:
-            async with asyncio.timeout(self._head_seconds()):
+            async with asyncio.timeout(self._max_head_seconds()):
                 response = await self._components.client.send(
                     http_upstream.UpstreamRequest(
                         head=head,
@@ -134,14 +135,14 @@
             )
         if isinstance(response, http_upstream.UpstreamFailure):
             return attempt_result.lost_by(response, upstream=upstream.id)
-        self._take_notice(response.head)
+        self._apply_notice(response.head)
         try:
-            return await self._take(response, upstream.id)
+            return await self._read_answer(response, upstream.id)
         finally:
             await response.cancel()
 
-    def _take_notice(self, head: http_messages.ResponseHead) -> None:
-        """Take in what the upstream says of itself, whatever it answers."""
+    def _apply_notice(self, head: http_messages.ResponseHead) -> None:
+        """Apply what the upstream says of itself, whatever its status."""
         dialect = self._components.dialect
         if dialect.is_misdirected(head):
             return
@@ -154,37 +155,39 @@
     def _may_write(self) -> bool:
         now = self._components.clock.monotonic()
         choice = self._choice
-        if now - choice.decided_at > _OLDEST_CHOICE_SECONDS:
+        if now - choice.decided_at > _MAX_CHOICE_AGE_SECONDS:
             return False
-        may = self._components.directory.may_send(choice.upstream.id, now=now)
-        may = may and self._components.notices.may_write(
+        allowed = self._components.directory.may_send(
+            choice.upstream.id, now=now
+        )
+        allowed = allowed and self._components.notices.may_write(
             choice.upstream, has_place=choice.has_place, now=now
         )
-        # From here on the request may run; a limit that passes meanwhile
-        # must not be told as "not run".
-        self.may_have_run = may
-        if may:
+        # From here on the request may run; if its time limit passes, the
+        # caller must not be told that it did not run.
+        self.may_have_run = allowed
+        if allowed:
             self._written_at = now
             self._run = self._components.crash_watch.begin(
                 self._call.digest,
                 route=self._call.route.name,
                 upstream=choice.upstream,
             )
-        return may
+        return allowed
 
-    def _head_seconds(self) -> float | None:
-        """Return how long the head of a response may take; None for no bound.
+    def _max_head_seconds(self) -> float | None:
+        """Return the longest wait for a response head; None for no limit.
 
-        Only where the request can be repeated: another upstream may do
-        better, and the first one's work is not lost by asking it.
+        There is a limit only if the request can be retried: another upstream
+        may answer sooner, and asking it loses no work of the first one.
         """
         if self._call.streamed:
             return self._relay.silence_seconds()
-        if self._last:
+        if self._is_last:
             return None
-        return _SILENT_TARGETS * self._call.route.profile.target_seconds
+        return _MAX_SILENCE_TARGETS * self._call.route.profile.target_seconds
 
-    async def _take(
+    async def _read_answer(
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
@@ -192,54 +195,56 @@
         head = response.head
         dialect = self._components.dialect
         if dialect.is_misdirected(head) or dialect.says_not_run(head):
-            return await self._not_run(response, upstream)
-        if head.status < _REJECTED_LOW and not dialect.is_genuine(head):
+            return await self._read_not_run(response, upstream)
+        if head.status < _LOWEST_ERROR_STATUS and not dialect.is_genuine(head):
             return attempt_result.Lost(
                 ran=outcomes.Outcome.UNKNOWN,
                 reason=outcomes.Reason.UPSTREAM_PROTOCOL,
-                detail=f"status {head.status} without the upstream's mark",
+                detail=f"status {head.status} without the upstream's signature",
                 upstream=upstream,
             )
-        if self._call.streamed and head.status < _REJECTED_LOW:
+        if self._call.streamed and head.status < _LOWEST_ERROR_STATUS:
             return await self._relay.run(
                 response,
                 upstream=upstream,
-                on_event=self._note_event,
+                on_event=self._on_event,
             )
-        return await self._take_whole(response, upstream)
+        return await self._read_complete_answer(response, upstream)
 
-    def _note_event(self, pause: float | None) -> None:
+    def _on_event(self, pause: float | None) -> None:
         if self._run is not None:
             self._run.silent = False
-        if self._work.waiting:
-            self._components.ledger.first_event(self._work)
-            self._note_begun()
+        if self._in_flight.waiting:
+            self._components.ledger.first_event(self._in_flight)
+            self._record_started()
         if pause is not None:
-            self._note_pause(pause)
+            self._record_pause(pause)
 
-    def _note_begun(self) -> None:
-        """Count the request as one that an upstream has begun to run."""
+    def _record_started(self) -> None:
+        """Count the request for usage once an upstream has begun to run it."""
         organisation = self._call.organisation
         if self._components.usage is not None and organisation is not None:
             self._components.usage.record_started(organisation.id)
 
-    def _note_pause(self, pause: float) -> None:
+    def _record_pause(self, pause: float) -> None:
         if pause <= self._longest_pause_seconds:
             return
         self._longest_pause_seconds = pause
         limit = self._call.route.longest_pause_seconds
         if limit is not None and pause > limit:
             now = self._components.clock.monotonic()
-            load = self._components.ledger.load_of(self._work.upstream, now=now)
+            load = self._components.ledger.load_of(
+                self._in_flight.upstream, now=now
+            )
             self.pause_waiting_tokens = round(load.waiting_tokens)
 
-    async def _not_run(
+    async def _read_not_run(
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
     ) -> attempt_result.Lost:
-        # Read to its end, so that the connection can be used again.
-        await response.read_all(_LARGEST_HELD_ANSWER_BYTES)
+        # Read to the end, so that the connection can be reused.
+        await response.read_all(_MAX_BUFFERED_ANSWER_BYTES)
         return attempt_result.Lost(
             ran=outcomes.Outcome.NOT_RUN,
             reason=outcomes.Reason.UPSTREAM_REFUSED,
@@ -248,17 +253,17 @@
             misdirected=self._components.dialect.is_misdirected(response.head),
         )
 
-    async def _take_whole(
+    async def _read_complete_answer(
         self,
         response: http_upstream.UpstreamResponse,
         upstream: types.UpstreamId,
     ) -> attempt_result.Result:
-        self._note_begun()
-        body = await response.read_all(_LARGEST_HELD_ANSWER_BYTES)
+        self._record_started()
+        body = await response.read_all(_MAX_BUFFERED_ANSWER_BYTES)
         if isinstance(body, http_upstream.UpstreamFailure):
             return attempt_result.lost_by(body, upstream=upstream)
         answer = attempt_result.WholeAnswer(head=response.head, body=body)
-        if response.head.status >= _FAILED_STATUS:
+        if response.head.status >= _LOWEST_SERVER_ERROR_STATUS:
             return attempt_result.Lost(
                 ran=outcomes.Outcome.FAILED,
                 reason=outcomes.Reason.UPSTREAM_FAILED,
@@ -267,7 +272,8 @@
                 answer=answer,
             )
         if self._exchange.started:
-            # The rest of a stream was asked for, not another answer.
+            # The caller already has part of a stream; a complete answer in
+            # place of its remaining events can't be delivered.
             return attempt_result.Lost(
                 ran=outcomes.Outcome.PARTIAL,
                 reason=outcomes.Reason.UPSTREAM_PROTOCOL,
