--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -1,4 +1,4 @@
-"""Take callers' requests in and see each to its final answer."""
+"""Receive callers' requests, resolve their route, and execute them."""
 
 import asyncio
 import contextlib
@@ -20,17 +20,18 @@
 from lagoonrun_router import call as calls
 from lagoonrun_router import components as router_components
 
-_UNCONFIGURED_WAIT_SECONDS = 0.4
-"""How long a request waits for the first declarations and upstreams, below the
-time after which callers go elsewhere; the store usually answers in a few
+_CONFIGURATION_WAIT_SECONDS = 0.4
+"""Longest wait of a request for the first declarations and upstreams. Callers
+try another entry VM after a little longer; the store usually answers in a few
 milliseconds."""
 
 _UNCONFIGURED_RETRY_SECONDS = 0.5
-"""A starting process has its declarations within about this time."""
+"""Retry-After before the first declarations: a starting process has them within
+about this time."""
 
 
-class _Fault(enum.Enum):
-    """Requests that cannot be served as they stand."""
+class _Rejection(enum.Enum):
+    """Why a request is rejected as invalid, with what the response says."""
 
     MALFORMED = (
         400,
@@ -61,7 +62,7 @@
 
 
 class Ingress:
-    """Handle the exchanges of the caller address.
+    """Serves the HTTP exchanges at the caller address.
 
     Parameters
     ----------
@@ -75,77 +76,79 @@
         self._upstreams_known = False
         self._configured = asyncio.Event()
 
-    def use(self, table: route_table.RouteTable) -> None:
-        """Resolve the following requests by another revision."""
+    def set_route_table(self, table: route_table.RouteTable) -> None:
+        """Resolve all later requests by a new revision of the declarations."""
         self._table = table
-        self._note_configured()
+        self._update_configured()
 
-    def take_upstreams_known(self) -> None:
-        """Take in that upstreams are known by now."""
+    def on_upstreams_known(self) -> None:
+        """Record that the first upstreams are known."""
         self._upstreams_known = True
-        self._note_configured()
+        self._update_configured()
 
-    def _note_configured(self) -> None:
+    def _update_configured(self) -> None:
         if self._table is not None and self._upstreams_known:
             self._configured.set()
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
-        """Answer one request; never raises for what a caller does."""
+        """Answer one request; never raises because of what a caller sent."""
         arrived_at = self._components.clock.monotonic()
         try:
-            features = self._components.dialect.read_attributes(exchange.head)
+            attributes = self._components.dialect.read_attributes(exchange.head)
         except format_error.FormatError as error:
-            await self._reject(exchange, _Fault.MALFORMED, error.detail)
+            await self._reject(exchange, _Rejection.MALFORMED, error.detail)
             return
         body = await exchange.read_body()
         await self._wait_configured()
-        # Resolved after the body: a revision that came into force meanwhile
-        # is the one that counts.
-        call = await self._resolve(exchange, features, body, arrived_at)
+        # Resolved after the body was read, so that a revision that became
+        # active meanwhile applies.
+        call = await self._resolve(exchange, attributes, body, arrived_at)
         if call is not None:
             await self._serve(call, exchange)
 
     async def _wait_configured(self) -> None:
-        """Let a request wait for declarations and upstreams, for a moment.
+        """Wait a limited time for the first declarations and upstreams.
 
-        After a stop of the whole fleet callers connect at once, and both are
-        here within some milliseconds; the declarations may come first, from a
-        peer. A refusal would use up the callers' few retries.
+        After a restart of the whole fleet callers reconnect at once, and both
+        arrive within some milliseconds, the declarations perhaps first, from a
+        peer. A refusal would use up one of the callers' few retries.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_UNCONFIGURED_WAIT_SECONDS):
+            async with asyncio.timeout(_CONFIGURATION_WAIT_SECONDS):
                 await self._configured.wait()
 
     async def _resolve(
         self,
         exchange: exchanges.Exchange,
-        features: calls.CallAttributes,
+        attributes: calls.CallAttributes,
         body: bytes,
         arrived_at: float,
     ) -> calls.Call | None:
         table = self._table
         if table is None:
-            await self._refuse_unconfigured(exchange, features)
+            await self._refuse_unconfigured(exchange, attributes)
             return None
-        route = table.route_of(features.host, exchange.head.target)
+        route = table.route_of(attributes.host, exchange.head.target)
         if route is None:
             await self._reject(
                 exchange,
-                _Fault.NO_ROUTE,
-                f"no route for {features.host}{exchange.head.target}",
+                _Rejection.NO_ROUTE,
+                f"no route for {attributes.host}{exchange.head.target}",
             )
             return None
-        organisation = table.organisation_of(features.key)
+        organisation = table.organisation_of(attributes.key)
         if organisation is None and table.asks_for_keys and not route.public:
             await self._reject(
-                exchange, _Fault.UNKNOWN_KEY, "the key is missing or unknown"
+                exchange,
+                _Rejection.UNKNOWN_KEY,
+                "the key is missing or unknown",
             )
             return None
         return _call_of(
             table=table,
             route=route,
             organisation=organisation,
-            features=features,
+            attributes=attributes,
             exchange=exchange,
             body=body,
             arrived_at=arrived_at,
@@ -156,44 +159,45 @@
     ) -> None:
         now = self._components.clock.monotonic()
         self._components.retry_budget.record_request(call.pool.name, now=now)
-        run = execution.CallExecution(
+        call_execution = execution.CallExecution(
             call=call, exchange=exchange, components=self._components
         )
-        work = asyncio.create_task(run.run())
-        left = asyncio.create_task(exchange.caller_left.wait())
+        execution_task = asyncio.create_task(call_execution.run())
+        caller_left_task = asyncio.create_task(exchange.caller_left.wait())
         try:
             await asyncio.wait(
-                {work, left}, return_when=asyncio.FIRST_COMPLETED
+                {execution_task, caller_left_task},
+                return_when=asyncio.FIRST_COMPLETED,
             )
-            if not work.done() and (call.idempotent or call.streamed):
+            if not execution_task.done() and (call.idempotent or call.streamed):
                 # Nobody reads the answer, and the upstream stops when its
-                # connection ends. What may run once only and is short goes
-                # on to its end.
-                work.cancel()
-                run.record_caller_left()
-            ending = await _ending_of(work)
+                # connection is closed. A plain request that may run only once
+                # is short, and runs to its end.
+                execution_task.cancel()
+                call_execution.record_caller_left()
+            ending = await _ending_of(execution_task)
         except asyncio.CancelledError:
-            work.cancel()
+            execution_task.cancel()
             raise
         finally:
-            left.cancel()
-        self._record(call, run, ending)
+            caller_left_task.cancel()
+        self._record(call, call_execution, ending)
 
     def _record(
         self,
         call: calls.Call,
-        run: execution.CallExecution,
+        call_execution: execution.CallExecution,
         ending: outcomes.Ending,
     ) -> None:
         now = self._components.clock.monotonic()
         first_seconds = None
-        if run.first_answer_at is not None:
-            first_seconds = run.first_answer_at - call.arrived_at
+        if call_execution.first_answer_at is not None:
+            first_seconds = call_execution.first_answer_at - call.arrived_at
         self._components.metrics.count_ending(
             call,
             ending,
             first_seconds=first_seconds,
-            longest_pause_seconds=run.longest_pause_seconds,
+            longest_pause_seconds=call_execution.longest_pause_seconds,
         )
         logs.emit(
             events.LogEvent.REQUEST_ENDED,
@@ -206,8 +210,8 @@
             upstream=ending.upstream,
             seconds=round(now - call.arrived_at, 4),
             first_seconds=first_seconds and round(first_seconds, 4),
-            longest_pause=round(run.longest_pause_seconds, 4),
-            pause_waiting_tokens=run.pause_waiting_tokens,
+            longest_pause=round(call_execution.longest_pause_seconds, 4),
+            pause_waiting_tokens=call_execution.pause_waiting_tokens,
             target_seconds=call.route.profile.target_seconds,
             pause_target_seconds=call.route.longest_pause_seconds,
             retry_after=round(ending.retry_after_seconds, 3),
@@ -215,7 +219,7 @@
         )
 
     async def _refuse_unconfigured(
-        self, exchange: exchanges.Exchange, features: calls.CallAttributes
+        self, exchange: exchanges.Exchange, attributes: calls.CallAttributes
     ) -> None:
         ending = outcomes.Ending(
             outcome=outcomes.Outcome.NOT_RUN,
@@ -226,34 +230,34 @@
         logs.emit(
             events.LogEvent.REQUEST_REFUSED,
             level=logging.WARNING,
-            request_id=features.request_id,
+            request_id=attributes.request_id,
             reason=ending.reason.value,
             retry_after=ending.retry_after_seconds,
         )
         await answers.end_without_answer(
-            exchange, request_id=features.request_id, ending=ending
+            exchange, request_id=attributes.request_id, ending=ending
         )
 
     async def _reject(
-        self, exchange: exchanges.Exchange, fault: _Fault, message: str
+        self, exchange: exchanges.Exchange, rejection: _Rejection, message: str
     ) -> None:
         logs.emit(
             events.LogEvent.REQUEST_REJECTED,
             peer=exchange.peer,
-            status=fault.status,
-            step=fault.step.value,
-            field=fault.field,
-            reason=fault.name.lower(),
+            status=rejection.status,
+            step=rejection.step.value,
+            field=rejection.field,
+            reason=rejection.name.lower(),
             detail=message,
             revision=self._table.declared.revision if self._table else 0,
         )
         await answers.reject(
             exchange,
-            status=fault.status,
-            step=fault.step,
-            field=fault.field,
+            status=rejection.status,
+            step=rejection.step,
+            field=rejection.field,
             message=message,
-            valid=fault.valid,
+            valid=rejection.valid,
         )
 
 
@@ -262,18 +266,18 @@
     table: route_table.RouteTable,
     route: declarations.Route,
     organisation: declarations.RankedOrganisation | None,
-    features: calls.CallAttributes,
+    attributes: calls.CallAttributes,
     exchange: exchanges.Exchange,
     body: bytes,
     arrived_at: float,
 ) -> calls.Call:
-    pool_name = route_table.choose_pool(route, features.request_id)
+    pool_name = route_table.choose_pool(route, attributes.request_id)
     limit_seconds = route.profile.limit_seconds
-    if features.patience_seconds is not None:
-        limit_seconds = min(limit_seconds, features.patience_seconds)
+    if attributes.patience_seconds is not None:
+        limit_seconds = min(limit_seconds, attributes.patience_seconds)
     tiers = table.tiers_of(pool_name)
     return calls.Call(
-        attributes=features,
+        attributes=attributes,
         head=exchange.head,
         body=body,
         route=route,
@@ -294,16 +298,18 @@
         revision=table.declared.revision,
         digest=request_digest.digest_of(
             exchange.head,
-            host=features.host,
+            host=attributes.host,
             organisation=organisation.id if organisation else None,
             body=body,
         ),
     )
 
 
-async def _ending_of(work: asyncio.Task[outcomes.Ending]) -> outcomes.Ending:
+async def _ending_of(
+    execution_task: asyncio.Task[outcomes.Ending],
+) -> outcomes.Ending:
     try:
-        return await work
+        return await execution_task
     except (asyncio.CancelledError, http_errors.CallerLeftError):
         return outcomes.Ending(
             outcome=outcomes.Outcome.UNKNOWN,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -406,7 +406,7 @@
 
     def _put_in_force(self, declared: declarations.Declarations) -> None:
         self._routes = route_table.RouteTable(declared=declared)
-        self._ingress.use(self._routes)
+        self._ingress.set_route_table(self._routes)
         if self._duties is not None:
             self._duties.view.use(declared.pools_by_name.values())
         self.metrics.revision.set(declared.revision)
@@ -425,7 +425,7 @@
                 before.host, before.port, opened_until=restarted.heard_at
             )
         if self.replica.upstreams_known:
-            self._ingress.take_upstreams_known()
+            self._ingress.on_upstreams_known()
         known = frozenset(one.id for one in self.directory.registrations)
         self._ledger.forget_upstreams(known)
         self._gathered.forget_upstreams(known)
