--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -1,7 +1,7 @@
-"""Relay the events of one call, from one upstream or several.
+"""Relay the events of one call to its caller, from one or several upstreams.
 
-Only whole events are passed on: a broken upstream may stop within one, and a
-resumed stream has to go on exactly after the last event that was delivered.
+Only complete events are sent on: a broken upstream may stop within an event,
+and a resumed stream has to continue exactly after the last delivered event.
 """
 
 import asyncio
@@ -16,28 +16,40 @@
 from lagoonrun_router import attempt_result, event_splitter
 from lagoonrun_router import call as calls
 
-_SILENT_TARGETS = 3.0
-"""Silence before the first event, in targets, after which a resumable stream
-goes on elsewhere. Queues make streams late by less than that in calm; a mute
-runner never answers."""
+_MAX_SILENCE_TARGETS = 3.0
+"""Silence before the first event, as a multiple of the class's target latency,
+after which a resumable stream is retried at another upstream. In normal
+operation queues delay streams by less than that; an unresponsive runner never
+answers."""
 
-_SILENT_PAUSES = 3.0
-"""The same between two events, in longest pauses."""
+_MAX_SILENCE_PAUSES = 3.0
+"""The same between two events, as a multiple of the route's longest pause."""
 
-_LEAST_SILENCE_SECONDS = 1.0
+_MIN_SILENCE_SECONDS = 1.0
 
 
 class StreamRelay:
-    """Deliver one stream.
+    """Delivers the stream of one call.
 
     Parameters
     ----------
     call
         The streamed call.
     exchange
-        Where its answer goes.
+        The HTTP exchange with the caller, which receives the events.
     clock
         Source of time.
+
+    Attributes
+    ----------
+    resume_after
+        Id of the last event that the caller has; empty for none.
+    events
+        Batches of complete events that were sent on.
+    first_event_at
+        Reading of the clock at the first event; None before it.
+    longest_pause_seconds
+        Longest pause between two consecutive events so far.
     """
 
     def __init__(
@@ -51,7 +63,7 @@
         self._exchange = exchange
         self._clock = clock
         self._last_event_at: float | None = None
-        self._last_event_here_at: float | None = None
+        self._last_upstream_event_at: float | None = None
         self.resume_after = call.attributes.resumes_after
         self.events = 0
         self.first_event_at: float | None = None
@@ -61,15 +73,18 @@
         """Return the reading of the clock."""
         return self._clock.monotonic()
 
-    def silence_seconds(self) -> float | None:
-        """Return the silence that makes this stream go on elsewhere."""
+    def max_silence_seconds(self) -> float | None:
+        """Return the silence after which another upstream is tried.
+
+        None for a stream that can't be resumed.
+        """
         if not self._call.route.resumable:
             return None
         if self.first_event_at is None:
             target = self._call.route.profile.target_seconds
-            return max(_LEAST_SILENCE_SECONDS, _SILENT_TARGETS * target)
+            return max(_MIN_SILENCE_SECONDS, _MAX_SILENCE_TARGETS * target)
         pause = self._call.route.longest_pause_seconds or 1.0
-        return max(_LEAST_SILENCE_SECONDS, _SILENT_PAUSES * pause)
+        return max(_MIN_SILENCE_SECONDS, _MAX_SILENCE_PAUSES * pause)
 
     async def run(
         self,
@@ -78,29 +93,26 @@
         upstream: types.UpstreamId,
         on_event: Callable[[float | None], None],
     ) -> attempt_result.Result:
-        """Relay one upstream's events to their end or loss.
+        """Relay one upstream's events until its stream ends or fails.
 
         Parameters
         ----------
         on_event
-            Called when whole events have arrived, before they are sent on,
-            with the seconds since the event before from this upstream.
+            Called when complete events have arrived, before they are sent on,
+            with the seconds since the previous event from this upstream; None
+            for its first one.
         """
-        passing_on = _PassingOn(
-            relay=self, head=response.head, on_event=on_event
-        )
-        self._last_event_here_at = None
+        sink = _PassingOn(relay=self, head=response.head, on_event=on_event)
+        self._last_upstream_event_at = None
         while True:
             try:
-                end = await self._pump(response, passing_on)
+                end = await self._pump(response, sink)
             except event_splitter.OversizedEventError as error:
                 return self._lost(str(error), upstream)
             if isinstance(end, http_upstream.UpstreamFailure):
                 return self._lost(end.detail, upstream)
             if isinstance(end, http_upstream.EndOfBody):
-                return await self._finish(
-                    passing_on.splitter, response, upstream
-                )
+                return await self._finish(sink.splitter, response, upstream)
             if end is None:
                 return self._lost("silent", upstream)
             await self._exchange.drained()
@@ -113,45 +125,48 @@
         | http_upstream.SinkFull
         | None
     ):
-        """Pass events on to whatever ends them; None for a long silence."""
+        """Send events on; return what ended them, None for a long silence."""
         sink.arrived_at = self._clock.monotonic()
         while True:
-            left = None
-            limit = self.silence_seconds()
-            if limit is not None:
-                silent = self._clock.monotonic() - sink.arrived_at
-                left = limit - silent
-                if left <= 0.0:
+            remaining_seconds = None
+            max_silence = self.max_silence_seconds()
+            if max_silence is not None:
+                silent_seconds = self._clock.monotonic() - sink.arrived_at
+                remaining_seconds = max_silence - silent_seconds
+                if remaining_seconds <= 0.0:
                     return None
             try:
-                # One timer for each silence that would be too long, in place
-                # of one for each event.
-                async with asyncio.timeout(left):
+                # One timer for each period of the longest allowed silence,
+                # instead of one for each event.
+                async with asyncio.timeout(remaining_seconds):
                     return await response.pump(sink)
             except TimeoutError:
                 continue
 
-    def pass_on(
+    def send_events(
         self,
         head: http_messages.ResponseHead,
-        whole: bytes,
+        events: bytes,
         last_id: str,
     ) -> bool:
-        """Send on whole events; return whether the caller keeps up."""
-        self._note_time()
-        self._start(head)
+        """Send complete events on; return whether the caller keeps up."""
+        self._record_event_time()
+        self._write_head(head)
         self.events += 1
         if last_id:
             self.resume_after = last_id
-        return self._exchange.write(whole)
+        return self._exchange.write(events)
 
-    def pause_here(self) -> float | None:
-        """Return the seconds since this upstream's event before, if any."""
+    def record_upstream_event(self) -> float | None:
+        """Return the seconds since this upstream's previous event, if any."""
         now = self._clock.monotonic()
-        before, self._last_event_here_at = self._last_event_here_at, now
-        return None if before is None else now - before
+        previous_at, self._last_upstream_event_at = (
+            self._last_upstream_event_at,
+            now,
+        )
+        return None if previous_at is None else now - previous_at
 
-    def _note_time(self) -> None:
+    def _record_event_time(self) -> None:
         now = self._clock.monotonic()
         if self.first_event_at is None:
             self.first_event_at = now
@@ -160,7 +175,7 @@
             self.longest_pause_seconds = max(self.longest_pause_seconds, pause)
         self._last_event_at = now
 
-    def _start(self, head: http_messages.ResponseHead) -> None:
+    def _write_head(self, head: http_messages.ResponseHead) -> None:
         if self._exchange.started:
             return
         headers = hop_by_hop.strip(head.headers).without(("Content-Length",))
@@ -176,7 +191,7 @@
     ) -> attempt_result.Result:
         if response.close_delimited and splitter.within_event:
             return self._lost("closed within an event", upstream)
-        self._start(response.head)
+        self._write_head(response.head)
         await self._exchange.send(splitter.take_rest())
         await self._exchange.finish()
         return attempt_result.Delivered(
@@ -200,7 +215,7 @@
 
 
 class _PassingOn:
-    """Passes on the whole events of one upstream as they arrive.
+    """Sends complete events of one upstream on as they arrive.
 
     Parameters
     ----------
@@ -214,7 +229,7 @@
     Attributes
     ----------
     arrived_at
-        When bytes came last, or the wait for them began.
+        Time at which bytes last arrived, or at which the wait for them began.
     """
 
     def __init__(
@@ -231,13 +246,16 @@
         self.arrived_at = 0.0
 
     def take(self, data: bytes) -> bool:
-        """Take bytes; return whether more may follow at once."""
+        """Consume bytes; return whether more may follow at once."""
         self.arrived_at = self._relay.now()
-        whole = self.splitter.feed(data)
-        if not whole:
+        events = self.splitter.feed(data)
+        if not events:
             return True
-        first = self._relay.first_event_at is None
-        self._on_event(self._relay.pause_here())
-        keeps_up = self._relay.pass_on(self._head, whole, self.splitter.last_id)
-        # From the first event on another silence is too long.
-        return keeps_up and not first
+        is_first = self._relay.first_event_at is None
+        self._on_event(self._relay.record_upstream_event())
+        keeps_up = self._relay.send_events(
+            self._head, events, self.splitter.last_id
+        )
+        # The first event changes the longest allowed silence; returning False
+        # restarts the timer.
+        return keeps_up and not is_first
--- a/packages/router/src/lagoonrun_router/upstream_attempt.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -182,7 +182,7 @@
         may answer sooner, and asking it loses no work of the first one.
         """
         if self._call.streamed:
-            return self._relay.silence_seconds()
+            return self._relay.max_silence_seconds()
         if self._is_last:
             return None
         return _MAX_SILENCE_TARGETS * self._call.route.profile.target_seconds
