--- a/packages/router/src/lagoonrun_router/gauges.py
+++ b/packages/router/src/lagoonrun_router/gauges.py
@@ -73,11 +73,11 @@
         into.peers.set(len(self._peers.known()))
         into.blocked_requests.set(len(self._crashing.blocks()))
         into.store_watched.set(
-            self._follower.duty is not store_follower.Duty.STAND_BY
+            self._follower.role is not store_follower.ReaderRole.STAND_BY
         )
-        heard_at = self._follower.heard_at
-        if heard_at is not None:
-            into.store_age.set(now - heard_at)
+        answered_at = self._follower.answered_at
+        if answered_at is not None:
+            into.store_age.set(now - answered_at)
         for kind, count in store_calls_by_kind.items():
             into.store_calls.labels(kind).set(count)
         for kind, count in unsent_store_calls_by_kind.items():
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -22,9 +22,9 @@
     declarations,
     dialect,
     domain_aggregate,
-    edges,
     fleet_duties,
     gauges,
+    http_endpoints,
     ingress,
     load_ledger,
     metrics,
@@ -33,11 +33,11 @@
     pressure,
     prompt_locations,
     reach,
+    reader_selection,
     retry_budget,
     route_table,
     router_endpoints,
     settings,
-    store_duty,
     store_follower,
     store_replica,
     upstreams,
@@ -193,17 +193,17 @@
         )
         self.follower = store_follower.StoreFollower(
             store=self._store,
-            reader=self.replica,
+            listener=self.replica,
             rng=self._rng,
             clock=self._clock,
         )
-        self._duty = store_duty.StoreDuty(
+        self._duty = reader_selection.ReaderSelection(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
             processor_cores=configured.processor_cores,
             table=self._table,
             domains=self._domains,
-            known=self.replica,
+            replica=self.replica,
             follower=self.follower,
             clock=self._clock,
         )
@@ -239,7 +239,7 @@
         self, dialect: dialect.Dialect, listening: socket.socket | None
     ) -> None:
         configured = self._settings
-        self._client = edges.upstream_client(clock=self._clock)
+        self._client = http_endpoints.upstream_client(clock=self._clock)
         self._ingress = ingress.Ingress(
             components=components.Components(
                 domain=configured.domain,
@@ -287,7 +287,7 @@
         handler: exchanges.ExchangeHandler,
         listening: socket.socket | None = None,
     ) -> http_server.HttpServer:
-        return edges.server(
+        return http_endpoints.server(
             address, handler, clock=self._clock, listening=listening
         )
 
@@ -411,7 +411,7 @@
             self._duties.view.use(declared.pools_by_name.values())
         self.metrics.revision.set(declared.revision)
         self._caller_server.use_limits(
-            edges.caller_limits(declared.caller_limits)
+            http_endpoints.caller_limits(declared.caller_limits)
         )
 
     def _on_upstreams(self) -> None:
--- a/packages/router/tests/test_store_duty.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -1,8 +1,8 @@
-"""Few entry VMs of a large fleet read the store; no change is missed.
+"""Few entry VMs of a large fleet read the store, and no change is missed.
 
-The load: a fleet of some dozen entry VMs before a store of which each call is
-paid for. What a change costs must not grow with the fleet, and one slow reader
-must not bring all others to the store at once.
+Each call to the store is paid for. The calls for a change must not grow with the
+fleet, here 14 entry VMs, and one slow reader must not make all others read the
+store at once.
 """
 
 import asyncio
@@ -15,41 +15,41 @@
 from lagoonrun_router import (
     peer_table,
     reach,
+    reader_selection,
     roster,
     settings,
-    store_duty,
     store_follower,
     upstreams,
 )
-from lagoonrun_router.store_follower import Duty
+from lagoonrun_router.store_follower import ReaderRole
 from lagoonrun_standins.router_world import wait_for
 
 NAMES = tuple(f"vm-{number}" for number in range(14))
-"""A fleet in which not everybody tells everybody."""
+"""A fleet that is large enough for relays: not all send their state to all."""
 
-WATCHING = (Duty.ALONE, Duty.FOR_OTHERS)
+WATCHING = (ReaderRole.ALONE, ReaderRole.FOR_OTHERS)
 
 
 class Follower:
-    """Notes the duties that it is given."""
+    """Records the roles that it is given."""
 
     def __init__(self):
-        self.duty = Duty.ALONE
-        self.duties = []
-        self.looked_again = 0
+        self.role = ReaderRole.ALONE
+        self.roles = []
+        self.restarts = 0
 
-    def look_again(self):
-        """Count."""
-        self.looked_again += 1
+    def restart_watch(self):
+        """Count a restart."""
+        self.restarts += 1
 
-    def use(self, duty):
-        """Take up a duty."""
-        self.duty = duty
-        self.duties.append(duty)
+    def set_role(self, role):
+        """Record a role."""
+        self.role = role
+        self.roles.append(role)
 
 
-class Vm:
-    """One entry VM's view of who reads the store."""
+class EntryVm:
+    """One entry VM's view of which entry VMs read the store."""
 
     def __init__(self, name, clock):
         self.name = name
@@ -63,19 +63,19 @@
         for other in NAMES:
             self.table.add(other, address_of(other), "north")
         self.follower = Follower()
-        self.duty = store_duty.StoreDuty(
+        self.selection = reader_selection.ReaderSelection(
             entry_vm=name,
             domain="north",
             processor_cores=0.0,
             table=self.table,
             domains=self.domains,
-            known=self,
+            replica=self,
             follower=self.follower,
             clock=clock,
         )
 
     def hear(self, other, *, follows_store):
-        """Take in a state of another entry VM."""
+        """Receive a state message of another entry VM."""
         self.sequence += 1
         self.table.record_message(
             other,
@@ -87,10 +87,10 @@
             follows_store=follows_store,
         )
 
-    def look(self):
-        """Return the duty that it takes up now."""
-        self.duty.look()
-        return self.follower.duty
+    def update_role(self):
+        """Return the role that it takes now."""
+        self.selection.update_role()
+        return self.follower.role
 
 
 def address_of(name):
@@ -104,18 +104,18 @@
 
 @pytest.fixture
 def vms(clock):
-    """Return the views of all, the first in the order of readers first."""
-    made = [Vm(name, clock) for name in NAMES]
-    order = made[0].duty._readers.order_of(dict.fromkeys(NAMES, 0.0))
+    """Return the views of all entry VMs, in the order of the selection."""
+    made = [EntryVm(name, clock) for name in NAMES]
+    order = made[0].selection._readers.order_of(dict.fromkeys(NAMES, 0.0))
     return sorted(made, key=lambda vm: order.index(vm.name))
 
 
-def duties(vms):
-    return [vm.look() for vm in vms]
+def update_roles(vms):
+    return [vm.update_role() for vm in vms]
 
 
-def let_pass(vms, clock, seconds, *, following, silent=()):
-    """Let all that are not silent tell all others what they know."""
+def run_fleet(vms, clock, seconds, *, following, silent=()):
+    """Advance the clock while all that are not silent report their state."""
     passed = 0.0
     while passed < seconds:
         clock.advance(0.25)
@@ -127,87 +127,87 @@
             for vm in vms:
                 if vm is not teller:
                     vm.hear(teller.name, follows_store=teller in following)
-        duties(vms)
+        update_roles(vms)
 
 
-def test_two_of_a_domain_read_the_store(vms, clock):
-    assert duties(vms)[:2] == [Duty.FOR_OTHERS] * 2
-    assert set(duties(vms)[2:]) == {Duty.STAND_BY}
-    let_pass(vms, clock, 5.0, following=vms[:2])
+def test_two_entry_vms_of_a_domain_read_the_store(vms, clock):
+    assert update_roles(vms)[:2] == [ReaderRole.FOR_OTHERS] * 2
+    assert set(update_roles(vms)[2:]) == {ReaderRole.STAND_BY}
+    run_fleet(vms, clock, 5.0, following=vms[:2])
     for vm in vms:
-        assert len(vm.follower.duties) == 1
+        assert len(vm.follower.roles) == 1
 
 
-def test_few_try_while_nobody_reaches_the_store(vms, clock):
-    """The store is away.
+def test_few_entry_vms_retry_while_the_store_is_unreachable(vms, clock):
+    """The store is unreachable.
 
-    Fourteen that all asked for everything would keep it away for longer; a few
-    find out as well that it is back.
+    If all fourteen listed it, it would take longer to recover; a few are enough
+    to notice that it is back.
     """
-    let_pass(vms, clock, 10.0, following=())
-    found = duties(vms)
-    tried = [one for one in found if one is not Duty.STAND_BY]
-    assert len(tried) == store_duty.MOST_TRYING
-    let_pass(vms, clock, 1.0, following=vms[:2])
-    assert duties(vms)[2:] == [Duty.STAND_BY] * 12
+    run_fleet(vms, clock, 10.0, following=())
+    found = update_roles(vms)
+    tried = [one for one in found if one is not ReaderRole.STAND_BY]
+    assert len(tried) == reader_selection.MAX_READERS
+    run_fleet(vms, clock, 1.0, following=vms[:2])
+    assert update_roles(vms)[2:] == [ReaderRole.STAND_BY] * 12
 
 
 def test_both_readers_are_cut_off_and_four_others_begin_at_once(vms, clock):
-    """Both readers lose the store, in silence, as an operator revokes a key.
+    """Both readers lose the store without a reset when an operator revokes a key.
 
-    They notice after a second and a half. Of the next in order one or two may
-    be cut off as well, and three seconds after the operator's word the key must
-    be refused everywhere: there is no time to try one after the other.
+    They notice after a second and a half. One or two of the next in order may be
+    cut off as well, and three seconds after the operator's change the key must
+    be refused everywhere: there is no time to try them one after the other.
     """
-    let_pass(vms, clock, 2.0, following=vms[:2])
+    run_fleet(vms, clock, 2.0, following=vms[:2])
     for teller in vms[:2]:
         teller.follows_store = False
         for vm in vms:
             if vm is not teller:
                 vm.hear(teller.name, follows_store=False)
-    assert duties(vms)[2:6] == [Duty.SPARE] * 4
-    assert duties(vms)[6:] == [Duty.STAND_BY] * 8
+    assert update_roles(vms)[2:6] == [ReaderRole.SPARE] * 4
+    assert update_roles(vms)[6:] == [ReaderRole.STAND_BY] * 8
 
 
-def test_store_that_turns_two_away_is_read_by_the_next(vms, clock):
-    let_pass(vms, clock, 2.0, following=vms[:2])
-    let_pass(vms, clock, 1.0, following=vms[2:4])
-    assert duties(vms)[2:4] == [Duty.SPARE] * 2
-    assert set(duties(vms)[4:]) == {Duty.STAND_BY}
-    assert duties(vms)[:2] == [Duty.FOR_OTHERS] * 2
+def test_store_that_refuses_two_is_read_by_the_next(vms, clock):
+    run_fleet(vms, clock, 2.0, following=vms[:2])
+    run_fleet(vms, clock, 1.0, following=vms[2:4])
+    assert update_roles(vms)[2:4] == [ReaderRole.SPARE] * 2
+    assert set(update_roles(vms)[4:]) == {ReaderRole.STAND_BY}
+    assert update_roles(vms)[:2] == [ReaderRole.FOR_OTHERS] * 2
 
 
-def test_reader_that_is_silent_for_a_while_brings_in_one_other(vms, clock):
-    """A reader on a tenth of a core reads a large configuration.
+def test_silent_reader_causes_one_other_to_read(vms, clock):
+    """A reader on a tenth of a core parses a large configuration.
 
-    It says nothing for a second and a half. All its neighbours read the whole
-    store then, at once, and once more with each further configuration.
+    It is silent for a second and a half. Guards against all its neighbours
+    listing the store then, at once, and again with each further configuration.
     """
-    let_pass(vms, clock, 2.0, following=vms[:2])
-    let_pass(vms, clock, 1.5, following=vms[:3], silent=vms[:1])
-    let_pass(vms, clock, 2.0, following=vms[:2])
-    assert duties(vms)[:2] == [Duty.FOR_OTHERS] * 2
-    changes = [len(vm.follower.duties) for vm in vms]
+    run_fleet(vms, clock, 2.0, following=vms[:2])
+    run_fleet(vms, clock, 1.5, following=vms[:3], silent=vms[:1])
+    run_fleet(vms, clock, 2.0, following=vms[:2])
+    assert update_roles(vms)[:2] == [ReaderRole.FOR_OTHERS] * 2
+    changes = [len(vm.follower.roles) for vm in vms]
     assert sum(changes) == len(vms) + 2
     assert changes[2] == 3
 
 
 def test_new_reader_has_time_to_catch_up(vms, clock):
-    """It reads the store for a second before it is up to date."""
-    let_pass(vms, clock, 2.0, following=vms[:2])
+    """A new reader lists the store for a second before it is up to date."""
+    run_fleet(vms, clock, 2.0, following=vms[:2])
     clock.advance(roster.SILENT_SECONDS)
     for vm in vms[1:]:
         vm.hear(vms[1].name, follows_store=True)
-    duties(vms[1:])
-    let_pass(
+    update_roles(vms[1:])
+    run_fleet(
         vms,
         clock,
-        store_duty.CATCH_UP_SECONDS - 0.5,
+        reader_selection.CATCH_UP_SECONDS - 0.5,
         following=vms[1:2],
         silent=vms[:1],
     )
-    assert vms[2].look() is Duty.FOR_OTHERS
-    assert vms[3].look() is Duty.STAND_BY
+    assert vms[2].update_role() is ReaderRole.FOR_OTHERS
+    assert vms[3].update_role() is ReaderRole.STAND_BY
 
 
 OTHER_DOMAINS = ("south", "east", "west", "centre")
@@ -215,110 +215,113 @@
 
 @pytest.fixture
 def first(vms):
-    """Return the first reader of its failure domain, which is the third."""
+    """Return the first reader of a failure domain that is third in the order."""
     vm = vms[0]
-    names = vm.duty._reading_domains.order_of(
+    names = vm.selection._reading_domains.order_of(
         dict.fromkeys(("north", *OTHER_DOMAINS), 1.0)
     )
     before = [name for name in names[:2] if name != "north"]
-    # Two domains before this one, whatever the hashes say.
+    # Orders two domains before this one, regardless of the hashes.
     vm.before = (before + [n for n in OTHER_DOMAINS if n not in before])[:2]
-    vm.duty._reading_domains._hash = (*vm.before, "north").index
+    vm.selection._reading_domains._hash = (*vm.before, "north").index
     for domain in vm.before:
         vm.domains.record_contact(domain, now=vm.clock.monotonic())
         vm.domains.note_reading(domain, True)
     return vm
 
 
-def test_domain_is_told_by_two_others_that_read(first, clock):
-    """Five domains with a reader each would make five calls for a change."""
+def test_domain_relies_on_two_others_that_read(first, clock):
+    """A reader in each of five domains would make five calls for a change."""
     for _ in range(20):
         clock.advance(0.25)
         for domain in first.before:
             first.domains.record_contact(domain, now=clock.monotonic())
-        assert first.look() is Duty.STAND_BY
+        assert first.update_role() is ReaderRole.STAND_BY
 
 
 def test_domain_that_is_cut_off_reads_the_store_itself(first, clock):
-    assert first.look() is Duty.STAND_BY
+    assert first.update_role() is ReaderRole.STAND_BY
     clock.advance(roster.SILENT_SECONDS)
-    assert first.look() is Duty.FOR_OTHERS
+    assert first.update_role() is ReaderRole.FOR_OTHERS
 
 
 def test_domain_joins_when_another_does_not_reach_the_store(first, clock):
-    assert first.look() is Duty.STAND_BY
+    assert first.update_role() is ReaderRole.STAND_BY
     first.domains.note_reading(first.before[0], False)
-    clock.advance(store_duty.CATCH_UP_SECONDS)
+    clock.advance(reader_selection.CATCH_UP_SECONDS)
     for domain in first.before:
         first.domains.record_contact(domain, now=clock.monotonic())
-    assert first.look() is Duty.FOR_OTHERS
+    assert first.update_role() is ReaderRole.FOR_OTHERS
 
 
 def test_fleet_of_two_domains_has_one_reader_in_each(vms):
     for vm in vms:
         vm.domains.record_contact("south", now=vm.clock.monotonic())
         vm.domains.note_reading("south", True)
-    assert duties(vms) == [Duty.FOR_OTHERS] + [Duty.STAND_BY] * 13
+    assert (
+        update_roles(vms)
+        == [ReaderRole.FOR_OTHERS] + [ReaderRole.STAND_BY] * 13
+    )
 
 
-def test_reader_whose_watch_has_gone_silent_asks_again(vms, clock):
-    """Its connection to the store went silent without a reset.
+def test_reader_with_a_dead_watch_restarts_it(vms, clock):
+    """The connection of a reader to the store is dead without a reset.
 
-    The other reader sees a change; this one would see it seconds later, when
-    its watch has waited for its time.
+    The other reader sees a change; this one would see it seconds later, at the
+    end of its watch's longest wait.
     """
     reader = vms[0]
     reader.follows_store = True
-    reader.look()
+    reader.update_role()
     reader.newest_told_revision = 6
-    reader.look()
-    assert reader.follower.looked_again == 0
-    reader.look()
-    assert reader.follower.looked_again == 1
+    reader.update_role()
+    assert reader.follower.restarts == 0
+    reader.update_role()
+    assert reader.follower.restarts == 1
     reader.read_revision = 6
-    reader.look()
+    reader.update_role()
     reader.newest_told_revision = 7
-    reader.look()
-    assert reader.follower.looked_again == 1
+    reader.update_role()
+    assert reader.follower.restarts == 1
 
 
-def test_stopping_reader_leaves_the_duty_to_the_next(vms, clock):
-    let_pass(vms, clock, 1.0, following=vms[:2])
-    vms[0].duty.begin_stop()
-    assert vms[0].look() is Duty.STAND_BY
+def test_stopping_reader_is_replaced_by_the_next(vms, clock):
+    run_fleet(vms, clock, 1.0, following=vms[:2])
+    vms[0].selection.begin_stop()
+    assert vms[0].update_role() is ReaderRole.STAND_BY
 
 
-class Reader:
-    """Notes what a follower tells."""
+class Listener:
+    """Records what a follower reports."""
 
     def __init__(self):
         self.told = []
         self.read_revision = store_module.ABSENT
 
     def apply_listing(self, items, revision):
-        """Note a reading."""
+        """Record a listing."""
         self.told.append("listing")
         self.read_revision = revision
 
     def apply_changes(self, changes, revision):
-        """Note changes."""
+        """Record changes."""
         self.told.extend(change.key for change in changes)
         self.read_revision = revision
 
     def on_store_call_failed(self):
-        """Note the doubt."""
+        """Record the failed call."""
         self.told.append("doubtful")
 
     def on_store_unreachable(self):
-        """Note the loss."""
+        """Record that the store is unreachable."""
         self.told.append("lost")
 
     def on_store_reachable(self):
-        """Note the return."""
+        """Record that the store is reachable again."""
         self.told.append("regained")
 
     def on_reading_delegated(self):
-        """Note that others read it."""
+        """Record that others read the store."""
         self.told.append("left")
 
 
@@ -326,7 +329,7 @@
 async def follower(store, rng):
     made = store_follower.StoreFollower(
         store=store,
-        reader=Reader(),
+        listener=Listener(),
         rng=rng,
         clock=clocks.SystemClock(),
     )
@@ -336,61 +339,61 @@
 
 
 async def test_follower_on_stand_by_makes_no_call(follower, store):
-    told = follower._reader.told
+    told = follower._listener.told
     await wait_for(lambda: "listing" in told)
-    follower.use(Duty.STAND_BY)
+    follower.set_role(ReaderRole.STAND_BY)
     assert told[-1] == "left"
     calls = store.calls_by_kind.total()
-    # Nothing is left that could make one.
+    # No task is left that could make a call.
     others = asyncio.all_tasks() - {asyncio.current_task()}
     async with asyncio.timeout(5):
         await asyncio.gather(*others, return_exceptions=True)
     assert store.calls_by_kind.total() == calls
-    follower.use(Duty.FOR_OTHERS)
+    follower.set_role(ReaderRole.FOR_OTHERS)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
     await wait_for(lambda: told[-1] == "a")
 
 
-async def test_follower_goes_on_from_what_it_knows(follower, store):
-    """One takes up the duty that has heard all changes from its neighbours.
+async def test_follower_continues_from_the_known_revision(follower, store):
+    """A new reader has received all changes from its neighbours before.
 
-    Reading all keys would cost it, and the store, half a megabyte.
+    Listing all keys would cost it, and the store, half a megabyte.
     """
-    reader = follower._reader
+    reader = follower._listener
     await wait_for(lambda: "listing" in reader.told)
-    follower.use(Duty.STAND_BY)
+    follower.set_role(ReaderRole.STAND_BY)
     for key in ("a", "b"):
         put = store_module.Put(key=key, value=b"")
         await store.transact(comparisons=(), puts=[put])
     reader.read_revision += 1
-    follower.use(Duty.SPARE)
+    follower.set_role(ReaderRole.SPARE)
     await wait_for(lambda: reader.told[-1] == "b")
     assert reader.told.count("listing") == 1
     assert "a" not in reader.told
 
 
-async def test_follower_reads_all_where_the_store_forgot_what_came(
+async def test_follower_lists_all_keys_after_a_compaction(
     follower, store, monkeypatch
 ):
-    told = follower._reader.told
+    told = follower._listener.told
     await wait_for(lambda: "listing" in told)
-    follower.use(Duty.STAND_BY)
+    follower.set_role(ReaderRole.STAND_BY)
 
     async def compacted(*args, **kwargs):
         del args, kwargs
         yield store_module.WatchCompacted(oldest=store_module.ABSENT)
 
     monkeypatch.setattr(store, "watch", compacted)
-    follower.use(Duty.FOR_OTHERS)
+    follower.set_role(ReaderRole.FOR_OTHERS)
     await wait_for(lambda: told.count("listing") >= 2)
 
 
-async def test_cut_watch_is_followed_by_another_and_not_by_a_reading(
+async def test_broken_watch_is_followed_by_another_and_not_by_a_listing(
     follower, store
 ):
-    """Connections to the store are reset now and then."""
-    told = follower._reader.told
+    """Connections to the store are reset from time to time."""
+    told = follower._listener.told
     await wait_for(lambda: store.calls_by_kind["watch"] == 1)
     store.break_watches()
     await wait_for(lambda: store.calls_by_kind["watch"] >= 2)
@@ -402,49 +405,48 @@
     assert "doubtful" in told
 
 
-async def test_versions_that_come_faster_than_the_link_are_skipped(
+async def test_versions_that_arrive_faster_than_the_link_are_skipped(
     follower, store, monkeypatch
 ):
     """Operators change a large configuration ten times a second.
 
-    On a thin link each answer takes longer than the one before, and brings
-    more versions that nobody needs: the newest came ten seconds late.
+    On a slow link each response took longer than the previous one and carried
+    more superseded versions: the newest arrived ten seconds late.
     """
-    told = follower._reader.told
+    told = follower._listener.told
     await wait_for(lambda: "listing" in told)
-    follower.use(Duty.STAND_BY)
-    monkeypatch.setattr(store_follower, "_MOST_OVERTAKEN_BYTES", 100)
+    follower.set_role(ReaderRole.STAND_BY)
+    monkeypatch.setattr(store_follower, "_MAX_SUPERSEDED_BYTES", 100)
     for _ in range(3):
         put = store_module.Put(key="large", value=b"x" * 90)
         await store.transact(comparisons=(), puts=[put])
-    follower.use(Duty.FOR_OTHERS)
+    follower.set_role(ReaderRole.FOR_OTHERS)
     await wait_for(lambda: told.count("listing") >= 2)
 
 
-async def test_follower_that_lost_the_store_relies_on_peers(follower, store):
-    """The store turns this entry VM away; neighbours still reach it.
+async def test_follower_without_the_store_relies_on_peers(follower, store):
+    """The store refuses this entry VM while its neighbours still reach it.
 
-    Entries that ran out meanwhile get the time to come back, as after any
-    outage, although this entry VM never sees the store's return itself.
+    Expired entries get the time to be registered again, as after any outage,
+    although this entry VM never sees the store's recovery itself.
     """
-    told = follower._reader.told
+    told = follower._listener.told
     await wait_for(lambda: "listing" in told)
     store.stop()
     await wait_for(lambda: "lost" in told)
-    follower.use(Duty.STAND_BY)
+    follower.set_role(ReaderRole.STAND_BY)
     assert told[-2:] == ["regained", "left"]
 
 
-async def test_follower_outlives_a_value_that_nobody_foresaw(
+async def test_follower_survives_a_listener_that_raises(
     follower, store, monkeypatch
 ):
-    """A reader raises while it takes a change in.
+    """A listener raises while it applies a change.
 
-    The follower must not end with it: nothing would ever be heard of the
-    store again.
+    The follower must not end with it: no change would ever be seen again.
     """
     monkeypatch.setattr(standing_task, "RESTART_SECONDS", 0.01)
-    told = follower._reader.told
+    told = follower._listener.told
     await wait_for(lambda: "listing" in told)
 
     def fail(changes, revision):
@@ -452,7 +454,7 @@
             raise ValueError("unforeseen")
         del revision
 
-    monkeypatch.setattr(follower._reader, "apply_changes", fail)
+    monkeypatch.setattr(follower._listener, "apply_changes", fail)
     await wait_for(lambda: store.calls_by_kind["watch"] == 1)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
@@ -461,7 +463,7 @@
 
 @pytest.fixture
 async def fleet(world_of):
-    """Return 14 entry VMs of one domain that have found each other."""
+    """Return 14 entry VMs of one domain that know each other."""
     worlds = [await world_of(name) for name in NAMES]
     await worlds[0].declare()
     await worlds[0].add_upstream()
@@ -473,11 +475,11 @@
 
 def readers(worlds):
     """Return the entry VMs that read the store."""
-    return [one for one in worlds if one.router.follower.duty in WATCHING]
+    return [one for one in worlds if one.router.follower.role in WATCHING]
 
 
 def misses_one(world):
-    """Return whether an entry VM knows that an upstream's entry is gone."""
+    """Return whether an entry VM knows that an upstream's entry is missing."""
     counts = world.router.directory.counts_by_state()
     return counts[upstreams.UpstreamState.MISSING] == 1
 
@@ -498,8 +500,8 @@
 async def test_others_read_the_store_when_those_that_did_are_gone(fleet):
     """Both entry VMs that read the store are lost at once.
 
-    The others hear nothing of a leaving upstream, until two of them take
-    over, within little more than a second.
+    The others learn of no change until two of them take over, within little
+    more than a second.
     """
     gone = readers(fleet)
     left = [one for one in fleet if one not in gone]
