--- a/packages/router/src/lagoonrun_router/gauges.py
+++ b/packages/router/src/lagoonrun_router/gauges.py
@@ -1,4 +1,4 @@
-"""Metrics that are read from the state of the process when they are asked."""
+"""Gauges that are set from the state of the process on each scrape."""
 
 from collections.abc import Mapping
 
@@ -18,21 +18,21 @@
 class Gauges:
     """Sets the gauges of one process.
 
-    Series of upstreams are made anew each time, so that those of upstreams
-    that have gone end; there are as many as upstreams.
+    The series of upstreams are rebuilt on each scrape, so that those of removed
+    upstreams end; there is one series for each upstream and gauge.
 
     Parameters
     ----------
-    into
-        The metrics.
+    router_metrics
+        The metrics that are set.
     directory, ledger, peers, budget, follower, crashing, limits
-        What is shown.
+        The state that the gauges show.
     """
 
     def __init__(
         self,
         *,
-        into: metrics.RouterMetrics,
+        router_metrics: metrics.RouterMetrics,
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         peers: peer_table.PeerTable,
@@ -41,7 +41,7 @@
         crashing: crashing_requests.CrashingRequests,
         limits: upstream_limits.UpstreamLimits,
     ) -> None:
-        self._metrics = into
+        self._metrics = router_metrics
         self._directory = directory
         self._ledger = ledger
         self._peers = peers
@@ -64,40 +64,41 @@
         Parameters
         ----------
         table
-            Routes in force; None before the first declarations.
+            Active routes; None before the first declarations.
         store_calls_by_kind, unsent_store_calls_by_kind
-            Calls to the store since the start, and those that were given up.
+            Calls to the store since the start, and calls that were dropped
+            before they were sent.
         """
-        into = self._metrics
-        into.ready.set(ready)
-        into.peers.set(len(self._peers.known()))
-        into.blocked_requests.set(len(self._crashing.blocks()))
-        into.store_watched.set(
+        router_metrics = self._metrics
+        router_metrics.ready.set(ready)
+        router_metrics.peers.set(len(self._peers.known()))
+        router_metrics.blocked_requests.set(len(self._crashing.blocks()))
+        router_metrics.store_watched.set(
             self._follower.role is not store_follower.ReaderRole.STAND_BY
         )
         answered_at = self._follower.answered_at
         if answered_at is not None:
-            into.store_age.set(now - answered_at)
+            router_metrics.store_age.set(now - answered_at)
         for kind, count in store_calls_by_kind.items():
-            into.store_calls.labels(kind).set(count)
+            router_metrics.store_calls.labels(kind).set(count)
         for kind, count in unsent_store_calls_by_kind.items():
-            into.unsent_store_calls.labels(kind).set(count)
+            router_metrics.unsent_store_calls.labels(kind).set(count)
         for state, count in self._directory.counts_by_state().items():
-            into.upstreams.labels(state.value).set(count)
+            router_metrics.upstreams.labels(state.value).set(count)
         if table is not None:
             for pool in table.declared.pools_by_name:
                 left = self._budget.left(pool, now=now)
-                into.budget_left.labels(pool).set(left)
+                router_metrics.budget_left.labels(pool).set(left)
         self._refresh_upstreams(now)
 
     def _refresh_upstreams(self, now: float) -> None:
-        into = self._metrics
+        router_metrics = self._metrics
         for gauge in (
-            into.upstream_running,
-            into.upstream_own_running,
-            into.upstream_waiting_tokens,
-            into.upstream_failures,
-            into.upstream_limit,
+            router_metrics.upstream_running,
+            router_metrics.upstream_own_running,
+            router_metrics.upstream_waiting_tokens,
+            router_metrics.upstream_failures,
+            router_metrics.upstream_limit,
         ):
             gauge.clear()
         own = self._ledger.own_running()
@@ -106,12 +107,18 @@
             for one in self._limits.in_force()
         }
         for one in self._directory.registrations:
-            names = (one.pool, one.id)
+            labels = (one.pool, one.id)
             load = self._ledger.load_of(one.id, now=now)
-            into.upstream_running.labels(*names).set(load.running)
-            into.upstream_own_running.labels(*names).set(own.get(one.id, 0))
-            into.upstream_waiting_tokens.labels(*names).set(load.waiting_tokens)
+            router_metrics.upstream_running.labels(*labels).set(load.running)
+            router_metrics.upstream_own_running.labels(*labels).set(
+                own.get(one.id, 0)
+            )
+            router_metrics.upstream_waiting_tokens.labels(*labels).set(
+                load.waiting_tokens
+            )
             failures = self._ledger.failures(one.id, now=now)
-            into.upstream_failures.labels(*names).set(failures)
+            router_metrics.upstream_failures.labels(*labels).set(failures)
             if one.id in limit_by_id:
-                into.upstream_limit.labels(*names).set(limit_by_id[one.id])
+                router_metrics.upstream_limit.labels(*labels).set(
+                    limit_by_id[one.id]
+                )
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -1,4 +1,4 @@
-"""Assemble one router process: start all tasks, and stop them gracefully."""
+"""Assemble one router process, start its tasks, and stop them gracefully."""
 
 import asyncio
 import dataclasses
@@ -43,43 +43,44 @@
     upstreams,
 )
 
-_UNREADY_SECONDS = 2.6
-"""Time from the signal to stop until no new connection is taken.
+_ACCEPTING_SECONDS = 2.6
+"""Time from the stop signal until no new connection is accepted.
 
-The balancer asks once a second and needs two misses; the rest is for a late
-question."""
+The load balancer checks readiness once a second and needs two failed checks; the
+rest allows for a late check."""
 
 _STOP_MARGIN_SECONDS = 0.5
-"""Time before the process is killed at which the last requests are cut."""
+"""Time before the process is killed at which the last requests are aborted."""
 
-_HOUSE_KEEPING_SECONDS = 1.0
-_RECORD_PAUSE_SECONDS = 1.0
+_HOUSEKEEPING_SECONDS = 1.0
+_RECORD_RETRY_SECONDS = 1.0
 
 
 class Router:
-    """All of one entry VM.
+    """The router process of one entry VM.
 
     Parameters
     ----------
     configured
-        Checked settings.
+        Validated settings.
     store
         The platform's store.
     layout
         Keys and formats of the store.
-    language
-        Requests and answers on the wire.
+    dialect
+        Wire format of the requests and answers.
     clock, rng
-        Sources of time and of choices.
+        Sources of time and of random numbers.
     store_calls_by_kind, unsent_store_calls_by_kind
-        Counts of the store's client, for the metrics.
+        Counters of the store's client, for the metrics.
     eras
-        Eras of the store; None where it is never restored.
+        Restore epochs of the store; None if it is never restored from a backup.
     listening
-        Socket of the caller address that listens already; None to open one.
+        Listening socket of the caller address; None to open one.
     duty_platform
-        Receives the calls of the holder of the duties; None where there are
-        none.
+        Receives the calls to the platform of the entry VM that holds the
+        duties, the tasks that one entry VM performs for the fleet; None if
+        there are none.
     """
 
     def __init__(
@@ -103,17 +104,17 @@
         self._layout = layout
         self._clock = clock or clocks.SuspendAwareClock()
         self._rng = rng or random.Random(secrets.randbits(64))
-        self._store_calls_by_kind = _or_empty(store_calls_by_kind)
-        self._unsent_calls_by_kind = _or_empty(unsent_store_calls_by_kind)
+        self._store_calls_by_kind = _or_no_counts(store_calls_by_kind)
+        self._unsent_calls_by_kind = _or_no_counts(unsent_store_calls_by_kind)
         self._eras = eras or store_eras.StoreEras(clock=self._clock)
         self._stopping = False
         self._was_ready = False
         self._tasks = (
             standing_task.StandingTask(
-                name="own-record", function=self._record_self
+                name="own-record", function=self._write_own_record
             ),
             standing_task.StandingTask(
-                name="house-keeping", function=self._keep_house
+                name="house-keeping", function=self._run_housekeeping
             ),
         )
         self.metrics = metrics.RouterMetrics()
@@ -123,18 +124,18 @@
             reuse_seconds=configured.reuse_seconds
         )
         self._domains = reach.DomainReach()
-        self._pressed = pressure.Pressure()
-        self._gathered = domain_aggregate.DomainAggregate()
-        self._let_in = admission_floor.AdmissionFloor(
+        self._pressure = pressure.Pressure()
+        self._aggregate = domain_aggregate.DomainAggregate()
+        self._admission_floor = admission_floor.AdmissionFloor(
             started_at=self._clock.monotonic()
         )
         self._budget = retry_budget.RetryBudget(
             allowance=configured.retry_allowance
         )
-        self._routes: route_table.RouteTable | None = None
-        self._counting: fleet_duties.UsageCounting | None = None
+        self._route_table: route_table.RouteTable | None = None
+        self._usage_counting: fleet_duties.UsageCounting | None = None
         if duty_platform is not None and configured.duties is not None:
-            self._counting = fleet_duties.UsageCounting(
+            self._usage_counting = fleet_duties.UsageCounting(
                 configured=configured, clock=self._clock
             )
         self._crash_guard = crash_guard.CrashGuard(
@@ -146,21 +147,21 @@
             rng=self._rng,
         )
         self.crashing = self._crash_guard.crashing
-        self._build_knowledge()
+        self._build_replication()
         self._duties = self._build_duties()
-        self._build_edges(dialect, listening)
+        self._build_endpoints(dialect, listening)
 
     @property
-    def _usage(self) -> usage_exchange.UsageExchange | None:
-        return self._counting.exchange if self._counting else None
+    def _usage_exchange(self) -> usage_exchange.UsageExchange | None:
+        return self._usage_counting.exchange if self._usage_counting else None
 
     def _build_duties(self) -> fleet_duties.FleetDuties | None:
-        if self._counting is None:
+        if self._usage_counting is None:
             return None
-        self._counting.send = self.exchange.send_usage
+        self._usage_counting.send = self.exchange.send_usage
         return fleet_duties.FleetDuties(
             configured=self._settings,
-            counting=self._counting,
+            counting=self._usage_counting,
             store=self._store,
             platform=self._duty_platform,
             view=fleet_duties.DutyInputs(
@@ -177,18 +178,18 @@
             eras=self._eras,
         )
 
-    def _build_knowledge(self) -> None:
+    def _build_replication(self) -> None:
         configured = self._settings
-        self._table = peer_table.PeerTable(
+        self._peer_table = peer_table.PeerTable(
             entry_vm=configured.entry_vm, domain=configured.domain
         )
         self.replica = store_replica.StoreReplica(
             layout=self._layout,
             directory=self.directory,
-            peers=self._table,
+            peers=self._peer_table,
             blocks=self.crashing,
-            on_declarations=self._put_in_force,
-            on_upstreams=self._on_upstreams,
+            on_declarations=self._apply_declarations,
+            on_upstreams=self._on_upstreams_changed,
             clock=self._clock,
         )
         self.follower = store_follower.StoreFollower(
@@ -197,11 +198,11 @@
             rng=self._rng,
             clock=self._clock,
         )
-        self._duty = reader_selection.ReaderSelection(
+        self._reader_selection = reader_selection.ReaderSelection(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
             processor_cores=configured.processor_cores,
-            table=self._table,
+            table=self._peer_table,
             domains=self._domains,
             replica=self.replica,
             follower=self.follower,
@@ -210,32 +211,32 @@
         self.exchange = peer_exchange.PeerExchange(
             configured=configured,
             key=configured.store.host.encode(),
-            table=self._table,
+            table=self._peer_table,
             replica=self.replica,
             directory=self.directory,
             ledger=self._ledger,
             prompt_locations=self._prompt_locations,
             domains=self._domains,
-            pressed=self._pressed,
-            aggregate=self._gathered,
+            pressed=self._pressure,
+            aggregate=self._aggregate,
             crashing=self.crashing,
             counters=self.metrics,
-            usage=self._usage,
+            usage=self._usage_exchange,
             clock=self._clock,
             rng=self._rng,
         )
         self._gauges = gauges.Gauges(
-            into=self.metrics,
+            router_metrics=self.metrics,
             directory=self.directory,
             ledger=self._ledger,
-            peers=self._table,
+            peers=self._peer_table,
             budget=self._budget,
             follower=self.follower,
             crashing=self.crashing,
             limits=self.exchange.notices.limits,
         )
 
-    def _build_edges(
+    def _build_endpoints(
         self, dialect: dialect.Dialect, listening: socket.socket | None
     ) -> None:
         configured = self._settings
@@ -246,9 +247,9 @@
                 dialect=dialect,
                 directory=self.directory,
                 ledger=self._ledger,
-                peers=self._table,
-                admission_floor=self._let_in,
-                pressure=self._pressed,
+                peers=self._peer_table,
+                admission_floor=self._admission_floor,
+                pressure=self._pressure,
                 prompt_locations=self._prompt_locations,
                 domains=self._domains,
                 retry_budget=self._budget,
@@ -259,7 +260,7 @@
                 crash_watch=self._crash_guard.watch,
                 crashing_requests=self.crashing,
                 notices=self.exchange.notices,
-                usage=self._usage,
+                usage=self._usage_exchange,
             )
         )
         self._caller_server = self._server(
@@ -309,11 +310,11 @@
 
     @property
     def peer_count(self) -> int:
-        """Other entry VMs that were heard lately."""
-        return len(self._table.known())
+        """Number of other entry VMs that were recently in contact."""
+        return len(self._peer_table.known())
 
     def known_running(self, upstream: types.UpstreamId) -> int:
-        """Return how many requests run at `upstream`, as far as is known."""
+        """Return the known number of requests that run at `upstream`."""
         now = self._clock.monotonic()
         return self._ledger.load_of(upstream, now=now).running
 
@@ -331,49 +332,52 @@
             await self._metrics_server.start()
         await self.exchange.start()
         await self.follower.start()
-        await self._duty.start()
+        await self._reader_selection.start()
         await self._crash_guard.start()
         if self._duties is not None:
             await self._duties.start()
         for task in self._tasks:
             task.start()
-        # What lives until now lives on; collections need not look at it.
+        # Objects that exist now live as long as the process; freezing excludes
+        # them from garbage collections.
         gc.freeze()
         gc.enable()
 
     async def stop(self) -> int:
-        """Stop as planned; return how many requests had to be cut."""
+        """Stop gracefully; return the number of aborted requests."""
         stopped_at = self._clock.monotonic()
         self._stopping = True
         self.exchange.begin_stop()
-        self._duty.begin_stop()
+        self._reader_selection.begin_stop()
         logs.emit(
             events.LogEvent.PROCESS_STOPPING,
             open_exchanges=self._caller_server.open_exchanges,
         )
         self._caller_server.send_callers_away()
         await asyncio.gather(
-            asyncio.sleep(_UNREADY_SECONDS), self._give_duties_up()
+            asyncio.sleep(_ACCEPTING_SECONDS), self._release_duties()
         )
         self._caller_server.stop_accepting()
-        passed = self._clock.monotonic() - stopped_at
-        left = self._settings.stop_seconds - _STOP_MARGIN_SECONDS - passed
-        cut = await self._caller_server.drain(max(0.0, left))
+        elapsed_seconds = self._clock.monotonic() - stopped_at
+        remaining_seconds = (
+            self._settings.stop_seconds - _STOP_MARGIN_SECONDS - elapsed_seconds
+        )
+        cut = await self._caller_server.drain(max(0.0, remaining_seconds))
         await self.close()
         logs.emit(events.LogEvent.PROCESS_STOPPED, cut_requests=cut)
         return cut
 
-    async def _give_duties_up(self) -> None:
+    async def _release_duties(self) -> None:
         if self._duties is not None:
-            await self._duties.stop(within_seconds=_UNREADY_SECONDS)
+            await self._duties.stop(within_seconds=_ACCEPTING_SECONDS)
 
     async def close(self) -> None:
-        """End all tasks at once."""
+        """Stop all tasks at once."""
         for task in self._tasks:
             await task.close()
         if self._duties is not None:
             await self._duties.close()
-        await self._duty.close()
+        await self._reader_selection.close()
         await self.follower.close()
         await self._caller_server.close()
         await self.exchange.close()
@@ -384,14 +388,14 @@
         if self._metrics_server is not None:
             await self._metrics_server.close()
 
-    # Changes.
+    # Changes of settings, declarations and upstreams.
 
     def apply_settings(
         self, changed: settings.RouterSettings
     ) -> frozenset[str]:
-        """Put new settings into force; return the names that need a restart.
+        """Apply changed settings; return the names of those that need a restart.
 
-        The store's address is its client's own.
+        A changed address of the store is applied by the store's client.
         """
         names = settings.changed_names(self._settings, changed)
         self._settings = dataclasses.replace(
@@ -404,9 +408,9 @@
         self._budget.set_allowance(changed.retry_allowance)
         return names - settings.CHANGEABLE_NAMES
 
-    def _put_in_force(self, declared: declarations.Declarations) -> None:
-        self._routes = route_table.RouteTable(declared=declared)
-        self._ingress.set_route_table(self._routes)
+    def _apply_declarations(self, declared: declarations.Declarations) -> None:
+        self._route_table = route_table.RouteTable(declared=declared)
+        self._ingress.set_route_table(self._route_table)
         if self._duties is not None:
             self._duties.view.use(declared.pools_by_name.values())
         self.metrics.revision.set(declared.revision)
@@ -414,11 +418,11 @@
             http_endpoints.caller_limits(declared.caller_limits)
         )
 
-    def _on_upstreams(self) -> None:
+    def _on_upstreams_changed(self) -> None:
         for restarted in self.directory.pop_restarted():
             before = restarted.before
             self._ledger.forget_instance(before.id)
-            self._gathered.forget_instance(before.id)
+            self._aggregate.forget_instance(before.id)
             self._prompt_locations.forget_upstream(before.id)
             self.exchange.notices.forget_instance(before)
             self._client.lose(
@@ -428,12 +432,12 @@
             self._ingress.on_upstreams_known()
         known = frozenset(one.id for one in self.directory.registrations)
         self._ledger.forget_upstreams(known)
-        self._gathered.forget_upstreams(known)
+        self._aggregate.forget_upstreams(known)
 
-    async def _record_self(self) -> None:
-        """Write this entry VM's address to the store, once."""
+    async def _write_own_record(self) -> None:
+        """Write this entry VM's address to the store, retrying until it is there."""
         key = self._layout.entry_vms_prefix + self._settings.entry_vm
-        value = self._table.record(
+        value = self._peer_table.record(
             self._settings.peer,
             processor_cores=self._settings.processor_cores,
         )
@@ -444,34 +448,34 @@
             )
             if isinstance(result, store_module.Committed):
                 return
-            # Written twice it says the same.
-            pause = _RECORD_PAUSE_SECONDS * (0.5 + self._rng.random())
+            # The write is idempotent, so it is retried even if it may have run.
+            pause = _RECORD_RETRY_SECONDS * (0.5 + self._rng.random())
             await asyncio.sleep(pause)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await ticks.sleep_to_tick(_HOUSE_KEEPING_SECONDS)
+            await ticks.sleep_to_tick(_HOUSEKEEPING_SECONDS)
             now = self._clock.monotonic()
-            sharers = self._table.budget_sharers(now=now)
-            self._budget.set_entry_vm_count(sharers)
-            self._let_in.set_entry_vm_count(sharers)
+            entry_vm_count = self._peer_table.budget_sharers(now=now)
+            self._budget.set_entry_vm_count(entry_vm_count)
+            self._admission_floor.set_entry_vm_count(entry_vm_count)
             self._crash_guard.run_housekeeping()
 
     def metrics_text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         if self._duties is not None:
             self._duties.update_gauges(self.metrics)
         self.metrics.store_era.set(self._eras.newest)
         self._gauges.refresh(
             now=self._clock.monotonic(),
             ready=self.ready,
-            table=self._routes,
+            table=self._route_table,
             store_calls_by_kind=self._store_calls_by_kind,
             unsent_store_calls_by_kind=self._unsent_calls_by_kind,
         )
         return self.metrics.text()
 
 
-def _or_empty(count_by_kind: Mapping[str, int] | None) -> Mapping[str, int]:
-    # An empty counter of a client is to be read again later.
+def _or_no_counts(count_by_kind: Mapping[str, int] | None) -> Mapping[str, int]:
+    # An empty counter of a client is kept, since it is read again later.
     return {} if count_by_kind is None else count_by_kind
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -131,4 +131,4 @@
     for number in range(5):
         refused = await world.ask("/lookups/1", id=f"r-{number}")
         assert refused.status == 503
-    assert world.router._pressed.recent(now=0.0) == ()
+    assert world.router._pressure.recent(now=0.0) == ()
