--- a/packages/router/src/lagoonrun_router/gauges.py
+++ b/packages/router/src/lagoonrun_router/gauges.py
@@ -101,24 +101,26 @@
             router_metrics.upstream_limit,
         ):
             gauge.clear()
-        own = self._ledger.own_running()
+        own_running = self._ledger.own_running()
         limit_by_id = {
             one.at.upstream: one.requests_per_second
             for one in self._limits.in_force()
         }
         for one in self._directory.registrations:
-            labels = (one.pool, one.id)
+            label_values = (one.pool, one.id)
             load = self._ledger.load_of(one.id, now=now)
-            router_metrics.upstream_running.labels(*labels).set(load.running)
-            router_metrics.upstream_own_running.labels(*labels).set(
-                own.get(one.id, 0)
+            router_metrics.upstream_running.labels(*label_values).set(
+                load.running
             )
-            router_metrics.upstream_waiting_tokens.labels(*labels).set(
+            router_metrics.upstream_own_running.labels(*label_values).set(
+                own_running.get(one.id, 0)
+            )
+            router_metrics.upstream_waiting_tokens.labels(*label_values).set(
                 load.waiting_tokens
             )
             failures = self._ledger.failures(one.id, now=now)
-            router_metrics.upstream_failures.labels(*labels).set(failures)
+            router_metrics.upstream_failures.labels(*label_values).set(failures)
             if one.id in limit_by_id:
-                router_metrics.upstream_limit.labels(*labels).set(
+                router_metrics.upstream_limit.labels(*label_values).set(
                     limit_by_id[one.id]
                 )
--- a/packages/router/src/lagoonrun_router/upstream_notice.py
+++ b/packages/router/src/lagoonrun_router/upstream_notice.py
@@ -1,24 +1,23 @@
-"""What an upstream says of itself in the head of an answer."""
+"""What an upstream states about itself in the head of an answer."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamNotice:
-    """All that one answer says of the upstream that made it.
+    """The statements of one answer about the upstream that sent it.
 
     Parameters
     ----------
     requests_per_second
-        Most requests a second that it takes from all entry VMs together; None
-        where it names no limit.
+        Rate limit of the upstream for all entry VMs together; None if it
+        states no limit.
     leaving
-        Whether it takes no more work soon.
+        Whether it is about to shut down and accepts no new requests soon.
     rest_seconds
-        Time for which it wants nothing more from this entry VM; None where it
-        asks for no rest.
+        Back-off that it asks this entry VM for; None for none.
     unreadable
-        Header fields that make no sense, as they were written.
+        Header fields that can't be parsed, as they were received.
     """
 
     requests_per_second: float | None = None
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -1,7 +1,7 @@
-"""What upstreams say of themselves in their answers, and what follows from it.
+"""Apply the statements of upstreams about themselves: limits, rests, shutdown.
 
-Assembles limits, rests and leaving: what is known, what peers are told and tell, and
-which upstreams take a request.
+Connects the known rate limits, rests (back-offs that upstreams ask for) and shutdowns,
+their exchange with peers, and the decision which upstreams may get a request.
 """
 
 import logging
@@ -28,8 +28,8 @@
 )
 
 
-class Exchange(Protocol):
-    """The exchange with the other entry VMs, as far as it is used here."""
+class NoticeExchange(Protocol):
+    """What is used of the exchange with the other entry VMs."""
 
     spreader: news_broadcaster.NewsBroadcaster
     routing: place_routing.PlaceRouting
@@ -37,7 +37,7 @@
 
 
 class UpstreamNotices:
-    """Takes in what answers and peers say, and answers what follows.
+    """Applies notices of upstreams and messages of peers about them.
 
     Parameters
     ----------
@@ -46,20 +46,20 @@
     directory
         The upstreams.
     exchange
-        How peers are told.
+        Sends messages to peers.
     counters
-        Receives the number of places at limited upstreams.
+        Receives the number of places acquired.
     clock, rng
-        Sources of time and of choices.
+        Sources of time and of random numbers.
 
     Attributes
     ----------
     limits, rests
-        What is known.
+        The known limits and rests.
     places
-        Places at limited upstreams.
+        Places: rights to send one request to a rate-limited upstream.
     availability
-        Which upstreams take a request.
+        Which upstreams may get a request.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         *,
         configured: settings.RouterSettings,
         directory: upstreams.UpstreamDirectory,
-        exchange: Exchange,
+        exchange: NoticeExchange,
         counters: metrics.RouterMetrics,
         clock: clocks.Clock,
         rng: random.Random,
@@ -108,7 +108,7 @@
         *,
         sent_at: float,
     ) -> None:
-        """Take in what the answer to a request of this entry VM says.
+        """Apply what the answer to a request of this entry VM states.
 
         Parameters
         ----------
@@ -116,7 +116,7 @@
             Reading of the clock when the request was written.
         """
         now = self._clock.monotonic()
-        at = running_requests.instance_of(upstream)
+        instance = running_requests.instance_of(upstream)
         if notice.unreadable:
             logs.emit(
                 events.LogEvent.UPSTREAM_NOTICE_REJECTED,
@@ -128,17 +128,19 @@
             self._directory.mark_leaving(
                 upstream.id, start=upstream.start, source="answer"
             )
-        limit = self.limits.apply_answer(at, notice, sent_at=sent_at, now=now)
+        limit = self.limits.apply_answer(
+            instance, notice, sent_at=sent_at, now=now
+        )
         if limit is not None:
             self._limit_news.tell(limit, now=now)
-        rest = self.rests.apply_answer(at, notice, now=now)
+        rest = self.rests.apply_answer(instance, notice, now=now)
         if rest is not None:
             self._rest_news.tell(rest, now=now)
 
     def receive_message(
         self, message: router_messages.RouterMessage, *, now: float
     ) -> bool:
-        """Take in a message of a peer; return whether it was of this kind."""
+        """Apply a peer's message; return whether it was about notices."""
         if isinstance(message, router_messages.LimitNews):
             self._limit_news.take(message, now=now)
         elif isinstance(message, router_messages.RestNews):
@@ -152,7 +154,7 @@
         return True
 
     def tick(self, *, now: float) -> None:
-        """Repeat what others may not have heard; called several times a second."""
+        """Resend limits that peers may have missed; called several times a second."""
         self._limit_news.tick(now=now)
 
     def may_write(
@@ -160,14 +162,14 @@
     ) -> bool:
         """Return whether a request may be written to an upstream now.
 
-        It may have named a limit or asked for rest since it was chosen.
+        It may have stated a limit or asked for a rest since it was chosen.
         """
         if not has_place and self.places.is_limited(upstream):
             return False
         return not self.availability.is_resting(upstream, now=now)
 
     def forget_instance(self, upstream: upstreams.Registration) -> None:
-        """Forget what an upstream said before it started again."""
-        at = running_requests.instance_of(upstream)
-        self.limits.forget_instance(at)
-        self.rests.forget_instance(at)
+        """Forget the statements of an instance that has been replaced."""
+        instance = running_requests.instance_of(upstream)
+        self.limits.forget_instance(instance)
+        self.rests.forget_instance(instance)
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -1,8 +1,9 @@
-"""Upstreams that turned a request away and asked for rest.
+"""Rests: back-offs that upstreams ask for with Retry-After when they refuse a request.
 
-What an upstream asks of one entry VM binds that one. The others hear of it, and prefer
-upstreams of which they have not: they need not be turned away to learn it, but a pool
-does not stand still because each of its upstreams has turned one entry VM away.
+A rest binds the entry VM whose request was refused. The others get a report of it and
+prefer upstreams without one, so that they need not be refused to learn of it. For them
+it is a preference only: a pool must not stop serving because each of its upstreams has
+refused one entry VM.
 """
 
 import dataclasses
@@ -12,34 +13,35 @@
 from lagoonrun_core import events, logs
 from lagoonrun_router import running_requests, upstream_notice
 
-LONGEST_REST_SECONDS = 600.0
-"""Longest rest that is kept at a time: an upstream that asks for a day may have
-recovered long before."""
+MAX_REST_SECONDS = 600.0
+"""Longest rest that is respected: an upstream that asks for a day may have recovered
+long before."""
 
 UNKNOWN_REST_SECONDS = 1.0
-"""Rest of an upstream that asks for one and can't be understood."""
+"""Rest of an upstream whose Retry-After can't be parsed."""
 
 _JITTER = 0.1
-"""Part of a rest by which it is prolonged at most, so that what waits for the end of
-many rests does not come at one moment."""
+"""Largest random extension of a rest, as a fraction of it, so that requests that wait
+for the end of many rests are not all sent at once."""
 
-_WAY_SECONDS = 0.1
-"""Longest time that a message takes, with a busy processor at its end."""
+_MAX_DELAY_SECONDS = 0.1
+"""Longest delay of a message between entry VMs, with a busy processor at the
+receiver."""
 
-_MOST_RESTS = 1024
-"""Upstreams of which rests are remembered; the oldest yield."""
+_MAX_RESTS = 1024
+"""Upstreams of which rests are stored; the oldest are evicted."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rest:
-    """A rest of which peers are told.
+    """A rest as it is reported to peers.
 
     Parameters
     ----------
     at
-        Which start of the upstream.
+        The upstream instance.
     until
-        Reading of the clock at its end.
+        Reading of the clock at the end of the rest.
     """
 
     at: running_requests.UpstreamInstance
@@ -47,7 +49,7 @@
 
 
 class UpstreamRests:
-    """Until when each upstream wants to be left alone.
+    """The end of each upstream's rest, as requested here and as reported by peers.
 
     Parameters
     ----------
@@ -57,28 +59,32 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._own_until: dict[running_requests.UpstreamInstance, float] = {}
-        self._told_until: dict[running_requests.UpstreamInstance, float] = {}
+        self._requested_until: dict[
+            running_requests.UpstreamInstance, float
+        ] = {}
+        self._reported_until: dict[
+            running_requests.UpstreamInstance, float
+        ] = {}
 
     def rest_seconds(
         self, at: running_requests.UpstreamInstance, *, now: float
     ) -> float:
-        """Return how long this entry VM has to leave an upstream alone."""
-        return max(0.0, self._own_until.get(at, now) - now)
+        """Return how long this entry VM must not send to an upstream."""
+        return max(0.0, self._requested_until.get(at, now) - now)
 
     def has_any(self, *, now: float) -> bool:
-        """Return whether any upstream rests, as it or a peer has said."""
-        for until_by_start in (self._own_until, self._told_until):
-            for at, until in tuple(until_by_start.items()):
+        """Return whether any upstream rests, by its own request or a report."""
+        for until_by_instance in (self._requested_until, self._reported_until):
+            for at, until in tuple(until_by_instance.items()):
                 if now >= until:
-                    del until_by_start[at]
-        return bool(self._own_until or self._told_until)
+                    del until_by_instance[at]
+        return bool(self._requested_until or self._reported_until)
 
     def is_avoided(
         self, at: running_requests.UpstreamInstance, *, now: float
     ) -> bool:
-        """Return whether others were asked to leave an upstream alone."""
-        return self._told_until.get(at, now) > now
+        """Return whether a peer has reported a rest of an upstream."""
+        return self._reported_until.get(at, now) > now
 
     def apply_answer(
         self,
@@ -87,18 +93,19 @@
         *,
         now: float,
     ) -> Rest | None:
-        """Take in an answer that asks for rest; return what peers are told.
+        """Apply an answer that may ask for a rest; return a new rest to report.
 
-        A shorter rest does not end a longer one: answers overtake each other.
+        A shorter rest does not shorten a longer one: answers may arrive out of
+        order.
         """
         asked_seconds = notice.rest_seconds
         if not asked_seconds:
             return None
-        seconds = min(LONGEST_REST_SECONDS, asked_seconds)
+        seconds = min(MAX_REST_SECONDS, asked_seconds)
         until = now + seconds * (1.0 + _JITTER * self._rng.random())
-        if until <= self._own_until.get(at, now):
+        if until <= self._requested_until.get(at, now):
             return None
-        _note(self._own_until, at, until)
+        _record(self._requested_until, at, until)
         logs.emit(
             events.LogEvent.UPSTREAM_RESTS,
             level=logging.WARNING,
@@ -111,13 +118,13 @@
         return Rest(at=at, until=now + seconds)
 
     def apply_report(self, rest: Rest, *, source: str, now: float) -> bool:
-        """Take in what a peer was asked for; return whether it is news."""
-        until = min(rest.until, now + LONGEST_REST_SECONDS)
-        # What is left of a rest is told without the time on the way, so that
-        # the same rest seems to end later with each entry VM that hands it on.
-        if until <= self._told_until.get(rest.at, now) + _WAY_SECONDS:
+        """Apply a rest that a peer reports; return whether it was unknown."""
+        until = min(rest.until, now + MAX_REST_SECONDS)
+        # Messages carry the remaining time without their own delay, so that
+        # the same rest appears to end later with each entry VM that forwards it.
+        if until <= self._reported_until.get(rest.at, now) + _MAX_DELAY_SECONDS:
             return False
-        _note(self._told_until, rest.at, until)
+        _record(self._reported_until, rest.at, until)
         logs.emit(
             events.LogEvent.UPSTREAM_RESTS,
             upstream=rest.at.upstream,
@@ -129,17 +136,17 @@
         return True
 
     def forget_instance(self, at: running_requests.UpstreamInstance) -> None:
-        """Forget what an upstream asked for before it started again."""
-        self._own_until.pop(at, None)
-        self._told_until.pop(at, None)
+        """Forget the rests of an instance that has been replaced."""
+        self._requested_until.pop(at, None)
+        self._reported_until.pop(at, None)
 
 
-def _note(
-    until_by_start: dict[running_requests.UpstreamInstance, float],
+def _record(
+    until_by_instance: dict[running_requests.UpstreamInstance, float],
     at: running_requests.UpstreamInstance,
     until: float,
 ) -> None:
-    until_by_start.pop(at, None)
-    until_by_start[at] = until
-    while len(until_by_start) > _MOST_RESTS:
-        del until_by_start[next(iter(until_by_start))]
+    until_by_instance.pop(at, None)
+    until_by_instance[at] = until
+    while len(until_by_instance) > _MAX_RESTS:
+        del until_by_instance[next(iter(until_by_instance))]
