--- a/packages/router/src/lagoonrun_router/answers.py
+++ b/packages/router/src/lagoonrun_router/answers.py
@@ -1,4 +1,4 @@
-"""Answers that the router itself gives to callers."""
+"""Answers to callers: the router's own, and those of upstreams passed on."""
 
 import random
 
@@ -14,40 +14,42 @@
 _NOT_RUN_STATUS = 503
 _TIMEOUT_STATUS = 504
 _BROKEN_STATUS = 502
-_UNAUTHORIZED = 401
-_LOWEST_FAILURE = 400
+_UNAUTHORIZED_STATUS = 401
+_LOWEST_ERROR_STATUS = 400
 
 _RETRY_SECONDS = 0.25
-"""When to come back where the cause is likely to have passed by then.
+"""Default Retry-After, for causes that are likely to have passed by then.
 
-Runners free slots several times a second, and another entry VM may see more.
-Long against a round trip, short against the shortest time limit in use (0.6 s).
+Runners free slots several times a second, and another entry VM may know of more
+free ones. Long compared to a round trip, short compared to the shortest time
+limit in use (0.6 s).
 """
 
 _RETRY_JITTER = 0.5
-"""Part of the above by which callers are spread, so that they don't meet."""
+"""Largest random extension of the above, as a fraction of it, so that callers
+don't retry at the same moment."""
 
 
 def retry_after_seconds(rng: random.Random, *, left_seconds: float) -> float:
-    """Return when a refused caller should come back.
+    """Return the Retry-After of a refused request.
 
     Parameters
     ----------
     left_seconds
-        Time left to the caller; it comes back within a third of it or not
-        at all.
+        Remaining time limit of the request; callers retry within a third of it
+        or not at all.
     """
     seconds = _RETRY_SECONDS * (1.0 + _RETRY_JITTER * rng.random())
     return max(0.01, min(seconds, left_seconds / 4.0))
 
 
 def spread_retry_seconds(rng: random.Random, *, wait_seconds: float) -> float:
-    """Return when to come back for something that comes up for one at a time.
+    """Return a spread Retry-After for capacity that frees up one unit at a time.
 
     Parameters
     ----------
     wait_seconds
-        Time until it may come up next.
+        Time until the next unit may be free.
     """
     soonest = max(_RETRY_SECONDS, wait_seconds)
     return soonest * (1.0 + rng.random())
@@ -59,9 +61,9 @@
     request_id: types.RequestId,
     ending: outcomes.Ending,
 ) -> None:
-    """Tell a caller that there is no answer, and whether its request ran.
+    """Answer that there is no result, and whether the request has run.
 
-    Only an ending `NOT_RUN` becomes 503, which callers take for the promise
+    Only an ending `NOT_RUN` becomes 503, which callers take as the promise
     that the request has not run and never will.
     """
     body = http_errors.error_body(
@@ -91,13 +93,13 @@
     *,
     upstream: types.UpstreamId,
 ) -> outcomes.Ending:
-    """Answer with an upstream's whole answer; return what it means."""
+    """Pass on an upstream's complete answer; return how the request ended."""
     await exchange.respond(
         status=answer.head.status,
         headers=answer.head.headers,
         body=answer.body,
     )
-    if answer.head.status < _LOWEST_FAILURE:
+    if answer.head.status < _LOWEST_ERROR_STATUS:
         return outcomes.Ending(
             outcome=outcomes.Outcome.COMPLETE, upstream=upstream
         )
@@ -117,7 +119,7 @@
     message: str,
     valid: str,
 ) -> None:
-    """Answer a request that cannot be served as it stands."""
+    """Reject an invalid request."""
     body = http_errors.error_body(
         step=step, field=field, message=message, valid=valid
     )
@@ -125,7 +127,7 @@
         (OUTCOME_HEADER, outcomes.Outcome.NOT_RUN.value),
         ("Content-Type", "application/json"),
     ]
-    if status == _UNAUTHORIZED:
+    if status == _UNAUTHORIZED_STATUS:
         pairs.append(("WWW-Authenticate", "Bearer"))
     await exchange.respond(
         status=status, headers=http_messages.Headers(pairs=pairs), body=body
--- a/packages/router/src/lagoonrun_router/attempt_result.py
+++ b/packages/router/src/lagoonrun_router/attempt_result.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream, as a tagged result."""
+"""The result of one attempt to get an answer from one upstream."""
 
 import dataclasses
 
@@ -10,27 +10,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Delivered:
-    """The caller has an answer of the upstream, whole or as far as it came."""
+    """The upstream's answer was delivered, completely or as far as it arrived."""
 
     ending: outcomes.Ending
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The attempt ended without an answer that may be delivered to its end.
+    """The attempt failed: it ended without a complete answer to deliver.
 
     Parameters
     ----------
     ran
-        `NOT_RUN` where no byte left or the upstream said so, else `UNKNOWN`,
-        `FAILED`, or `PARTIAL` where the caller has part of the answer.
+        `NOT_RUN` if no byte was sent or the upstream states that it did not
+        run the request, else `UNKNOWN`, `FAILED`, or `PARTIAL` if the caller
+        has part of the answer.
     sent
         Whether a byte of the request may have reached the upstream.
-    elsewhere
+    misdirected
         Whether another process has the upstream's address now.
     answer
-        The upstream's own answer, where it is a whole one that tells of a
-        failure: the caller gets it if there is no other attempt.
+        The upstream's own complete error response, if any; the caller gets it
+        if there is no other attempt.
     """
 
     ran: outcomes.Outcome
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WholeAnswer:
-    """An upstream's answer that has arrived to its end."""
+    """An upstream's answer that has arrived completely."""
 
     head: http_messages.ResponseHead
     body: bytes
@@ -53,10 +54,10 @@
 Result = Delivered | Lost
 
 
-def lost_by(
+def lost_from_failure(
     failure: http_upstream.UpstreamFailure, *, upstream: types.UpstreamId
 ) -> Lost:
-    """Return what a failed exchange says of the request."""
+    """Return the result of an attempt whose exchange failed."""
     ran = (
         outcomes.Outcome.UNKNOWN
         if failure.bytes_left
--- a/packages/router/src/lagoonrun_router/call.py
+++ b/packages/router/src/lagoonrun_router/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller, as far as decisions need to know it."""
+"""One request of a caller, with all that routing decisions use."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PromptPart:
-    """A run of tokens at a fixed place in a prompt.
+    """A sequence of tokens at a fixed position in a prompt.
 
     Parameters
     ----------
     id
-        The same for all prompts that have this part after the same parts.
+        The same for all prompts that have this part after the same prefix.
     """
 
     id: str
@@ -23,21 +23,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallAttributes:
-    """What a caller says of its request.
+    """What a caller states about its request.
 
     Parameters
     ----------
     key
-        Bearer key; None where none was sent.
+        Bearer key; None if none was sent.
     patience_seconds
-        How long the caller waits from the sending on; None if unsaid.
+        How long the caller waits after it sent the request; None if unstated.
     prompt
-        Parts of the prompt in order; the last is the request's own.
+        Parts of the prompt in order; the last one is not shared with other
+        requests.
     prompt_tokens
-        All tokens of the prompt; 0 for plain services.
+        Number of tokens of the whole prompt; 0 for plain services.
     resumes_after
-        Event after which the caller wants a broken stream to go on; empty
-        for a stream from its beginning.
+        Id of the event after which a broken stream is to be resumed; empty for
+        a stream from its beginning.
     """
 
     request_id: types.RequestId
@@ -56,23 +57,24 @@
     Parameters
     ----------
     urgency
-        Place in the order of service, 0 for the most urgent: by the tier of
+        Position in the order of service, 0 for the most urgent: by the tier of
         the class, then by that of the organisation.
     last_urgency
-        Place after all requests of the pool.
+        Position after all requests of the pool.
     pool_tiers
         Tiers of all classes of the pool.
     tightest_pause_seconds
-        Shortest longest pause of any class of the pool; None for none.
+        Smallest `longest_pause_seconds` of any class of the pool; None if no
+        class has one.
     arrived_at
-        Reading of the clock when the head was complete.
+        Reading of the clock when the request head was complete.
     limit_at
         Reading of the clock at which the caller gets a final answer, whatever
-        has become of the request.
+        the state of the request.
     revision
-        Declarations by which the request was resolved.
+        Revision of the declarations by which the request was resolved.
     digest
-        The same for each copy of the request that its caller sends.
+        The same for each repetition of the request by its caller.
     """
 
     attributes: CallAttributes
@@ -107,7 +109,7 @@
 
     @property
     def patience_seconds(self) -> float:
-        """How long the caller waits for its first event, or its answer."""
+        """Longest wait for the first event of a stream, or for the answer."""
         limit_seconds = self.limit_at - self.arrived_at
         if self.route.patience_seconds is None:
             return limit_seconds
@@ -115,19 +117,19 @@
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return self.route.answer_kind is declarations.AnswerKind.EVENTS
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests may share."""
+        """Number of tokens in the parts that other requests may share."""
         return sum(part.tokens for part in self.attributes.prompt[:-1])
 
     @property
     def affinity_part(self) -> PromptPart | None:
-        """The part by which requests are brought together on an upstream.
+        """The part by which requests are routed to the same upstream.
 
-        The largest shared one: reading it again costs most.
+        The largest shared part, because its prefill is the most expensive.
         """
         shared = self.attributes.prompt[:-1]
         if not shared:
--- a/packages/router/src/lagoonrun_router/components.py
+++ b/packages/router/src/lagoonrun_router/components.py
@@ -1,4 +1,4 @@
-"""What the handling of each call uses, together."""
+"""The components that the execution of each call uses."""
 
 import dataclasses
 import random
@@ -31,13 +31,13 @@
     Parameters
     ----------
     crash_watch
-        Follows what runs at the upstreams.
+        Tracks the requests that run at the upstreams and detects crashes.
     crashing_requests
-        Requests that end upstreams.
+        Requests that crash upstreams, with the evidence against them.
     notices
-        What upstreams say of themselves, and what follows from it.
+        Applies what upstreams state about themselves in their answers.
     usage
-        Counts requests that begin to run; None where nobody asks for usage.
+        Counts requests that begin to run; None if usage is not reported.
     """
 
     domain: types.FailureDomain
--- a/packages/router/src/lagoonrun_router/dialect.py
+++ b/packages/router/src/lagoonrun_router/dialect.py
@@ -1,6 +1,7 @@
-"""What a platform's manner of speaking must tell, as `Protocol` types.
+"""Interfaces of the adapter for a platform's wire and storage formats.
 
-The router decides; an adapter reads and writes the names on the wire.
+The router makes the decisions; the adapter reads and writes the names on the
+wire and in the store.
 """
 
 from typing import Protocol
@@ -11,12 +12,12 @@
 
 
 class Dialect(Protocol):
-    """Requests and answers as callers and upstreams write them."""
+    """The format of requests and answers of callers and upstreams."""
 
     def read_attributes(
         self, head: http_messages.RequestHead
     ) -> calls.CallAttributes:
-        """Return what a caller says; raises `FormatError`."""
+        """Return what a caller states about its request; raises `FormatError`."""
 
     def upstream_head(
         self,
@@ -27,50 +28,51 @@
         resume_after: str,
         urgency: int,
     ) -> http_messages.RequestHead:
-        """Return the head with which a call goes to `upstream`.
+        """Return the request head with which a call is sent to `upstream`.
 
         Parameters
         ----------
         remaining_seconds
-            Time that is left to the caller; the upstream stops work then.
+            Remaining time limit, after which the upstream stops the request.
         resume_after
-            Event after which a broken stream is to go on; empty for all.
+            Id of the event after which a broken stream is resumed; empty for
+            the whole stream.
         urgency
-            Place in the order of service, 0 for the most urgent.
+            Position in the order of service, 0 for the most urgent.
         """
 
     def says_not_run(self, head: http_messages.ResponseHead) -> bool:
-        """Return whether the upstream promises that it ran nothing."""
+        """Return whether the upstream states that it did not run the request."""
 
     def is_misdirected(self, head: http_messages.ResponseHead) -> bool:
-        """Return whether another process than the one meant has answered."""
+        """Return whether a process other than the intended one has answered."""
 
     def is_genuine(self, head: http_messages.ResponseHead) -> bool:
-        """Return whether an upstream, and not something else, made this."""
+        """Return whether the answer carries the signature of an upstream."""
 
     def read_notice(
         self, head: http_messages.ResponseHead
     ) -> upstream_notice.UpstreamNotice:
-        """Return what the upstream says of itself; never raises."""
+        """Return what the upstream states about itself; never raises."""
 
 
 class StoreLayout(Protocol):
-    """Where the store keeps what the router reads, and in which format."""
+    """Keys and value formats of what the router reads from the store."""
 
     declarations_key: str
-    """Key of the declarations in force."""
+    """Key of the active declarations."""
 
     upstreams_prefix: str
-    """Keys of the upstreams begin so."""
+    """Prefix of the keys of upstreams."""
 
     entry_vms_prefix: str
-    """Keys that entry VMs may write, one each, begin so."""
+    """Prefix of the keys of entry VMs; each writes its own."""
 
     blocked_requests_prefix: str
-    """Keys that entry VMs may write, one for a blocked request, begin so."""
+    """Prefix of the keys of blocked requests; entry VMs write one for each."""
 
     def decode_declarations(self, value: bytes) -> declarations.Declarations:
-        """Return the declarations in a value; raises `FormatError`."""
+        """Return the declarations that `value` encodes; raises `FormatError`."""
 
     def decode_upstream(self, key: str, value: bytes) -> upstreams.Registration:
-        """Return the upstream in an entry; raises `FormatError`."""
+        """Return the upstream that an entry encodes; raises `FormatError`."""
--- a/packages/router/src/lagoonrun_router/upstream_attempt.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -134,7 +134,9 @@
                 upstream=upstream.id,
             )
         if isinstance(response, http_upstream.UpstreamFailure):
-            return attempt_result.lost_by(response, upstream=upstream.id)
+            return attempt_result.lost_from_failure(
+                response, upstream=upstream.id
+            )
         self._apply_notice(response.head)
         try:
             return await self._read_answer(response, upstream.id)
@@ -261,7 +263,7 @@
         self._record_started()
         body = await response.read_all(_MAX_BUFFERED_ANSWER_BYTES)
         if isinstance(body, http_upstream.UpstreamFailure):
-            return attempt_result.lost_by(body, upstream=upstream)
+            return attempt_result.lost_from_failure(body, upstream=upstream)
         answer = attempt_result.WholeAnswer(head=response.head, body=body)
         if response.head.status >= _LOWEST_SERVER_ERROR_STATUS:
             return attempt_result.Lost(
