--- a/packages/router/src/lagoonrun_router/event_splitter.py
+++ b/packages/router/src/lagoonrun_router/event_splitter.py
@@ -1,65 +1,65 @@
-"""Split a stream of server-sent events at their ends."""
+"""Split a stream of server-sent events after complete events."""
 
-_FIELD = b"id:"
-_LARGEST_EVENT_BYTES = 1024 * 1024
+_ID_FIELD = b"id:"
+_MAX_EVENT_BYTES = 1024 * 1024
 
 
 class OversizedEventError(ValueError):
-    """An event is larger than any upstream would send."""
+    """An event exceeds the largest size that upstreams may send."""
 
 
 class EventSplitter:
-    """Hands on whole events and remembers the id of the last one.
+    """Returns complete events and keeps the id of the last one.
 
     Lines end in LF or CRLF.
 
     Attributes
     ----------
     last_id
-        Id of the last whole event that had one; empty before.
+        Id of the last complete event that had one; empty before.
     events
-        Whole events so far.
+        Number of complete events so far.
     """
 
     def __init__(self) -> None:
         self.last_id = ""
         self.events = 0
-        self._open = b""
+        self._incomplete = b""
 
     @property
     def within_event(self) -> bool:
-        """Whether a part of an event is held back."""
-        return bool(self._open)
+        """Whether part of an event is buffered."""
+        return bool(self._incomplete)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return the whole events that they complete.
+        """Add bytes; return the events that they complete.
 
         Raises
         ------
         OversizedEventError
-            When an event does not end.
+            When an event exceeds the largest size.
         """
-        text = self._open + data
+        text = self._incomplete + data
         end = _end_of_last_event(text)
-        whole, self._open = text[:end], text[end:]
-        if len(self._open) > _LARGEST_EVENT_BYTES:
+        complete, self._incomplete = text[:end], text[end:]
+        if len(self._incomplete) > _MAX_EVENT_BYTES:
             raise OversizedEventError(
-                f"an event has over {_LARGEST_EVENT_BYTES} bytes"
+                f"an event has over {_MAX_EVENT_BYTES} bytes"
             )
-        if whole:
-            self._read_fields(whole)
-        return whole
+        if complete:
+            self._read_fields(complete)
+        return complete
 
-    def take_rest(self) -> bytes:
-        """Return what is held back, at the end of a whole stream."""
-        rest, self._open = self._open, b""
+    def pop_rest(self) -> bytes:
+        """Return and clear the buffered bytes, at the end of a complete stream."""
+        rest, self._incomplete = self._incomplete, b""
         return rest
 
-    def _read_fields(self, whole: bytes) -> None:
+    def _read_fields(self, complete: bytes) -> None:
         blank_before = True
-        for line in whole.splitlines():
-            if line.startswith(_FIELD):
-                self.last_id = line[len(_FIELD) :].strip().decode("latin-1")
+        for line in complete.splitlines():
+            if line.startswith(_ID_FIELD):
+                self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
             if not line and not blank_before:
                 self.events += 1
             blank_before = not line
--- a/packages/router/src/lagoonrun_router/format_error.py
+++ b/packages/router/src/lagoonrun_router/format_error.py
@@ -1,7 +1,7 @@
-"""The error of anything on the wire or in a file that is not as described."""
+"""The error for invalid messages, store entries and settings."""
 
 from lagoonrun_core import errors
 
 
 class FormatError(errors.LagoonrunError):
-    """A message, an entry of the store or a setting is not valid."""
+    """A message, an entry of the store or a setting is invalid."""
--- a/packages/router/src/lagoonrun_router/recent_answers.py
+++ b/packages/router/src/lagoonrun_router/recent_answers.py
@@ -1,20 +1,20 @@
-"""Which requests an upstream has answered to the end a moment ago."""
+"""The requests that an upstream has recently answered completely."""
 
 import collections
 
 from lagoonrun_core import types
 
 ANSWERED_SECONDS = 30.0
-"""Age up to which an answer shows that a request ends no upstreams. Longer than a
-series of crashes, shorter than what operators wait for where a new version of an
-engine can't bear what the one before could."""
+"""Age up to which an answer shows that a request does not crash upstreams. Longer than
+a series of crashes, and shorter than operators wait for a reaction when a new version
+of an engine crashes on requests that the previous one could run."""
 
-_MOST_REMEMBERED = 2048
-"""Requests that are remembered, a hundred bytes each; the oldest yield."""
+_MAX_REMEMBERED = 2048
+"""Requests that are stored, a hundred bytes each; the oldest are evicted."""
 
 
 class RecentAnswers:
-    """The requests that this entry VM has had answered lately."""
+    """The requests of this entry VM that were recently answered."""
 
     def __init__(self) -> None:
         self._at_by_request: collections.OrderedDict[
@@ -22,13 +22,13 @@
         ] = collections.OrderedDict()
 
     def note(self, request: types.RequestDigest, *, now: float) -> None:
-        """Note an answer."""
+        """Record that a request was answered."""
         self._at_by_request[request] = now
         self._at_by_request.move_to_end(request)
-        while len(self._at_by_request) > _MOST_REMEMBERED:
+        while len(self._at_by_request) > _MAX_REMEMBERED:
             self._at_by_request.popitem(last=False)
 
     def has(self, request: types.RequestDigest, *, now: float) -> bool:
-        """Return whether a request was answered lately."""
+        """Return whether a request was recently answered."""
         at = self._at_by_request.get(request)
         return at is not None and now - at < ANSWERED_SECONDS
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -271,7 +271,7 @@
             router_endpoints.ReadinessEndpoint(router=self),
         )
         self._peer_server = self._server(
-            configured.peer, router_endpoints.PeerEndpoint(known=self.replica)
+            configured.peer, router_endpoints.PeerEndpoint(replica=self.replica)
         )
         self._metrics_server = None
         if configured.metrics is not None:
--- a/packages/router/src/lagoonrun_router/router_endpoints.py
+++ b/packages/router/src/lagoonrun_router/router_endpoints.py
@@ -1,4 +1,4 @@
-"""Calls that the platform and peers make to the router itself."""
+"""HTTP endpoints of the router itself, for the platform, peers and operators."""
 
 import json
 from typing import Protocol
@@ -13,31 +13,31 @@
 BLOCKED_REQUESTS_PATH = "/blocked-requests"
 
 
-class AnswersCalls(Protocol):
-    """What the calls need of the router."""
+class RouterStatus(Protocol):
+    """What the endpoints use of the router."""
 
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here."""
 
     def metrics_text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
 
 
-class LiftsBlocks(Protocol):
-    """The blocked requests, for operators."""
+class BlockedRequests(Protocol):
+    """What the endpoints use of the blocked requests."""
 
     def blocks(self) -> tuple[crash_evidence.Block, ...]:
-        """Return all requests that must not be sent."""
+        """Return the blocks of all requests that must not be sent."""
 
     def lift(self, request: types.RequestDigest) -> bool:
-        """Let a request run again; return whether anything was held against it."""
+        """Unblock a request; return whether there was any evidence against it."""
 
 
 class ReadinessEndpoint:
-    """Answers the balancer's question."""
+    """Answers the load balancer's readiness checks."""
 
-    def __init__(self, *, router: AnswersCalls) -> None:
+    def __init__(self, *, router: RouterStatus) -> None:
         self._router = router
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
@@ -50,24 +50,24 @@
 
 
 class PeerEndpoint:
-    """Gives other entry VMs what this one has read from the store."""
+    """Serves to other entry VMs what this one has read from the store."""
 
-    def __init__(self, *, known: store_replica.StoreReplica) -> None:
-        self._known = known
+    def __init__(self, *, replica: store_replica.StoreReplica) -> None:
+        self._replica = replica
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
         """Answer one call."""
         await exchange.read_body()
-        body = self._body_of(exchange.head.target)
+        body = self._body_for(exchange.head.target)
         await exchange.respond(
             status=200 if body else 404,
             headers=http_messages.Headers(),
             body=body,
         )
 
-    def _body_of(self, path: str) -> bytes:
+    def _body_for(self, path: str) -> bytes:
         if path == peer_fetch.DECLARATIONS_PATH:
-            return self._known.declared.newest.text
+            return self._replica.declared.newest.text
         if path.startswith(peer_fetch.DECLARED_CHANGE_PATH):
             return self._declared_change(path)
         if path == peer_fetch.UPSTREAMS_PATH:
@@ -75,39 +75,43 @@
                 router_messages.StoredItems(
                     items=tuple(
                         router_messages.StoredItem(key=key, value=value)
-                        for key, value in self._known.upstream_entries().items()
+                        for key, value in self._replica.upstream_entries().items()
                     ),
-                    store_revision=self._known.store_revision,
+                    store_revision=self._replica.store_revision,
                 )
             )
         return b""
 
     def _declared_change(self, path: str) -> bytes:
-        """Return what has changed since the value that the caller has."""
-        if not self._known.revision:
+        """Return the changes since the value whose digest the path names."""
+        if not self._replica.revision:
             return b""
         digest = path.removeprefix(peer_fetch.DECLARED_CHANGE_PATH)
-        return router_codec.encode(self._known.declared.change_from(digest))
+        return router_codec.encode(self._replica.declared.change_from(digest))
 
 
 class OperatorEndpoint:
-    """Serves the metrics, and the blocked requests to whoever lifts blocks.
+    """Serves the metrics, and lists and unblocks blocked requests.
 
-    `GET /blocked-requests` lists them; `DELETE /blocked-requests/DIGEST` lifts one,
-    at all entry VMs. Any other call gets the metrics.
+    `GET /blocked-requests` lists them; `DELETE /blocked-requests/DIGEST` unblocks
+    one at all entry VMs. Any other call gets the metrics.
 
     Parameters
     ----------
     router
-        Gives the metrics.
+        Source of the metrics.
     blocks
         The blocked requests.
     clock
-        Dates the ends of the blocks.
+        Source of time, for the remaining time of the blocks.
     """
 
     def __init__(
-        self, *, router: AnswersCalls, blocks: LiftsBlocks, clock: clocks.Clock
+        self,
+        *,
+        router: RouterStatus,
+        blocks: BlockedRequests,
+        clock: clocks.Clock,
     ) -> None:
         self._router = router
         self._blocks = blocks
@@ -118,41 +122,43 @@
         await exchange.read_body()
         path = exchange.head.target
         if path == BLOCKED_REQUESTS_PATH:
-            await self._list(exchange)
+            await self._respond_with_list(exchange)
         elif path.startswith(f"{BLOCKED_REQUESTS_PATH}/"):
-            await self._lift(exchange)
+            await self._lift_block(exchange)
         else:
             await exchange.respond(
                 status=200,
-                headers=_typed("text/plain; version=0.0.4"),
+                headers=_content_type("text/plain; version=0.0.4"),
                 body=self._router.metrics_text(),
             )
 
-    async def _list(self, exchange: exchanges.Exchange) -> None:
+    async def _respond_with_list(self, exchange: exchanges.Exchange) -> None:
         now = self._clock.monotonic()
         rows = [
             {
-                "digest": one.request,
-                "route": one.route,
-                "upstreams": [crash.upstream for crash in one.crashes],
-                "seconds_left": round(one.until - now, 1),
+                "digest": block.request,
+                "route": block.route,
+                "upstreams": [instance.upstream for instance in block.crashes],
+                "seconds_left": round(block.until - now, 1),
             }
-            for one in self._blocks.blocks()
+            for block in self._blocks.blocks()
         ]
         await _respond_json(exchange, 200, {"blocked": rows})
 
-    async def _lift(self, exchange: exchanges.Exchange) -> None:
+    async def _lift_block(self, exchange: exchanges.Exchange) -> None:
         if exchange.head.method != "DELETE":
             await _respond_json(exchange, 405, {"lifted": False})
             return
-        written = exchange.head.target.removeprefix(f"{BLOCKED_REQUESTS_PATH}/")
-        lifted = self._blocks.lift(types.RequestDigest(written))
+        digest_text = exchange.head.target.removeprefix(
+            f"{BLOCKED_REQUESTS_PATH}/"
+        )
+        lifted = self._blocks.lift(types.RequestDigest(digest_text))
         await _respond_json(
             exchange, 200 if lifted else 404, {"lifted": lifted}
         )
 
 
-def _typed(content_type: str) -> http_messages.Headers:
+def _content_type(content_type: str) -> http_messages.Headers:
     return http_messages.Headers(pairs=[("Content-Type", content_type)])
 
 
@@ -161,6 +167,6 @@
 ) -> None:
     await exchange.respond(
         status=status,
-        headers=_typed("application/json"),
+        headers=_content_type("application/json"),
         body=json.dumps(value).encode(),
     )
--- a/packages/router/tests/test_event_splitter.py
+++ b/packages/router/tests/test_event_splitter.py
@@ -37,7 +37,7 @@
 def test_rest_is_given_at_the_end():
     splitter = event_splitter.EventSplitter()
     splitter.feed(b"data: x\n\ndata: y")
-    assert splitter.take_rest() == b"data: y"
+    assert splitter.pop_rest() == b"data: y"
     assert not splitter.within_event
 
 
