--- a/packages/router/src/lagoonrun_router/__init__.py
+++ b/packages/router/src/lagoonrun_router/__init__.py
@@ -1,5 +1,5 @@
-"""Route requests on fleets whose upstreams register themselves in a store.
+"""Route requests in fleets whose upstreams register themselves in a store.
 
-Each entry VM decides alone, by the shared view of the store, by what its own
-requests met, and by what the other entry VMs tell it of theirs.
+Each entry VM decides on its own, from the contents of the store, the results of
+its own requests, and the reports of the other entry VMs about theirs.
 """
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -302,7 +302,7 @@
         pool = self._call.pool.name
         if decision is retrying.RetryDecision.PAID:
             if self._components.retry_budget.spend(pool, now=now):
-                self._components.metrics.repeats.labels(pool).inc()
+                self._components.metrics.repeated_sends.labels(pool).inc()
             else:
                 self._components.metrics.denied_repeats.labels(pool).inc()
                 decision = retrying.RetryDecision.END
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -137,7 +137,7 @@
             )
             return None
         organisation = table.organisation_of(attributes.key)
-        if organisation is None and table.asks_for_keys and not route.public:
+        if organisation is None and table.requires_keys and not route.public:
             await self._reject(
                 exchange,
                 _Rejection.UNKNOWN_KEY,
--- a/packages/router/src/lagoonrun_router/metrics.py
+++ b/packages/router/src/lagoonrun_router/metrics.py
@@ -8,41 +8,41 @@
 _LATENCY_BUCKETS = (
     0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0,
 )  # fmt: skip
-"""Seconds; between the shortest target and the longest limit in use."""
+"""In seconds; from the shortest target to the longest time limit in use."""
 
 
 class RouterMetrics:
-    """All metrics, in a registry of their own."""
+    """All metrics of a process, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
-        self.ended = prometheus_client.Counter(
+        self.ended_requests = prometheus_client.Counter(
             "lagoonrun_requests_ended",
             "Requests by class, outcome and reason.",
             ["profile", "outcome", "reason"],
             registry=self.registry,
         )
-        self.in_time = prometheus_client.Counter(
+        self.in_time_requests = prometheus_client.Counter(
             "lagoonrun_requests_in_time",
             "Complete answers that met the target of their class.",
             ["profile"],
             registry=self.registry,
         )
-        self.first = prometheus_client.Histogram(
+        self.first_answer_seconds = prometheus_client.Histogram(
             "lagoonrun_first_answer_seconds",
             "Time to the first event or to the whole answer.",
             ["profile"],
             buckets=_LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.pauses = prometheus_client.Histogram(
+        self.pause_seconds = prometheus_client.Histogram(
             "lagoonrun_longest_pause_seconds",
             "Longest pause between two events of a stream.",
             ["profile"],
             buckets=_LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.repeats = prometheus_client.Counter(
+        self.repeated_sends = prometheus_client.Counter(
             "lagoonrun_repeated_sends",
             "Sends beyond the first of a request.",
             ["pool"],
@@ -210,21 +210,25 @@
     ) -> None:
         """Count the end of a request."""
         profile = call.route.profile
-        self.ended.labels(
+        self.ended_requests.labels(
             profile.name, ending.outcome.value, ending.reason.value
         ).inc()
         if first_seconds is None:
             return
-        self.first.labels(profile.name).observe(first_seconds)
+        self.first_answer_seconds.labels(profile.name).observe(first_seconds)
         if call.streamed:
-            self.pauses.labels(profile.name).observe(longest_pause_seconds)
-        pause = call.route.longest_pause_seconds
-        paused = pause is not None and longest_pause_seconds > pause
+            self.pause_seconds.labels(profile.name).observe(
+                longest_pause_seconds
+            )
+        max_pause = call.route.longest_pause_seconds
+        pause_exceeded = (
+            max_pause is not None and longest_pause_seconds > max_pause
+        )
         complete = ending.outcome is outcomes.Outcome.COMPLETE
         on_time = first_seconds <= profile.target_seconds
-        if complete and on_time and not paused:
-            self.in_time.labels(profile.name).inc()
+        if complete and on_time and not pause_exceeded:
+            self.in_time_requests.labels(profile.name).inc()
 
     def text(self) -> bytes:
-        """Return everything in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/packages/router/src/lagoonrun_router/request_digest.py
+++ b/packages/router/src/lagoonrun_router/request_digest.py
@@ -1,4 +1,4 @@
-"""What tells that two requests are the same one, sent again."""
+"""Digests by which repetitions of a request are recognised."""
 
 import hashlib
 
@@ -6,7 +6,8 @@
 from lagoonrun_http import messages as http_messages
 
 _DIGEST_BYTES = 16
-"""Bytes of a digest: no two requests of a fleet's life share one by chance."""
+"""Bytes of a digest: long enough that no two requests in the lifetime of a fleet
+collide by chance."""
 
 
 def digest_of(
@@ -18,18 +19,18 @@
 ) -> types.RequestDigest:
     """Return the digest of a request: its caller, path and body.
 
-    The organisation is part of it, so that nothing that one organisation sends
-    is held against another that sends the same.
+    The organisation is included, so that crashes caused by the requests of one
+    organisation do not count against another that sends the same request.
 
     Parameters
     ----------
     organisation
-        Who sends it; None on public routes.
+        The caller's organisation; None on public routes.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for field in (head.method, host, head.target, organisation or ""):
         encoded = field.encode()
-        # Lengths, so that no two fields run into each other.
+        # The length prefix makes the boundaries between fields unambiguous.
         digest.update(len(encoded).to_bytes(4, "little"))
         digest.update(encoded)
     digest.update(body)
--- a/packages/router/src/lagoonrun_router/route_table.py
+++ b/packages/router/src/lagoonrun_router/route_table.py
@@ -11,18 +11,18 @@
 
 
 class RouteTable:
-    """Index of one revision of the declarations; a new one gets a new table.
+    """Index of one revision of the declarations; each revision has its own table.
 
     Parameters
     ----------
     declared
-        The revision in force.
+        The active revision.
     """
 
     def __init__(self, *, declared: declarations.Declarations) -> None:
         self.declared = declared
-        self._routes_by_place = {
-            # A host has no slash, a prefix begins with one.
+        self._routes_by_host_and_prefix = {
+            # Unambiguous: a host has no slash, and a prefix begins with one.
             route.host + route.path_prefix: route
             for route in declared.routes
         }
@@ -46,27 +46,27 @@
         )
 
     def tiers_of(self, pool: types.PoolName) -> tuple[types.Tier, ...]:
-        """Return the tiers of all classes of a pool, without repeats."""
+        """Return the distinct tiers of all classes of a pool."""
         return self._tiers_by_pool.get(pool, ())
 
     def tightest_pause_of(self, pool: types.PoolName) -> float | None:
-        """Return the shortest longest pause of any class of a pool.
+        """Return the smallest `longest_pause_seconds` of any class of a pool.
 
-        In seconds; None where no class of the pool has one.
+        None if no class of the pool has one.
         """
         return self._tightest_pause_by_pool.get(pool)
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether routes that are not public need a key."""
         return bool(self.declared.organisations_by_id)
 
     def route_of(self, host: str, target: str) -> declarations.Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest matching path prefix."""
         path = target.partition("?")[0]
         end = path.rfind("/") + 1
         while end > 0:
-            route = self._routes_by_place.get(host + path[:end])
+            route = self._routes_by_host_and_prefix.get(host + path[:end])
             if route is not None:
                 return route
             end = path.rfind("/", 0, end - 1) + 1
@@ -75,7 +75,7 @@
     def organisation_of(
         self, key: str | None
     ) -> declarations.RankedOrganisation | None:
-        """Return who bears `key`; None for no key and an unknown one."""
+        """Return the organisation of `key`; None for no or an unknown key."""
         if not key:
             return None
         digest = hashlib.sha256(key.encode()).hexdigest()
@@ -89,7 +89,9 @@
     for route in routes:
         for destination in route.destinations:
             tiers.setdefault(destination.pool, set()).add(route.profile.tier)
-    return {pool: tuple(sorted(found)) for pool, found in tiers.items()}
+    return {
+        pool: tuple(sorted(pool_tiers)) for pool, pool_tiers in tiers.items()
+    }
 
 
 def _tightest_pause_by_pool(
@@ -101,23 +103,25 @@
         if pause is None:
             continue
         for destination in route.destinations:
-            known = tightest.get(destination.pool, pause)
-            tightest[destination.pool] = min(known, pause)
+            current = tightest.get(destination.pool, pause)
+            tightest[destination.pool] = min(current, pause)
     return tightest
 
 
 def choose_pool(
     route: declarations.Route, request_id: types.RequestId
 ) -> types.PoolName:
-    """Return the pool of one request: the same for the same id.
+    """Return the pool of a request; the same for the same request id.
 
-    A hash of the id divides requests in proportion to the weights without
-    any state, and a repeated decision gives the same pool.
+    A hash of the id splits requests in proportion to the weights without any
+    state, and a repeated decision returns the same pool.
     """
     total = sum(one.weight for one in route.destinations)
-    point = xxhash.xxh3_64_intdigest(request_id.encode()) / _HASH_RANGE * total
+    position = (
+        xxhash.xxh3_64_intdigest(request_id.encode()) / _HASH_RANGE * total
+    )
     for destination in route.destinations:
-        point -= destination.weight
-        if point < 0:
+        position -= destination.weight
+        if position < 0:
             return destination.pool
     return route.destinations[-1].pool
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -1,4 +1,4 @@
-"""Which requests of this entry VM run at each upstream, and which did lately."""
+"""The requests of this entry VM that run, or recently ran, at each upstream."""
 
 import dataclasses
 import enum
@@ -7,49 +7,56 @@
 from lagoonrun_router import upstreams
 
 SUSPECT_SECONDS = 1.0
-"""How long a broken or abandoned run may have been ended by a crash that is only
-noticed now: a connection attempt, and the news of it at other entry VMs."""
+"""How long after its end a broken or abandoned run is still a suspect for a crash
+that is noticed only now: the time of a connection attempt, and of the report about
+it to other entry VMs."""
 
 
 class RunEnd(enum.Enum):
-    """How the run of a request at an upstream ended, as seen from here."""
+    """How the run of a request at an upstream ended, as seen by this entry VM."""
 
     ANSWERED = "answered"
-    """The caller has the whole answer."""
+    """The caller has the complete answer."""
 
     FAILED = "failed"
-    """The upstream lives: it answered something else, or not in time."""
+    """The upstream is alive: it answered with an error, or not in time."""
 
     BROKEN = "broken"
-    """The connection ended before the answer did."""
+    """The connection ended before the answer was complete."""
 
     ABANDONED = "abandoned"
-    """The caller left; the upstream may have gone on with it."""
+    """The caller left; the upstream may have continued the run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamInstance:
-    """One start of an upstream: it may start again under its id."""
+    """One process of an upstream, which may restart under the same id.
+
+    Parameters
+    ----------
+    start
+        Start number of the process.
+    """
 
     upstream: types.UpstreamId
     start: types.UpstreamStart
 
 
 def instance_of(upstream: upstreams.Registration) -> UpstreamInstance:
-    """Return the start of an upstream that a registration is of."""
+    """Return the instance that a registration describes."""
     return UpstreamInstance(upstream=upstream.id, start=upstream.start)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuspectRequest:
-    """A request as those who look into a crash know it.
+    """A request that ran at an upstream when it crashed.
 
     Parameters
     ----------
     route
         Name of its route, for operators.
     silent
-        Whether nothing of its answer had come.
+        Whether no part of its answer had arrived.
     """
 
     digest: types.RequestDigest
@@ -64,15 +71,15 @@
     Parameters
     ----------
     at
-        Where it runs.
+        The upstream instance that runs it.
     ended_at
-        Reading of the clock when it was broken off or abandoned; None while
-        it runs.
+        Reading of the clock when it was broken or abandoned; None while it
+        runs.
 
     Attributes
     ----------
     silent
-        Whether nothing of its answer has come yet.
+        Whether no part of its answer has arrived yet.
     """
 
     digest: types.RequestDigest
@@ -83,21 +90,21 @@
 
 
 class RunningRequests:
-    """Runs by upstream: those under way, and those that ended a moment ago."""
+    """Runs by upstream instance, in progress or recently ended."""
 
     def __init__(self) -> None:
-        self._runs_by_upstream: dict[UpstreamInstance, list[Run]] = {}
+        self._runs_by_instance: dict[UpstreamInstance, list[Run]] = {}
 
     def begin(
         self, digest: types.RequestDigest, *, route: str, at: UpstreamInstance
     ) -> Run:
-        """Note that a request is about to be written to an upstream."""
+        """Record that a request is about to be written to an upstream."""
         run = Run(digest=digest, route=route, at=at)
-        self._runs_by_upstream.setdefault(at, []).append(run)
+        self._runs_by_instance.setdefault(at, []).append(run)
         return run
 
     def end(self, run: Run, end: RunEnd, *, now: float) -> None:
-        """Note how a run ended."""
+        """Record how a run ended."""
         if end in (RunEnd.BROKEN, RunEnd.ABANDONED):
             run.ended_at = now
         else:
@@ -107,9 +114,9 @@
     def suspects_at(
         self, at: UpstreamInstance, *, now: float
     ) -> frozenset[SuspectRequest]:
-        """Return the requests that ran at an upstream a moment ago."""
+        """Return the requests that run, or recently ran, at an upstream."""
         self._forget_old(at, now)
-        runs = self._runs_by_upstream.get(at, ())
+        runs = self._runs_by_instance.get(at, ())
         return frozenset(
             SuspectRequest(
                 digest=run.digest, route=run.route, silent=run.silent
@@ -119,26 +126,26 @@
 
     @property
     def upstreams(self) -> int:
-        """Upstreams of which anything is kept."""
-        return len(self._runs_by_upstream)
+        """Number of upstream instances with stored runs."""
+        return len(self._runs_by_instance)
 
     def forget_old(self, *, now: float) -> None:
-        """Forget what ended too long ago, at all upstreams."""
-        for at in tuple(self._runs_by_upstream):
+        """Remove runs that ended too long ago, of all upstreams."""
+        for at in tuple(self._runs_by_instance):
             self._forget_old(at, now)
 
     def _remove(self, run: Run) -> None:
-        runs = self._runs_by_upstream.get(run.at)
+        runs = self._runs_by_instance.get(run.at)
         if runs and run in runs:
             runs.remove(run)
 
     def _forget_old(self, at: UpstreamInstance, now: float) -> None:
         runs = [
             run
-            for run in self._runs_by_upstream.get(at, ())
+            for run in self._runs_by_instance.get(at, ())
             if run.ended_at is None or now - run.ended_at <= SUSPECT_SECONDS
         ]
         if runs:
-            self._runs_by_upstream[at] = runs
+            self._runs_by_instance[at] = runs
         else:
-            self._runs_by_upstream.pop(at, None)
+            self._runs_by_instance.pop(at, None)
--- a/packages/router/src/lagoonrun_router/settings.py
+++ b/packages/router/src/lagoonrun_router/settings.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Address:
-    """IP number and TCP port."""
+    """IP address and TCP port."""
 
     host: str
     port: int
@@ -17,36 +17,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RouterSettings:
-    """What a process is told about itself and its platform.
+    """Settings of a process: its own addresses and those of its platform.
 
     Parameters
     ----------
     caller
-        Where callers connect.
+        Address for callers.
     readiness
-        Where the platform asks whether to send callers here.
+        Address for the platform's readiness checks.
     peer
-        Where the other entry VMs reach this one: datagrams and calls.
+        Address for other entry VMs: UDP datagrams and HTTP calls.
     metrics
-        Where counters and histograms are served; None for nowhere.
+        Address at which metrics are served; None to serve none.
     seeds
-        Entry VMs to ask for others, which may be stale.
+        Entry VMs from which others are discovered; some may be gone.
     store
-        The platform's store.
+        Address of the platform's store.
     stop_seconds
-        Time from the signal to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     retry_allowance
-        Repeats that all entry VMs together may send.
+        Retries that all entry VMs together may send.
     reuse_seconds
-        Age from which a shared part of a prompt that is read again counts as
-        read for the first time.
+        Age from which the prefill of a shared prompt part no longer counts as
+        repeated.
     processor_cores
-        Processor time that the process may use, in cores.
+        Processor cores that the process may use.
     duty_platform
-        Where the holder of the duties calls the platform; None where the
-        deployment has none.
+        Address at which the holder of the duties calls the platform; None if
+        the deployment has none.
     duties
-        What one entry VM at a time does for all; None for nothing.
+        Settings of the duties, the tasks that one entry VM at a time performs
+        for the fleet; None for no duties.
     """
 
     entry_vm: types.EntryVmId
@@ -68,13 +69,13 @@
 CHANGEABLE_NAMES = frozenset(
     {"seeds", "store", "stop_seconds", "retry_allowance"}
 )
-"""Settings that a running process takes over; sockets stay where they are."""
+"""Settings that a running process can apply; open sockets are not moved."""
 
 
 def changed_names(
     before: RouterSettings, after: RouterSettings
 ) -> frozenset[str]:
-    """Return the names of the settings in which two differ."""
+    """Return the names of the settings that differ."""
     return frozenset(
         field.name
         for field in dataclasses.fields(RouterSettings)
--- a/packages/router/src/lagoonrun_router/settings_watch.py
+++ b/packages/router/src/lagoonrun_router/settings_watch.py
@@ -1,4 +1,4 @@
-"""Read the settings file again when it changes, with a signal or without."""
+"""Reload the settings file when it changes, on a signal or by polling."""
 
 import dataclasses
 import logging
@@ -8,20 +8,20 @@
 from lagoonrun_core import events, logs, standing_task, ticks
 from lagoonrun_router import format_error, settings
 
-_LOOK_SECONDS = 1.0
-"""Time between two looks at the file: a file that changes silently is in force
-in about this time, for one system call a second."""
+_POLL_SECONDS = 1.0
+"""Interval at which the file is checked: a change without a signal is applied
+within about this time, at the cost of one system call a second."""
 
-Load = Callable[[str], settings.RouterSettings]
-"""Reads and checks a settings file; raises `FormatError`."""
+LoadSettings = Callable[[str], settings.RouterSettings]
+"""Reads and validates a settings file; raises `FormatError`."""
 
-Use = Callable[[settings.RouterSettings], frozenset[str]]
-"""Puts settings into force; returns the names of those that need a restart."""
+ApplySettings = Callable[[settings.RouterSettings], frozenset[str]]
+"""Applies settings; returns the names of those that need a restart."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Stamp:
-    """What changes whenever a file is written or replaced."""
+class _FileStamp:
+    """File metadata that changes whenever a file is written or replaced."""
 
     inode: int
     size: int
@@ -36,11 +36,11 @@
     path
         The file.
     current
-        Settings in force.
+        Active settings.
     load
         Reads the file.
     use
-        Puts changed settings into force.
+        Applies changed settings.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         *,
         path: str,
         current: settings.RouterSettings,
-        load: Load,
-        use: Use,
+        load: LoadSettings,
+        use: ApplySettings,
     ) -> None:
         self._path = path
         self._current = current
@@ -61,30 +61,30 @@
         )
 
     async def start(self) -> None:
-        """Begin to look at the file."""
+        """Start checking the file."""
         self._task.start()
 
     async def close(self) -> None:
-        """Stop looking."""
+        """Stop checking the file."""
         await self._task.close()
 
     async def _run(self) -> None:
         while True:
-            await ticks.sleep_to_tick(_LOOK_SECONDS)
+            await ticks.sleep_to_tick(_POLL_SECONDS)
             stamp = _stamp_of(self._path)
             if stamp is not None and stamp != self._stamp:
                 self.reload(source="file")
 
     def reload(self, *, source: str) -> None:
-        """Read the file now.
+        """Reload the file now.
 
-        What is not valid changes nothing: a process with its last good
-        settings serves on, and says what is wrong.
+        An invalid file changes nothing: the process continues with its last
+        valid settings and logs the error.
 
         Parameters
         ----------
         source
-            Why it is read, for the log.
+            Why the file is reloaded, for the log.
         """
         self._stamp = _stamp_of(self._path)
         try:
@@ -108,12 +108,12 @@
         )
 
 
-def _stamp_of(path: str) -> _Stamp | None:
+def _stamp_of(path: str) -> _FileStamp | None:
     """Return a file's stamp; None while it is being replaced."""
     try:
-        found = os.stat(path)
+        stat = os.stat(path)
     except OSError:
         return None
-    return _Stamp(
-        inode=found.st_ino, size=found.st_size, modified_ns=found.st_mtime_ns
+    return _FileStamp(
+        inode=stat.st_ino, size=stat.st_size, modified_ns=stat.st_mtime_ns
     )
--- a/packages/router/tests/test_settings_watch.py
+++ b/packages/router/tests/test_settings_watch.py
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 async def watch(path, used, monkeypatch):
-    monkeypatch.setattr(settings_watch, "_LOOK_SECONDS", 0.02)
+    monkeypatch.setattr(settings_watch, "_POLL_SECONDS", 0.02)
     made = settings_watch.SettingsWatch(
         path=str(path), current=BEFORE, load=load, use=used
     )
