--- a/packages/router/tests/test_execution.py
+++ b/packages/router/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""One request to its final answer, over real sockets.
+"""Execution of requests until their final answer, over real sockets.
 
 A router process, its upstreams and its callers run on loopback; the store is
 in memory.
@@ -21,12 +21,12 @@
 )
 from lagoonrun_standins.router_world import WAIT_SECONDS, wait_for
 
-SAFE = make_route(idempotent=True, maximum_attempts=2)
+IDEMPOTENT_ROUTE = make_route(idempotent=True, maximum_attempts=2)
 EVENTS = tuple(b"id: %d\ndata: x\n\n" % n for n in range(1, 5))
 
 
-async def served(world, *routes, **upstreams):
-    """Declare routes, start upstreams by id and wait until all is known."""
+async def start_upstreams(world, *routes, **upstreams):
+    """Declare routes, start upstreams by id, and wait until both are known."""
     await world.declare(*routes, revision=2)
     started = [
         await world.add_upstream(answer, id=id.replace("_", "-"))
@@ -43,7 +43,7 @@
             status=207, headers=marked(exchange, Colour="blue"), body=b"\x00x"
         )
 
-    (upstream,) = await served(world, make_route(), u_1=answer)
+    (upstream,) = await start_upstreams(world, make_route(), u_1=answer)
     got = await world.ask(
         "/lookups/1?a=b", method="POST", body=b"asked", headers=["Odd: 1"]
     )
@@ -60,7 +60,7 @@
 
 
 async def test_body_in_chunks_arrives_unchanged(world):
-    (upstream,) = await served(world, make_route(), u_1=answer_whole)
+    (upstream,) = await start_upstreams(world, make_route(), u_1=answer_whole)
     caller = await world.caller()
     caller.send(
         "/lookups/1", method="POST", headers=["Transfer-Encoding: chunked"]
@@ -72,19 +72,23 @@
     assert upstream.bodies == [b"abcde"]
 
 
-async def test_failed_safe_request_is_answered_by_another_upstream(world):
-    """An upstream fails part of its requests while its health is good.
+async def test_failed_idempotent_request_is_retried_at_another_upstream(world):
+    """An upstream fails some requests while it looks healthy.
 
-    Callers of repeatable requests see no failure.
+    Callers of idempotent requests see no failure.
     """
-    await served(world, SAFE, u_1=answer_500, u_2=answer_whole)
+    await start_upstreams(
+        world, IDEMPOTENT_ROUTE, u_1=answer_500, u_2=answer_whole
+    )
     for number in range(6):
         got = await world.ask("/lookups/1", id=f"r-{number}")
         assert got.status == 200
 
 
-async def test_failure_of_all_attempts_is_the_upstreams_own_answer(world):
-    upstreams = await served(world, SAFE, u_1=answer_500, u_2=answer_500)
+async def test_failure_of_all_attempts_passes_on_the_upstreams_answer(world):
+    upstreams = await start_upstreams(
+        world, IDEMPOTENT_ROUTE, u_1=answer_500, u_2=answer_500
+    )
     got = await world.ask("/lookups/1")
     assert (got.status, got.body) == (500, b"oops")
     assert got.headers["mark"] == "genuine"
@@ -92,16 +96,16 @@
 
 
 async def test_request_that_runs_once_is_not_sent_again_after_a_break(world):
-    """An upstream runs a request and its connection breaks.
+    """The connection to an upstream breaks after the request was sent.
 
-    Nobody knows whether the request ran. A second upstream would run it
-    twice; "not run" would be a lie and make the caller ask again.
+    It is unknown whether the request ran. A second upstream might run it twice;
+    the answer "not run" would be false and make the caller retry.
     """
 
     async def answer(exchange):
         exchange.abort()
 
-    first, second = await served(
+    first, second = await start_upstreams(
         world, make_route(maximum_attempts=2), u_1=answer, u_2=answer
     )
     got = await world.ask("/lookups/1", method="POST", body=b"x")
@@ -111,16 +115,16 @@
     assert len(first.heads) + len(second.heads) == 1
 
 
-async def test_unreached_upstream_costs_a_request_nothing(world):
-    """An upstream has crashed; its port resets connections.
+async def test_refused_connection_is_retried_for_any_request(world):
+    """An upstream has crashed, and its port refuses connections.
 
-    No byte of the request left, so that even one that may run only once
-    goes on to another upstream.
+    No byte of the request was sent, so that even one that may run only once
+    is sent to another upstream.
     """
-    (dead, alive) = await served(
+    (crashed, alive) = await start_upstreams(
         world, make_route(), u_1=answer_whole, u_2=answer_whole
     )
-    await dead.close()
+    await crashed.close()
     for number in range(4):
         got = await world.ask(
             "/lookups/1", id=f"r-{number}", method="POST", body=b"x"
@@ -129,8 +133,8 @@
     assert len(alive.heads) == 4
 
 
-async def test_not_run_is_told_with_a_time_to_come_back(world):
-    await served(world, make_route(), u_1=answer_not_run)
+async def test_not_run_is_answered_with_a_retry_after(world):
+    await start_upstreams(world, make_route(), u_1=answer_not_run)
     got = await world.ask("/lookups/1")
     assert got.status == 503
     assert got.headers["lagoonrun-outcome"] == "not-run"
@@ -138,7 +142,7 @@
 
 
 async def test_not_run_goes_to_another_upstream_where_the_route_allows(world):
-    await served(
+    await start_upstreams(
         world,
         make_route(maximum_attempts=2),
         u_1=answer_not_run,
@@ -147,26 +151,26 @@
     assert (await world.ask("/lookups/1")).status == 200
 
 
-async def test_process_with_anothers_address_is_not_asked_again(world):
-    """An upstream is gone and its address has been given to another service.
+async def test_upstream_that_rejects_as_misdirected_is_not_used_again(world):
+    """An upstream is gone and another service has its address now.
 
-    The new process refuses what is meant for the old one.
+    The new process rejects requests for the old one as misdirected.
     """
 
     async def answer(exchange):
         await exchange.respond(status=421, headers=marked(exchange), body=b"")
 
-    other, right = await served(
+    misdirecting, intended = await start_upstreams(
         world, make_route(), u_1=answer, u_2=answer_whole
     )
     for number in range(4):
         got = await world.ask("/lookups/1", id=f"r-{number}")
         assert got.status == 200
-    assert len(other.heads) <= 1
-    assert len(right.heads) == 4
+    assert len(misdirecting.heads) <= 1
+    assert len(intended.heads) == 4
 
 
-async def test_answer_without_the_upstreams_mark_is_not_delivered(world):
+async def test_answer_without_the_upstreams_signature_is_not_delivered(world):
     async def answer(exchange):
         await exchange.respond(
             status=200,
@@ -174,7 +178,7 @@
             body=b"of someone else",
         )
 
-    await served(world, make_route(), u_1=answer)
+    await start_upstreams(world, make_route(), u_1=answer)
     got = await world.ask("/lookups/1")
     assert got.status == 502
     assert b"someone" not in got.body
@@ -189,19 +193,19 @@
             body=b"of another",
         )
 
-    await served(world, make_route(), u_1=answer)
+    await start_upstreams(world, make_route(), u_1=answer)
     got = await world.ask("/lookups/1")
     assert got.status == 502
     assert b"another" not in got.body
 
 
-async def test_time_limit_is_answered_at_once_and_the_work_ends(world):
+async def test_time_limit_is_answered_at_once_and_the_run_ends(world):
     """An upstream never answers.
 
-    The caller hears of it at the route's limit, not when it gives up, and
-    the upstream's work ends with the connection.
+    The caller gets an answer at the route's time limit, before it gives up, and
+    the run at the upstream ends with the connection.
     """
-    (upstream,) = await served(
+    (upstream,) = await start_upstreams(
         world, make_route(limit_seconds=0.3), u_1=answer_never
     )
     loop = asyncio.get_running_loop()
@@ -213,19 +217,23 @@
     await asyncio.wait_for(upstream.cancelled.wait(), WAIT_SECONDS)
 
 
-async def test_time_that_is_left_is_passed_on_and_shrinks(world):
-    first, second = await served(world, SAFE, u_1=answer_500, u_2=answer_500)
+async def test_remaining_time_is_passed_on_and_shrinks(world):
+    first, second = await start_upstreams(
+        world, IDEMPOTENT_ROUTE, u_1=answer_500, u_2=answer_500
+    )
     await world.ask("/lookups/1", headers=["Patience: 2.0"])
-    lefts = sorted(
+    remaining = sorted(
         float(head.headers.get("Left"))
         for upstream in (first, second)
         for head in upstream.heads
     )
-    assert lefts[0] < lefts[1] <= 2.0
+    assert remaining[0] < remaining[1] <= 2.0
 
 
-async def test_work_ends_when_the_caller_of_a_safe_request_leaves(world):
-    (upstream,) = await served(world, SAFE, u_1=answer_never)
+async def test_run_ends_when_the_caller_of_an_idempotent_request_leaves(world):
+    (upstream,) = await start_upstreams(
+        world, IDEMPOTENT_ROUTE, u_1=answer_never
+    )
     caller = await world.caller()
     caller.send("/lookups/1")
     await asyncio.wait_for(upstream.arrived.wait(), WAIT_SECONDS)
@@ -233,9 +241,9 @@
     await asyncio.wait_for(upstream.cancelled.wait(), WAIT_SECONDS)
 
 
-async def test_silent_upstream_is_left_for_another_by_safe_requests(world):
-    """An upstream takes requests and never answers, its health good."""
-    await served(
+async def test_idempotent_requests_are_retried_after_silence(world):
+    """An upstream accepts requests and never answers, but looks healthy."""
+    await start_upstreams(
         world,
         make_route(
             idempotent=True,
@@ -251,18 +259,20 @@
         assert got.status == 200
 
 
-async def test_budget_bounds_what_is_sent_again(world_of):
+async def test_budget_bounds_retries(world_of):
     """All upstreams of a service fail at once.
 
-    Were each request sent again, the service would get twice its load when
-    it can bear least.
+    If each request were retried, the service would get twice its load when it
+    can bear least.
     """
     world = await world_of(
         retry_allowance=retry_budget.Allowance(
             ratio=0.0, window_seconds=60.0, fixed=5.0
         )
     )
-    upstreams = await served(world, SAFE, u_1=answer_500, u_2=answer_500)
+    upstreams = await start_upstreams(
+        world, IDEMPOTENT_ROUTE, u_1=answer_500, u_2=answer_500
+    )
     for number in range(20):
         await world.ask("/lookups/1", id=f"r-{number}")
     assert sum(len(one.heads) for one in upstreams) <= 25
@@ -283,7 +293,7 @@
         await exchange.send(EVENTS[1])
         await exchange.finish()
 
-    await served(world, make_stream_route(), u_1=answer)
+    await start_upstreams(world, make_stream_route(), u_1=answer)
     caller = await world.caller()
     caller.send("/lookups/1", method="POST", body=b"x")
     async with asyncio.timeout(WAIT_SECONDS):
@@ -294,7 +304,7 @@
 
 
 async def test_broken_stream_does_not_look_complete(world):
-    await served(
+    await start_upstreams(
         world,
         make_stream_route(),
         u_1=answer_events(EVENTS[0], b"id: 2\nda", then="abort"),
@@ -305,15 +315,15 @@
 
 
 async def test_stream_that_breaks_before_its_first_event_is_a_502(world):
-    await served(
+    await start_upstreams(
         world, make_stream_route(), u_1=answer_events(b"id: 1", then="abort")
     )
     got = await world.ask("/lookups/1", method="POST", body=b"x")
     assert got.status == 502
 
 
-async def test_broken_stream_goes_on_elsewhere_after_its_last_event(world):
-    """A runner crashes within an event of a stream that may be resumed.
+async def test_broken_stream_resumes_elsewhere_after_its_last_event(world):
+    """A runner crashes within an event of a resumable stream.
 
     The caller gets each event once, in one answer, with the first head.
     """
@@ -326,7 +336,7 @@
             broken = (*EVENTS[:2], b"id: 3\nda")
             await answer_events(*broken, then="abort")(exchange)
 
-    await served(
+    await start_upstreams(
         world,
         make_stream_route(resumable=True, maximum_attempts=2),
         u_1=answer,
@@ -337,10 +347,10 @@
     assert got.body == b"".join(EVENTS)
 
 
-async def test_refused_rest_of_a_stream_is_not_put_into_it(world):
-    """A stream breaks, and the second upstream answers 404 for its rest.
+async def test_error_answer_to_a_resumption_is_not_delivered(world):
+    """A stream breaks, and the second upstream answers 404 to its resumption.
 
-    That answer is none to the caller's request, whose answer has begun.
+    That answer must not be delivered: the caller's answer has already begun.
     """
 
     async def answer(exchange):
@@ -351,7 +361,7 @@
         else:
             await answer_events(EVENTS[0], then="abort")(exchange)
 
-    await served(
+    await start_upstreams(
         world,
         make_stream_route(resumable=True, maximum_attempts=2),
         u_1=answer,
@@ -362,8 +372,8 @@
     assert got.body == EVENTS[0]
 
 
-async def test_silent_stream_goes_on_elsewhere(world):
-    """A runner stops in the middle of a stream and keeps its connection."""
+async def test_silent_stream_resumes_elsewhere(world):
+    """A runner hangs in the middle of a stream and keeps its connection open."""
 
     async def answer(exchange):
         after = int(exchange.head.headers.get("Resume-After") or 0)
@@ -372,7 +382,7 @@
         else:
             await answer_events(EVENTS[0], then="hang")(exchange)
 
-    await served(
+    await start_upstreams(
         world,
         make_stream_route(
             resumable=True,
@@ -389,7 +399,7 @@
 
 
 async def test_caller_may_resume_its_broken_stream(world):
-    (upstream,) = await served(
+    (upstream,) = await start_upstreams(
         world,
         make_stream_route(resumable=True),
         u_1=answer_events(*EVENTS[2:]),
@@ -402,7 +412,7 @@
 
 
 async def test_caller_that_leaves_a_stream_ends_its_run(world):
-    (upstream,) = await served(
+    (upstream,) = await start_upstreams(
         world, make_stream_route(), u_1=answer_events(EVENTS[0], then="hang")
     )
     caller = await world.caller()
@@ -415,9 +425,9 @@
 
 @pytest.mark.parametrize("then", ["finish", "abort"])
 async def test_stream_without_length_is_whole_only_at_a_proper_end(world, then):
-    """An upstream's stream ends with its connection instead of a mark.
+    """An upstream's stream ends with its connection instead of a last chunk.
 
-    A crash looks almost the same: a reset in place of an orderly end.
+    A crash looks almost the same: a reset instead of an orderly close.
     """
 
     async def serve(reader, writer):
@@ -436,10 +446,10 @@
         if then == "finish":
             writer.close()
             return
-        await seen.wait()
+        await first_event_read.wait()
         resetting.reset(writer.transport)
 
-    seen = asyncio.Event()
+    first_event_read = asyncio.Event()
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     await world.declare(make_stream_route(), revision=2)
@@ -454,14 +464,14 @@
         head = await caller.reader.readuntil(b"\r\n\r\n")
         assert b" 200 " in head
         await caller.reader.readuntil(EVENTS[0])
-        seen.set()
+        first_event_read.set()
         rest = await read_rest(caller.reader)
     assert rest.endswith(b"0\r\n\r\n") == (then == "finish")
     server.close()
 
 
 async def read_rest(reader):
-    """Read until the end, whichever way the connection ends."""
+    """Read until the connection is closed or reset."""
     parts = b""
     try:
         while part := await reader.read(1024):
@@ -471,13 +481,13 @@
     return parts
 
 
-async def test_stream_goes_on_when_its_upstream_has_started_again(world):
-    """A runner goes dark in the midst of a stream and starts again as itself.
+async def test_stream_resumes_elsewhere_when_its_upstream_has_restarted(world):
+    """A runner becomes unreachable during a stream and restarts under its id.
 
-    No reset tells that its runs are lost, and the stream's own silence would
-    show only after seconds. The entry of the new start ends the wait.
+    No reset shows that its runs are lost, and the silence of the stream would
+    be noticed only after seconds. The entry of the new instance ends the wait.
     """
-    (dark,) = await served(
+    (unreachable,) = await start_upstreams(
         world,
         make_stream_route(
             resumable=True, maximum_attempts=2, longest_pause_seconds=60.0
@@ -486,24 +496,25 @@
     )
     caller = await world.caller()
     caller.send("/lookups/1")
-    await asyncio.wait_for(dark.arrived.wait(), WAIT_SECONDS)
+    await asyncio.wait_for(unreachable.arrived.wait(), WAIT_SECONDS)
     await caller.reader.readuntil(b"id: 2\ndata: x\n\n")
-    await world.register(dark, slots=7)
+    await world.register(unreachable, slots=7)
     await wait_for(lambda: world.router.directory.registrations[0].slots == 7)
-    rest = await world.add_upstream(answer_events(*EVENTS[2:]), id="u-2")
-    await world.register(dark, start=9)
+    second = await world.add_upstream(answer_events(*EVENTS[2:]), id="u-2")
+    await world.register(unreachable, start=9)
     async with asyncio.timeout(WAIT_SECONDS):
         await caller.reader.readuntil(b"id: 4\ndata: x\n\n")
-    assert rest.heads[0].headers.get("Resume-After") == "2"
+    assert second.heads[0].headers.get("Resume-After") == "2"
     caller.writer.close()
 
 
-async def test_kept_connections_to_the_start_before_are_not_used(world):
-    """A runner starts again under its id; connections to it are kept.
+async def test_kept_connections_to_the_previous_instance_are_not_used(world):
+    """A runner restarts under its id while connections to it are kept open.
 
-    A request written to one of them is lost, and nobody knows if it ran.
+    A request written to one of them would be lost, and it would be unknown
+    whether it ran.
     """
-    (upstream,) = await served(world, make_route(), u_1=answer_whole)
+    (upstream,) = await start_upstreams(world, make_route(), u_1=answer_whole)
     assert (await world.ask("/lookups/1")).status == 200
     client = world.router._client
     assert client.open_connections == 1
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""Requests that are rejected, wait for declarations, or are cut short."""
+"""Requests that are rejected, refused, or wait for declarations."""
 
 import asyncio
 
@@ -41,8 +41,8 @@
     assert (await caller.answer()).status == 400
 
 
-async def test_requests_wait_a_moment_for_the_first_declarations(world_of):
-    """All entry VMs restart at once and callers come back before them.
+async def test_requests_wait_for_the_first_declarations(world_of):
+    """All entry VMs restart at once, and callers reconnect before they are ready.
 
     The declarations are read some milliseconds later; a refusal would use up
     one of the callers' few retries.
@@ -56,7 +56,7 @@
         assert (await caller.answer()).status == 200
 
 
-async def test_without_declarations_the_answer_is_a_truthful_503(world_of):
+async def test_missing_declarations_are_a_503_not_run(world_of):
     world = await world_of()
     got = await world.ask("/lookups/1")
     assert got.status == 503
@@ -65,7 +65,7 @@
     assert not world.router.ready
 
 
-async def test_no_upstream_is_a_truthful_503(world):
+async def test_missing_upstreams_are_a_503_not_run(world):
     await world.add_upstream(pool="other")
     await world.ready()
     got = await world.ask("/lookups/1")
@@ -73,16 +73,18 @@
     assert got.headers["lagoonrun-reason"] == "no-upstream"
 
 
-async def test_key_taken_away_is_refused_on_an_open_connection(world):
-    """Operators take a key away while its bearer is connected.
+async def test_revoked_key_is_rejected_on_an_open_connection(world):
+    """Operators revoke a key while its user is connected.
 
-    Later requests on that connection must not get through.
+    Later requests on that connection must be rejected.
     """
     await world.add_upstream()
     await world.ready()
     caller = await world.caller()
     assert (await caller.ask("/lookups/1")).status == 200
-    await world.declare(revision=2, organisations_by_id={"x": _other()})
+    await world.declare(
+        revision=2, organisations_by_id={"x": _other_organisation()}
+    )
     await wait_for(lambda: world.router.replica.revision == 2)
     assert (await caller.ask("/lookups/1", id="r-2")).status == 401
 
@@ -96,15 +98,15 @@
     assert got.status == 431
 
 
-def _other():
+def _other_organisation():
     return declarations.RankedOrganisation(id="x", key_digests=("00",))
 
 
-async def test_requests_wait_a_moment_for_the_first_upstreams(world_of):
-    """All entry VMs restart; a peer tells the declarations before the store.
+async def test_requests_wait_for_the_first_upstreams(world_of):
+    """All entry VMs restart, and a peer sends the declarations before the store.
 
-    The upstreams are read some milliseconds later; until then each request
-    was refused, and its tier kept all lower ones out for seconds.
+    The upstreams are read some milliseconds later. Until then each request was
+    refused, and lower tiers were not admitted for seconds because of it.
     """
     world = await world_of()
     await world.declare()
@@ -116,10 +118,10 @@
         assert (await caller.answer()).status == 200
 
 
-async def test_missing_upstreams_keep_no_lower_tier_out(world):
-    """The engines of a pool are all gone for a moment.
+async def test_missing_upstreams_do_not_keep_lower_tiers_out(world):
+    """All engines of a pool are gone for a moment.
 
-    That is no overload: when they are back, lower tiers are let in at once.
+    That is no overload: when they are back, lower tiers are admitted at once.
     """
     pool = declarations.Pool(
         name="portal",
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""An upstream that says in its answers that it leaves, over real sockets."""
+"""Upstreams whose answers state that they are shutting down, over real sockets."""
 
 import asyncio
 import itertools
@@ -9,27 +9,27 @@
 from lagoonrun_standins.router_world import wait_for
 
 DRAIN_SECONDS = 2.0
-"""Time after which a leaving upstream gets nothing new, as users are promised."""
+"""Time after which a leaving upstream gets no new requests, as users are promised."""
 
 _NUMBERS = itertools.count(1)
 
 
 class LeavingUpstream:
-    """Answers at once, and may say that it leaves.
+    """Answers at once; its answers may state that it is leaving.
 
     Attributes
     ----------
     leaving
-        Whether its answers say so.
-    told_at
-        When the first such answer was given; None for not yet.
+        Whether its answers state that it is leaving.
+    stated_at
+        Time of the first such answer; None before it.
     arrivals
-        Times of all requests.
+        Arrival times of all requests.
     """
 
     def __init__(self):
         self.leaving = False
-        self.told_at = None
+        self.stated_at = None
         self.arrivals = []
         self.port = 0
 
@@ -38,23 +38,23 @@
         self.arrivals.append(time.monotonic())
         more = {}
         if self.leaving:
-            self.told_at = self.told_at or time.monotonic()
+            self.stated_at = self.stated_at or time.monotonic()
             more["Leaving"] = "1"
         await exchange.respond(
             status=200, headers=marked(exchange, **more), body=b"whole"
         )
 
     def arrived_after(self, seconds):
-        """Return the requests later than so long after it said it leaves."""
-        return sum(one > self.told_at + seconds for one in self.arrivals)
+        """Return the number of requests `seconds` or more after `stated_at`."""
+        return sum(one > self.stated_at + seconds for one in self.arrivals)
 
 
 async def ask(world, **options):
-    """Send a request with an id of its own, which decides where it goes."""
+    """Send a request with a unique id, which decides the upstream."""
     return await world.ask("/lookups/1", id=f"r-{next(_NUMBERS)}", **options)
 
 
-async def ask_for(worlds, seconds):
+async def ask_repeatedly(worlds, seconds):
     """Send requests to all entry VMs in turn; return their answers."""
     end = time.monotonic() + seconds
     answers = []
@@ -65,8 +65,8 @@
         await asyncio.sleep(0.01)
 
 
-async def start_one(world_of, upstream, **changes):
-    """Return an entry VM with one upstream."""
+async def start_entry_vm(world_of, upstream, **changes):
+    """Start an entry VM with one upstream."""
     world = await world_of(**changes)
     await world.declare(make_route(), revision=2)
     made = await world.add_upstream(upstream.answer, "u-0", start=1)
@@ -75,22 +75,22 @@
     return world
 
 
-async def test_upstream_that_says_it_leaves_gets_nothing_new(world_of):
-    """Guards against requests to a leaving upstream while the store is away."""
+async def test_leaving_upstream_gets_no_new_requests(world_of):
+    """Guards against requests to a leaving upstream while the store is down."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream)
+    world = await start_entry_vm(world_of, upstream)
     await world.add_upstream(answer_whole, "u-1")
     world.store.stop()
     upstream.leaving = True
-    answers = await ask_for([world], DRAIN_SECONDS + 1.0)
+    answers = await ask_repeatedly([world], DRAIN_SECONDS + 1.0)
     assert upstream.arrived_after(DRAIN_SECONDS) == 0
     assert {one.status for one in answers} == {200}
 
 
-async def test_last_upstream_that_leaves_gets_nothing_new_either(world_of):
-    """Guards against a leaving upstream that is used for want of another one."""
+async def test_last_leaving_upstream_gets_no_new_requests_either(world_of):
+    """Guards against a leaving upstream being used because there is no other."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream)
+    world = await start_entry_vm(world_of, upstream)
     upstream.leaving = True
     await ask(world)
     refused = await ask(world)
@@ -100,35 +100,35 @@
     assert len(upstream.arrivals) == 1
 
 
-async def test_store_that_still_says_ready_does_not_bring_it_back(world_of):
-    """Guards against an entry that is older than the upstream's own word."""
+async def test_older_entry_in_the_store_does_not_restore_it(world_of):
+    """Guards against an entry that is older than the upstream's own statement."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream)
+    world = await start_entry_vm(world_of, upstream)
     upstream.leaving = True
     await ask(world)
     await world.register_at("u-0", upstream.port, start=1, slots=9)
     await world.add_upstream(answer_whole, "u-1")
-    await ask_for([world], 0.3)
+    await ask_repeatedly([world], 0.3)
     assert len(upstream.arrivals) == 1
 
 
-async def test_entry_that_ran_out_and_is_back_does_not_bring_it_back(world_of):
-    """Guards against a leaving upstream whose entry lapses in an outage."""
+async def test_expired_entry_that_is_back_does_not_restore_it(world_of):
+    """Guards against a leaving upstream whose entry expires in an outage."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream)
+    world = await start_entry_vm(world_of, upstream)
     world.router.directory.apply_removal("u-0", now=0.0)
     assert not world.router.directory.usable("portal", now=100.0)
     world.router.directory.mark_leaving("u-0", start=1, source="answer")
     await world.register_at("u-0", upstream.port, start=1, slots=9)
     await world.add_upstream(answer_whole, "u-1")
-    await ask_for([world], 0.2)
+    await ask_repeatedly([world], 0.2)
     assert upstream.arrivals == []
 
 
-async def test_next_start_of_the_upstream_is_in_use(world_of):
-    """Guards against a new process that inherits the leaving of the old one."""
+async def test_next_instance_of_the_upstream_is_used(world_of):
+    """Guards against a new process that inherits the state of the old one."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream)
+    world = await start_entry_vm(world_of, upstream)
     upstream.leaving = True
     await ask(world)
     upstream.leaving = False
@@ -137,10 +137,10 @@
     assert (await ask(world)).status == 200
 
 
-async def test_neighbours_hear_of_it_without_being_told(world_of):
-    """Guards against each entry VM learning it by a request of its own."""
+async def test_neighbours_learn_of_it_from_peers(world_of):
+    """Guards against each entry VM learning it only by a request of its own."""
     upstream = LeavingUpstream()
-    world = await start_one(world_of, upstream, name="vm-1")
+    world = await start_entry_vm(world_of, upstream, name="vm-1")
     other = await world_of(name="vm-2")
     await other.ready()
     await wait_for(lambda: world.router.peer_count and other.router.peer_count)
@@ -151,8 +151,8 @@
     assert len(upstream.arrivals) == 1
 
 
-async def test_second_send_goes_by_it(world_of):
-    """Guards against retries that reach an upstream that has said it leaves."""
+async def test_retries_avoid_it(world_of):
+    """Guards against retries at an upstream that has stated it is leaving."""
     upstream = LeavingUpstream()
     world = await world_of()
     route = make_route(idempotent=True, maximum_attempts=3)
