--- a/packages/router/tests/conftest.py
+++ b/packages/router/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: routers on loopback that end with the test."""
+"""Fixtures: routers and upstreams on loopback, closed after each test."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -15,18 +15,18 @@
 
 @pytest.fixture
 async def upstream_of() -> AsyncIterator[Callable[..., Awaitable[Upstream]]]:
-    """Return a function that starts upstreams; they end with the test."""
+    """Return a function that starts upstreams; they are closed after the test."""
     started = []
 
     async def start(answer=answer_whole, id: str = "u-1") -> Upstream:
-        made = Upstream(answer, id=id)
-        await made.start()
-        started.append(made)
-        return made
+        upstream = Upstream(answer, id=id)
+        await upstream.start()
+        started.append(upstream)
+        return upstream
 
     yield start
-    for made in started:
-        await made.close()
+    for upstream in started:
+        await upstream.close()
 
 
 _SETTLE_SECONDS = 0.05
@@ -34,7 +34,7 @@
 
 @pytest.fixture(autouse=True)
 def quick_start(monkeypatch):
-    """Have routers watch the store soon after their first reading."""
+    """Make routers watch the store soon after their first listing."""
     monkeypatch.setattr(store_follower, "_SETTLE_SECONDS", _SETTLE_SECONDS)
 
 
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 async def world_of(store, upstream_of):
-    """Return a function that starts routers; they end with the test."""
+    """Return a function that starts routers; they are closed after the test."""
     started = []
     layout = PlainLayout()
 
@@ -73,33 +73,33 @@
             ),
             "reuse_seconds": 10.0,
         }
-        configured = settings.RouterSettings(**{**values, **changes})
-        made = router.Router(
-            configured=configured,
+        router_settings = settings.RouterSettings(**{**values, **changes})
+        new_router = router.Router(
+            configured=router_settings,
             store=store,
             layout=layout,
             dialect=PlainDialect(),
             rng=random.Random(1),
             duty_platform=platform,
         )
-        await made.start()
-        started.append(made)
+        await new_router.start()
+        started.append(new_router)
         return World(
-            router=made,
+            router=new_router,
             store=store,
             layout=layout,
-            settings=configured,
+            settings=router_settings,
             make_upstream=upstream_of,
         )
 
     yield start
-    for made in started:
-        await made.close()
+    for new_router in started:
+        await new_router.close()
 
 
 @pytest.fixture
 async def world(world_of) -> World:
-    """Return one router with declarations in force and no upstream."""
-    made = await world_of()
-    await made.declare()
-    return made
+    """Return a router with active declarations and without upstreams."""
+    new_world = await world_of()
+    await new_world.declare()
+    return new_world
--- a/packages/router/tests/test_event_splitter.py
+++ b/packages/router/tests/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Whole events only, however the bytes are cut."""
+"""Only complete events are returned, however the bytes are split."""
 
 import pytest
 from hypothesis import given
@@ -12,7 +12,7 @@
 
 
 @given(st.lists(st.integers(1, 40), min_size=1, max_size=40))
-def test_any_cut_gives_whole_events_with_their_last_id(sizes):
+def test_any_split_returns_complete_events_and_their_last_id(sizes):
     splitter = event_splitter.EventSplitter()
     delivered = b""
     position = 0
@@ -34,7 +34,7 @@
     assert splitter.within_event
 
 
-def test_rest_is_given_at_the_end():
+def test_rest_is_returned_at_the_end():
     splitter = event_splitter.EventSplitter()
     splitter.feed(b"data: x\n\ndata: y")
     assert splitter.pop_rest() == b"data: y"
--- a/packages/router/tests/test_recent_answers.py
+++ b/packages/router/tests/test_recent_answers.py
@@ -1,4 +1,4 @@
-"""Answers are remembered for a while, and in a bounded number."""
+"""Answers are stored for a limited time, and in a limited number."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     return recent_answers.RecentAnswers()
 
 
-def test_answer_counts_for_a_while(answers):
+def test_answer_counts_for_a_limited_time(answers):
     answers.note("one", now=NOW)
     assert answers.has("one", now=LATER - 1.0)
     assert not answers.has("one", now=LATER)
@@ -26,7 +26,7 @@
     assert answers.has("one", now=LATER + 1.0)
 
 
-def test_oldest_yield(answers):
+def test_oldest_answers_are_evicted(answers):
     for number in range(3000):
         answers.note(f"r-{number}", now=NOW)
         answers.note("often", now=NOW)
--- a/packages/router/tests/test_request_digest.py
+++ b/packages/router/tests/test_request_digest.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same one."""
+"""Which requests have the same digest."""
 
 import pytest
 
@@ -35,9 +35,9 @@
         {"body": b"text "},
     ],
 )
-def test_another_caller_path_or_body_is_another_request(changes):
+def test_another_caller_path_or_body_changes_the_digest(changes):
     assert digest(**changes) != digest()
 
 
-def test_fields_do_not_run_into_each_other():
+def test_boundaries_of_fields_change_the_digest():
     assert digest(target="/ask/1h", organisation="ouse") != digest()
--- a/packages/router/tests/test_route_table.py
+++ b/packages/router/tests/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes, keys and shares of a revision."""
+"""Lookup of routes, keys and pools in one revision of the declarations."""
 
 import collections
 
@@ -6,47 +6,47 @@
 from lagoonrun_standins.router_samples import make_declarations, make_route
 
 
-def table(*routes, **changes):
+def make_table(*routes, **changes):
     return route_table.RouteTable(
         declared=make_declarations(*routes, **changes)
     )
 
 
-def test_longest_prefix_that_begins_the_path_is_chosen():
+def test_longest_matching_prefix_is_chosen():
     wide = make_route(name="wide", path_prefix="/a/")
     narrow = make_route(name="narrow", path_prefix="/a/b/")
-    found = table(wide, narrow)
-    assert found.route_of("portal.test", "/a/b/c?x=/z/").name == "narrow"
-    assert found.route_of("portal.test", "/a/bc/d").name == "wide"
-    assert found.route_of("portal.test", "/a/").name == "wide"
+    table = make_table(wide, narrow)
+    assert table.route_of("portal.test", "/a/b/c?x=/z/").name == "narrow"
+    assert table.route_of("portal.test", "/a/bc/d").name == "wide"
+    assert table.route_of("portal.test", "/a/").name == "wide"
 
 
-def test_path_without_the_final_slash_is_not_below_the_prefix():
-    assert table().route_of("portal.test", "/lookups") is None
+def test_path_without_the_final_slash_does_not_match_the_prefix():
+    assert make_table().route_of("portal.test", "/lookups") is None
 
 
 def test_query_does_not_lengthen_the_path():
-    assert table().route_of("portal.test", "/x?/lookups/") is None
+    assert make_table().route_of("portal.test", "/x?/lookups/") is None
 
 
 def test_other_host_has_no_route():
-    assert table().route_of("other.test", "/lookups/1") is None
+    assert make_table().route_of("other.test", "/lookups/1") is None
 
 
 def test_root_prefix_takes_every_path():
-    found = table(make_route(name="all", path_prefix="/"))
-    assert found.route_of("portal.test", "/any/thing").name == "all"
+    table = make_table(make_route(name="all", path_prefix="/"))
+    assert table.route_of("portal.test", "/any/thing").name == "all"
 
 
-def test_key_leads_to_its_organisation_and_no_other_key_does():
-    found = table()
-    assert found.organisation_of("key-of-house").id == "house"
-    assert found.organisation_of("key-of-house ") is None
-    assert found.organisation_of("") is None
-    assert found.organisation_of(None) is None
+def test_only_a_valid_key_identifies_an_organisation():
+    table = make_table()
+    assert table.organisation_of("key-of-house").id == "house"
+    assert table.organisation_of("key-of-house ") is None
+    assert table.organisation_of("") is None
+    assert table.organisation_of(None) is None
 
 
-def test_pools_get_their_shares_and_an_id_always_the_same_pool():
+def test_pools_get_their_shares_and_a_request_id_always_the_same_pool():
     route = make_route(
         destinations=(
             declarations.Destination(pool="a", weight=3.0),
--- a/packages/router/tests/test_router.py
+++ b/packages/router/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Start, readiness and the planned stop of a whole process."""
+"""Start, readiness and graceful stop of a whole process."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def get(address, path):
-    """Send a GET and return the status and body of the answer."""
+    """Send a GET request and return the answer."""
     reader, writer = await asyncio.open_connection(address.host, address.port)
     caller = Caller(reader=reader, writer=writer)
     caller.send(path)
@@ -49,7 +49,7 @@
 
 
 async def test_metrics_of_an_upstream_end_with_it(world):
-    """Upstreams come and go all day; their series must not pile up."""
+    """Upstreams come and go all day; their series must not accumulate."""
     await world.add_upstream(id="gone")
     await world.add_upstream(id="stays")
     await world.ready()
@@ -60,11 +60,11 @@
     assert 'upstream="stays"' in text
 
 
-async def test_planned_stop_cuts_nothing_and_sends_callers_away(world):
-    """An entry VM is replaced while a stream runs and callers come.
+async def test_graceful_stop_aborts_nothing_and_closes_connections(world):
+    """An entry VM is stopped while a stream runs and callers connect.
 
-    Until the balancer has noticed, new connections are served; each answer
-    is the last of its connection; the stream goes on to its end.
+    Until the load balancer has noticed, new connections are served; each answer
+    closes its connection; the stream is delivered to its end.
     """
     more = asyncio.Event()
 
@@ -104,8 +104,8 @@
         assert await stopping == 0
 
 
-async def test_newer_declarations_are_used_and_older_ones_never(world):
-    """A lagging store shows an older revision after a newer one."""
+async def test_older_declarations_are_never_used(world):
+    """A lagging store returns an older revision after a newer one."""
     await world.add_upstream()
     await world.ready()
     await world.declare(revision=5)
@@ -115,7 +115,7 @@
     assert world.router.replica.revision == 5
 
 
-async def test_declarations_that_make_no_sense_change_nothing(world):
+async def test_invalid_declarations_change_nothing(world):
     await world.add_upstream()
     await world.ready()
     await world.put(world.layout.declarations_key, b"nonsense")
@@ -125,10 +125,10 @@
     assert (await world.ask("/lookups/1")).status == 200
 
 
-async def test_upstreams_survive_an_outage_of_the_store(world):
-    """The store goes down and its entries run out.
+async def test_upstreams_are_kept_in_an_outage_of_the_store(world):
+    """The store is down for a while.
 
-    Requests are served all the while, and new entries are seen after it.
+    Requests are served throughout, and new entries are seen afterwards.
     """
     await world.add_upstream()
     await world.ready()
@@ -139,10 +139,10 @@
     assert (await world.ask("/lookups/1", id="r-2")).status == 200
 
 
-async def test_entry_vms_find_each_other_and_pass_declarations_on(world_of):
-    """The store turns one entry VM away while it serves another.
+async def test_entry_vms_discover_each_other_and_forward_declarations(world_of):
+    """One entry VM can't read the store while another can.
 
-    The operators' change has to come into force on both.
+    A change of the declarations has to become active on both.
     """
     first = await world_of("vm-1")
     await first.declare()
@@ -158,7 +158,7 @@
     await wait_for(lambda: second.router.replica.revision == 2)
 
 
-async def test_entry_vm_starts_by_its_peers_while_the_store_is_away(world_of):
+async def test_entry_vm_starts_from_its_peers_while_the_store_is_down(world_of):
     first = await world_of("vm-1")
     await first.declare()
     await first.add_upstream()
@@ -170,10 +170,10 @@
     assert (await second.ask("/lookups/1")).status == 200
 
 
-async def test_loads_of_one_entry_vm_turn_another_away(world_of):
+async def test_entry_vms_know_each_others_loads(world_of):
     """Two entry VMs serve the same upstreams.
 
-    Each alone would send its long prompts to the same one.
+    Guards against each of them sending its long prompts to the same one.
     """
     first = await world_of("vm-1")
     await first.declare(make_stream_route())
@@ -190,15 +190,15 @@
     await wait_for(lambda: second.router.known_running("u-1") == 0)
 
 
-async def test_entry_of_another_writer_names_no_upstream_until_it_is_good(
+async def test_invalid_entry_disables_an_upstream_until_it_is_valid(
     world,
 ):
-    """Something writes over the entry of one of two upstreams.
+    """The entry of one of two upstreams is overwritten with invalid values.
 
-    Requests go to the other one, until the upstream has written its own.
+    Requests go to the other one until the upstream has registered again.
     """
-    good = await world.add_upstream(id="u-1")
-    hit = await world.add_upstream(id="u-2")
+    intact = await world.add_upstream(id="u-1")
+    overwritten = await world.add_upstream(id="u-2")
     await world.ready()
     directory = world.router.directory
 
@@ -209,6 +209,6 @@
         await world.put("upstreams/u-2", value)
         await wait_for(lambda: usable() == ["u-1"])
         assert (await world.ask("/lookups/1")).status == 200
-        await world.register(hit)
+        await world.register(overwritten)
         await wait_for(lambda: usable() == ["u-1", "u-2"])
-    assert good.heads
+    assert intact.heads
--- a/packages/router/tests/test_settings_watch.py
+++ b/packages/router/tests/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings are read again after a signal and after a silent change."""
+"""Settings are reloaded on a signal and after a change without one."""
 
 import dataclasses
 import json
@@ -34,7 +34,7 @@
 
 
 def load(path):
-    """Read settings whose file holds the time to stop and the domain."""
+    """Read settings from a file that holds `stop_seconds` and the domain."""
     with open(path, encoding="utf-8") as file:
         text = file.read()
     try:
@@ -46,22 +46,22 @@
     return dataclasses.replace(BEFORE, stop_seconds=stop_seconds, domain=domain)
 
 
-class Used:
-    """Notes what was put into force."""
+class AppliedSettings:
+    """Records the settings that were applied."""
 
     def __init__(self):
         self.settings = []
 
     def __call__(self, changed):
-        """Put settings into force."""
+        """Record applied settings."""
         self.settings.append(changed)
         names = settings.changed_names(BEFORE, changed)
         return names - settings.CHANGEABLE_NAMES
 
 
 @pytest.fixture
-def used():
-    return Used()
+def applied():
+    return AppliedSettings()
 
 
 @pytest.fixture
@@ -72,44 +72,46 @@
 
 
 @pytest.fixture
-async def watch(path, used, monkeypatch):
+async def watch(path, applied, monkeypatch):
     monkeypatch.setattr(settings_watch, "_POLL_SECONDS", 0.02)
-    made = settings_watch.SettingsWatch(
-        path=str(path), current=BEFORE, load=load, use=used
+    settings_watcher = settings_watch.SettingsWatch(
+        path=str(path), current=BEFORE, load=load, use=applied
     )
-    await made.start()
-    yield made
-    await made.close()
+    await settings_watcher.start()
+    yield settings_watcher
+    await settings_watcher.close()
 
 
-async def test_silent_change_of_the_file_is_noticed(watch, path, used):
+async def test_change_of_the_file_without_a_signal_is_noticed(
+    watch, path, applied
+):
     path.write_text('[5.5, "north"]', encoding="utf-8")
-    await wait_for(lambda: used.settings)
-    assert used.settings[0].stop_seconds == 5.5
+    await wait_for(lambda: applied.settings)
+    assert applied.settings[0].stop_seconds == 5.5
 
 
-async def test_signal_without_a_change_puts_nothing_into_force(watch, used):
+async def test_signal_without_a_change_applies_nothing(watch, applied):
     watch.reload(source="signal")
-    assert used.settings == []
+    assert applied.settings == []
 
 
-async def test_file_that_makes_no_sense_changes_nothing(
-    watch, path, used, caplog
-):
-    """An operator writes a broken file and mends it.
+async def test_invalid_file_changes_nothing(watch, path, applied, caplog):
+    """An operator writes an invalid file and corrects it.
 
-    The process serves on with what it had, says so, and takes the next one.
+    The process keeps its settings, logs the error, and applies the next file.
     """
     with caplog.at_level(logging.ERROR, logger="lagoonrun"):
         path.write_text("nonsense", encoding="utf-8")
         await wait_for(lambda: caplog.records)
     assert caplog.records[0].reason == "nonsense"
-    assert used.settings == []
+    assert applied.settings == []
     path.write_text('[6.25, "north"]', encoding="utf-8")
-    await wait_for(lambda: used.settings)
+    await wait_for(lambda: applied.settings)
 
 
-async def test_what_needs_a_restart_is_said(watch, path, used, caplog):
+async def test_settings_that_need_a_restart_are_logged(
+    watch, path, applied, caplog
+):
     path.write_text('[5.5, "south"]', encoding="utf-8")
     with caplog.at_level(logging.INFO, logger="lagoonrun"):
         watch.reload(source="signal")
@@ -118,7 +120,7 @@
     assert record.needs_restart == ["domain"]
 
 
-async def test_running_router_takes_over_what_it_can(world):
+async def test_running_router_applies_what_it_can(world):
     changed = dataclasses.replace(
         world.settings, stop_seconds=1.5, domain="elsewhere"
     )
