--- a/packages/router/src/lagoonrun_router/http_endpoints.py
+++ b/packages/router/src/lagoonrun_router/http_endpoints.py
@@ -17,7 +17,7 @@
 unreachable."""
 
 _MAX_SILENCE_SECONDS = 60.0
-"""Longer than any request: the time limits of the routes end every request first."""
+"""Sets no limit of its own: the time limits of the routes end every request."""
 
 _MAX_HELD_BODY_BYTES = 32 * 1024 * 1024
 """Memory for request bodies; a tenth of the memory of the smallest VM in use."""
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -270,7 +270,7 @@
                 if answers == max_answers:
                     break
                 if is_alone is not (self.role is ReaderRole.ALONE):
-                    # The longest wait depends on the role.
+                    # The next watch has a different longest wait.
                     break
         return _WatchEnd.ENOUGH
 
--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -158,7 +158,7 @@
         return self._exchange.write(events)
 
     def record_upstream_event(self) -> float | None:
-        """Return the seconds since this upstream's previous event, if any."""
+        """Record an event; return the seconds since this upstream's previous one."""
         now = self._clock.monotonic()
         previous_at, self._last_upstream_event_at = (
             self._last_upstream_event_at,
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -69,8 +69,8 @@
     """Start an entry VM with one upstream."""
     world = await world_of(**changes)
     await world.declare(make_route(), revision=2)
-    made = await world.add_upstream(upstream.answer, "u-0", start=1)
-    upstream.port = made.port
+    started = await world.add_upstream(upstream.answer, "u-0", start=1)
+    upstream.port = started.port
     await world.ready()
     return world
 
--- a/packages/router/tests/test_reader_selection.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -74,7 +74,7 @@
             clock=clock,
         )
 
-    def hear(self, other, *, follows_store):
+    def receive_state(self, other, *, follows_store):
         """Receive a state message of another entry VM."""
         self.sequence += 1
         self.table.record_message(
@@ -105,9 +105,9 @@
 @pytest.fixture
 def vms(clock):
     """Return the views of all entry VMs, in the order of the selection."""
-    made = [EntryVm(name, clock) for name in NAMES]
-    order = made[0].selection._readers.order_of(dict.fromkeys(NAMES, 0.0))
-    return sorted(made, key=lambda vm: order.index(vm.name))
+    vms = [EntryVm(name, clock) for name in NAMES]
+    order = vms[0].selection._readers.order_of(dict.fromkeys(NAMES, 0.0))
+    return sorted(vms, key=lambda vm: order.index(vm.name))
 
 
 def update_roles(vms):
@@ -120,13 +120,15 @@
     while passed < seconds:
         clock.advance(0.25)
         passed += 0.25
-        for teller in vms:
-            teller.follows_store = teller in following
-            if teller in silent:
+        for reporter in vms:
+            reporter.follows_store = reporter in following
+            if reporter in silent:
                 continue
             for vm in vms:
-                if vm is not teller:
-                    vm.hear(teller.name, follows_store=teller in following)
+                if vm is not reporter:
+                    vm.receive_state(
+                        reporter.name, follows_store=reporter in following
+                    )
         update_roles(vms)
 
 
@@ -160,11 +162,11 @@
     be refused everywhere: there is no time to try them one after the other.
     """
     run_fleet(vms, clock, 2.0, following=vms[:2])
-    for teller in vms[:2]:
-        teller.follows_store = False
+    for reporter in vms[:2]:
+        reporter.follows_store = False
         for vm in vms:
-            if vm is not teller:
-                vm.hear(teller.name, follows_store=False)
+            if vm is not reporter:
+                vm.receive_state(reporter.name, follows_store=False)
     assert update_roles(vms)[2:6] == [ReaderRole.SPARE] * 4
     assert update_roles(vms)[6:] == [ReaderRole.STAND_BY] * 8
 
@@ -197,7 +199,7 @@
     run_fleet(vms, clock, 2.0, following=vms[:2])
     clock.advance(roster.SILENT_SECONDS)
     for vm in vms[1:]:
-        vm.hear(vms[1].name, follows_store=True)
+        vm.receive_state(vms[1].name, follows_store=True)
     update_roles(vms[1:])
     run_fleet(
         vms,
@@ -295,54 +297,54 @@
     """Records what a follower reports."""
 
     def __init__(self):
-        self.told = []
+        self.reported = []
         self.read_revision = store_module.ABSENT
 
     def apply_listing(self, items, revision):
         """Record a listing."""
-        self.told.append("listing")
+        self.reported.append("listing")
         self.read_revision = revision
 
     def apply_changes(self, changes, revision):
         """Record changes."""
-        self.told.extend(change.key for change in changes)
+        self.reported.extend(change.key for change in changes)
         self.read_revision = revision
 
     def on_store_call_failed(self):
         """Record the failed call."""
-        self.told.append("doubtful")
+        self.reported.append("doubtful")
 
     def on_store_unreachable(self):
         """Record that the store is unreachable."""
-        self.told.append("lost")
+        self.reported.append("lost")
 
     def on_store_reachable(self):
         """Record that the store is reachable again."""
-        self.told.append("regained")
+        self.reported.append("regained")
 
     def on_reading_delegated(self):
         """Record that others read the store."""
-        self.told.append("left")
+        self.reported.append("left")
 
 
 @pytest.fixture
 async def follower(store, rng):
-    made = store_follower.StoreFollower(
+    store_reader = store_follower.StoreFollower(
         store=store,
         listener=Listener(),
         rng=rng,
         clock=clocks.SystemClock(),
     )
-    await made.start()
-    yield made
-    await made.close()
+    await store_reader.start()
+    yield store_reader
+    await store_reader.close()
 
 
 async def test_follower_on_stand_by_makes_no_call(follower, store):
-    told = follower._listener.told
-    await wait_for(lambda: "listing" in told)
+    reported = follower._listener.reported
+    await wait_for(lambda: "listing" in reported)
     follower.set_role(ReaderRole.STAND_BY)
-    assert told[-1] == "left"
+    assert reported[-1] == "left"
     calls = store.calls_by_kind.total()
     # No task is left that could make a call.
     others = asyncio.all_tasks() - {asyncio.current_task()}
@@ -352,7 +354,7 @@
     follower.set_role(ReaderRole.FOR_OTHERS)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
-    await wait_for(lambda: told[-1] == "a")
+    await wait_for(lambda: reported[-1] == "a")
 
 
 async def test_follower_continues_from_the_known_revision(follower, store):
@@ -361,23 +363,23 @@
     Listing all keys would cost it, and the store, half a megabyte.
     """
     reader = follower._listener
-    await wait_for(lambda: "listing" in reader.told)
+    await wait_for(lambda: "listing" in reader.reported)
     follower.set_role(ReaderRole.STAND_BY)
     for key in ("a", "b"):
         put = store_module.Put(key=key, value=b"")
         await store.transact(comparisons=(), puts=[put])
     reader.read_revision += 1
     follower.set_role(ReaderRole.SPARE)
-    await wait_for(lambda: reader.told[-1] == "b")
-    assert reader.told.count("listing") == 1
-    assert "a" not in reader.told
+    await wait_for(lambda: reader.reported[-1] == "b")
+    assert reader.reported.count("listing") == 1
+    assert "a" not in reader.reported
 
 
 async def test_follower_lists_all_keys_after_a_compaction(
     follower, store, monkeypatch
 ):
-    told = follower._listener.told
-    await wait_for(lambda: "listing" in told)
+    reported = follower._listener.reported
+    await wait_for(lambda: "listing" in reported)
     follower.set_role(ReaderRole.STAND_BY)
 
     async def compacted(*args, **kwargs):
@@ -386,23 +388,23 @@
 
     monkeypatch.setattr(store, "watch", compacted)
     follower.set_role(ReaderRole.FOR_OTHERS)
-    await wait_for(lambda: told.count("listing") >= 2)
+    await wait_for(lambda: reported.count("listing") >= 2)
 
 
 async def test_broken_watch_is_followed_by_another_and_not_by_a_listing(
     follower, store
 ):
     """Connections to the store are reset from time to time."""
-    told = follower._listener.told
+    reported = follower._listener.reported
     await wait_for(lambda: store.calls_by_kind["watch"] == 1)
     store.break_watches()
     await wait_for(lambda: store.calls_by_kind["watch"] >= 2)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
-    await wait_for(lambda: told[-1] == "a")
-    assert told.count("listing") == 1
-    assert "lost" not in told
-    assert "doubtful" in told
+    await wait_for(lambda: reported[-1] == "a")
+    assert reported.count("listing") == 1
+    assert "lost" not in reported
+    assert "doubtful" in reported
 
 
 async def test_versions_that_arrive_faster_than_the_link_are_skipped(
@@ -413,15 +415,15 @@
     On a slow link each response took longer than the previous one and carried
     more superseded versions: the newest arrived ten seconds late.
     """
-    told = follower._listener.told
-    await wait_for(lambda: "listing" in told)
+    reported = follower._listener.reported
+    await wait_for(lambda: "listing" in reported)
     follower.set_role(ReaderRole.STAND_BY)
     monkeypatch.setattr(store_follower, "_MAX_SUPERSEDED_BYTES", 100)
     for _ in range(3):
         put = store_module.Put(key="large", value=b"x" * 90)
         await store.transact(comparisons=(), puts=[put])
     follower.set_role(ReaderRole.FOR_OTHERS)
-    await wait_for(lambda: told.count("listing") >= 2)
+    await wait_for(lambda: reported.count("listing") >= 2)
 
 
 async def test_follower_without_the_store_relies_on_peers(follower, store):
@@ -430,12 +432,12 @@
     Expired entries get the time to be registered again, as after any outage,
     although this entry VM never sees the store's recovery itself.
     """
-    told = follower._listener.told
-    await wait_for(lambda: "listing" in told)
+    reported = follower._listener.reported
+    await wait_for(lambda: "listing" in reported)
     store.stop()
-    await wait_for(lambda: "lost" in told)
+    await wait_for(lambda: "lost" in reported)
     follower.set_role(ReaderRole.STAND_BY)
-    assert told[-2:] == ["regained", "left"]
+    assert reported[-2:] == ["regained", "left"]
 
 
 async def test_follower_survives_a_listener_that_raises(
@@ -446,8 +448,8 @@
     The follower must not end with it: no change would ever be seen again.
     """
     monkeypatch.setattr(standing_task, "RESTART_SECONDS", 0.01)
-    told = follower._listener.told
-    await wait_for(lambda: "listing" in told)
+    reported = follower._listener.reported
+    await wait_for(lambda: "listing" in reported)
 
     def fail(changes, revision):
         if changes:
@@ -458,7 +460,7 @@
     await wait_for(lambda: store.calls_by_kind["watch"] == 1)
     put = store_module.Put(key="a", value=b"")
     await store.transact(comparisons=(), puts=[put])
-    await wait_for(lambda: told.count("listing") >= 2)
+    await wait_for(lambda: reported.count("listing") >= 2)
 
 
 @pytest.fixture
@@ -503,13 +505,13 @@
     The others learn of no change until two of them take over, within little
     more than a second.
     """
-    gone = readers(fleet)
-    left = [one for one in fleet if one not in gone]
-    for one in gone:
+    lost = readers(fleet)
+    remaining = [one for one in fleet if one not in lost]
+    for one in lost:
         await one.router.close()
-    await left[0].remove("upstreams/u-1")
-    await left[0].add_upstream(id="later")
-    for one in left:
+    await remaining[0].remove("upstreams/u-1")
+    await remaining[0].add_upstream(id="later")
+    for one in remaining:
         await wait_for(lambda one=one: one.knows("later"), seconds=4.0)
         await wait_for(lambda one=one: misses_one(one), seconds=4.0)
-    await wait_for(lambda: len(readers(left)) == 2)
+    await wait_for(lambda: len(readers(remaining)) == 2)
--- a/packages/router/tests/test_resting_upstreams.py
+++ b/packages/router/tests/test_resting_upstreams.py
@@ -80,8 +80,8 @@
     world = await world_of(**changes)
     route = make_route(idempotent=True, maximum_attempts=3)
     await world.declare(route, revision=2)
-    made = await world.add_upstream(upstream.answer, "u-0", start=1)
-    upstream.port = made.port
+    started = await world.add_upstream(upstream.answer, "u-0", start=1)
+    upstream.port = started.port
     await world.ready()
     return world
 
