--- a/packages/router/src/lagoonrun_router/event_splitter.py
+++ b/packages/router/src/lagoonrun_router/event_splitter.py
@@ -50,10 +50,10 @@
             self._read_fields(complete)
         return complete
 
-    def pop_rest(self) -> bytes:
+    def pop_remainder(self) -> bytes:
         """Return and clear the buffered bytes, at the end of a complete stream."""
-        rest, self._incomplete = self._incomplete, b""
-        return rest
+        remainder, self._incomplete = self._incomplete, b""
+        return remainder
 
     def _read_fields(self, complete: bytes) -> None:
         blank_before = True
--- a/packages/router/src/lagoonrun_router/router_endpoints.py
+++ b/packages/router/src/lagoonrun_router/router_endpoints.py
@@ -128,7 +128,7 @@
         else:
             await exchange.respond(
                 status=200,
-                headers=_content_type("text/plain; version=0.0.4"),
+                headers=_content_type_header("text/plain; version=0.0.4"),
                 body=self._router.metrics_text(),
             )
 
@@ -158,7 +158,7 @@
         )
 
 
-def _content_type(content_type: str) -> http_messages.Headers:
+def _content_type_header(content_type: str) -> http_messages.Headers:
     return http_messages.Headers(pairs=[("Content-Type", content_type)])
 
 
@@ -167,6 +167,6 @@
 ) -> None:
     await exchange.respond(
         status=status,
-        headers=_content_type("application/json"),
+        headers=_content_type_header("application/json"),
         body=json.dumps(value).encode(),
     )
--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -192,7 +192,7 @@
         if response.close_delimited and splitter.within_event:
             return self._lost("closed within an event", upstream)
         self._write_head(response.head)
-        await self._exchange.send(splitter.pop_rest())
+        await self._exchange.send(splitter.pop_remainder())
         await self._exchange.finish()
         return attempt_result.Delivered(
             ending=outcomes.Ending(
--- a/packages/router/tests/test_event_splitter.py
+++ b/packages/router/tests/test_event_splitter.py
@@ -34,10 +34,10 @@
     assert splitter.within_event
 
 
-def test_rest_is_returned_at_the_end():
+def test_remainder_is_returned_at_the_end():
     splitter = event_splitter.EventSplitter()
     splitter.feed(b"data: x\n\ndata: y")
-    assert splitter.pop_rest() == b"data: y"
+    assert splitter.pop_remainder() == b"data: y"
     assert not splitter.within_event
 
 
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -45,7 +45,7 @@
         )
 
     def arrived_after(self, seconds):
-        """Return the number of requests `seconds` or more after `stated_at`."""
+        """Return the number of requests over `seconds` after `stated_at`."""
         return sum(one > self.stated_at + seconds for one in self.arrivals)
 
 
