--- a/packages/router/src/lagoonrun_router/answers.py
+++ b/packages/router/src/lagoonrun_router/answers.py
@@ -30,17 +30,19 @@
 don't retry at the same moment."""
 
 
-def retry_after_seconds(rng: random.Random, *, left_seconds: float) -> float:
+def retry_after_seconds(
+    rng: random.Random, *, remaining_seconds: float
+) -> float:
     """Return the Retry-After of a refused request.
 
     Parameters
     ----------
-    left_seconds
+    remaining_seconds
         Remaining time limit of the request; callers retry within a third of it
         or not at all.
     """
     seconds = _RETRY_SECONDS * (1.0 + _RETRY_JITTER * rng.random())
-    return max(0.01, min(seconds, left_seconds / 4.0))
+    return max(0.01, min(seconds, remaining_seconds / 4.0))
 
 
 def spread_retry_seconds(rng: random.Random, *, wait_seconds: float) -> float:
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -481,6 +481,6 @@
             detail=detail,
             upstream=upstream,
             retry_after_seconds=answers.retry_after_seconds(
-                self._components.rng, left_seconds=remaining_seconds
+                self._components.rng, remaining_seconds=remaining_seconds
             ),
         )
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -48,7 +48,7 @@
     exchange
         Sends messages to peers.
     counters
-        Receives the number of places acquired.
+        Counts the places that are asked for.
     clock, rng
         Sources of time and of random numbers.
 
