--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -90,7 +90,7 @@
             retry_after_seconds=0.1,
         )
 
-    execution.CallExecution._unanswered = unanswered
+    execution.CallExecution._ending_without_answer = unanswered
 
 
 def _break_leaving() -> None:
