--- a/packages/router/src/lagoonrun_router/admission.py
+++ b/packages/router/src/lagoonrun_router/admission.py
@@ -13,13 +13,13 @@
 from lagoonrun_core import types
 from lagoonrun_router import placement
 
-LOWEST_SHARE = 0.5
+LOWEST_TIER_SHARE = 0.5
 """Part of a runner's places and memory that the lowest tier may fill.
 
 The rest is for higher tiers; those in between get parts in between.
 """
 
-PATIENCE_PART = 0.7
+MAX_PATIENCE_FRACTION = 0.7
 """Part of a caller's patience that may pass before the first event.
 
 The estimate of the wait is rough; above this part most callers have left
@@ -27,7 +27,7 @@
 """
 
 
-LATE_PART = 1.2
+LATE_TARGET_FACTOR = 1.2
 """Part of the target from which a foreseen wait counts as late.
 
 Above 1, since the reading is foreseen as a little slower than it is. With 0.8
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Standing:
+class AdmissionRequest:
     """What admission needs to know of a request.
 
     Parameters
@@ -63,7 +63,7 @@
     tier: types.Tier
     tiers: tuple[types.Tier, ...]
     patience_seconds: float
-    higher_turned_away: bool = False
+    higher_tier_pressed: bool = False
     floor_due: bool = False
 
 
@@ -73,7 +73,7 @@
     if len(ordered) == 1:
         return 1.0
     position = ordered.index(tier) / (len(ordered) - 1)
-    return 1.0 - (1.0 - LOWEST_SHARE) * position
+    return 1.0 - (1.0 - LOWEST_TIER_SHARE) * position
 
 
 def stands_back(
@@ -105,11 +105,11 @@
         Time to the first event that is on time.
     """
     lowest = tier >= max(tiers, default=tier)
-    return lowest and wait_seconds > LATE_PART * target_seconds
+    return lowest and wait_seconds > LATE_TARGET_FACTOR * target_seconds
 
 
 def admit(
-    standing: Standing, ranked: tuple[placement.Ranked, ...]
+    request: AdmissionRequest, ranked: tuple[placement.Ranked, ...]
 ) -> placement.Ranked | Refusal:
     """Return the cheapest upstream that may take the request, or why none.
 
@@ -118,30 +118,35 @@
     ranked
         At least one candidate, the cheapest first.
     """
-    if standing.floor_due:
+    if request.floor_due:
         return ranked[0]
-    if standing.higher_turned_away:
+    if request.higher_tier_pressed:
         return Refusal.HIGHER_TIER
-    share = share_of(standing.tier, standing.tiers)
-    with_room = [one for one in ranked if _has_room(one, standing, share)]
+    share = share_of(request.tier, request.tiers)
+    with_capacity = [
+        one for one in ranked if _has_capacity(one, request, share)
+    ]
     in_time = [
         one
-        for one in with_room
-        if one.wait_seconds <= PATIENCE_PART * standing.patience_seconds
+        for one in with_capacity
+        if one.wait_seconds <= MAX_PATIENCE_FRACTION * request.patience_seconds
     ]
     if in_time:
         return in_time[0]
-    return Refusal.TOO_LATE if with_room else Refusal.NO_ROOM
+    return Refusal.TOO_LATE if with_capacity else Refusal.NO_ROOM
 
 
-def _has_room(
-    ranked: placement.Ranked, standing: Standing, share: float
+def _has_capacity(
+    ranked: placement.Ranked, request: AdmissionRequest, share: float
 ) -> bool:
     candidate = ranked.candidate
     if candidate.load.running >= share * candidate.slots:
         return False
     if not candidate.cache_tokens:
         return True
-    held = candidate.load.held_tokens + ranked.new_tokens
+    used_tokens = candidate.load.held_tokens + ranked.new_tokens
     # One request alone is always let in, however large its prompt is.
-    return candidate.load.running == 0 or held <= share * candidate.cache_tokens
+    return (
+        candidate.load.running == 0
+        or used_tokens <= share * candidate.cache_tokens
+    )
--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -22,20 +22,20 @@
 
     def __init__(self, *, started_at: float) -> None:
         self._started_at = started_at
-        self._at_by_profile: dict[types.ProfileName, float] = {}
-        self._entry_vms = 1
+        self._admitted_at_by_profile: dict[types.ProfileName, float] = {}
+        self._entry_vm_count = 1
 
     def set_entry_vm_count(self, entry_vms: int) -> None:
         """Set the number of entry VMs, this one included."""
-        self._entry_vms = max(1, entry_vms)
+        self._entry_vm_count = max(1, entry_vms)
 
     def record_admission(
         self, profile: types.ProfileName, *, now: float
     ) -> None:
         """Note that a request was let in."""
-        self._at_by_profile[profile] = now
+        self._admitted_at_by_profile[profile] = now
 
     def is_due(self, profile: types.ProfileName, *, now: float) -> bool:
         """Return whether a class has waited for its share of the floor."""
-        last = self._at_by_profile.get(profile, self._started_at)
-        return now - last >= FLOOR_SECONDS * self._entry_vms
+        last = self._admitted_at_by_profile.get(profile, self._started_at)
+        return now - last >= FLOOR_SECONDS * self._entry_vm_count
--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -74,7 +74,7 @@
         self._limited = limited
         self._rests = rests
 
-    def among(
+    def partition(
         self,
         by_id: Mapping[types.UpstreamId, upstreams.Registration],
         tier: types.Tier,
@@ -88,7 +88,11 @@
             return Available(open_by_id=by_id)
         closed = sorted(
             filter(
-                None, (self._closed(one, tier, now) for one in by_id.values())
+                None,
+                (
+                    self._closed_upstream(one, tier, now)
+                    for one in by_id.values()
+                ),
             ),
             key=lambda one: one.wait_seconds,
         )
@@ -96,7 +100,7 @@
         open_by_id = {
             id: one for id, one in by_id.items() if id not in left_out
         }
-        unspared = {
+        preferred = {
             id: one
             for id, one in open_by_id.items()
             if not self._rests.is_avoided(
@@ -104,21 +108,21 @@
             )
         }
         return Available(
-            open_by_id=unspared or open_by_id, closed=tuple(closed)
+            open_by_id=preferred or open_by_id, closed=tuple(closed)
         )
 
     def is_resting(
         self, upstream: upstreams.Registration, *, now: float
     ) -> bool:
         """Return whether an upstream has asked this entry VM for rest."""
-        at = running_requests.instance_of(upstream)
-        return self._rests.rest_seconds(at, now=now) > 0.0
+        instance = running_requests.instance_of(upstream)
+        return self._rests.rest_seconds(instance, now=now) > 0.0
 
-    def _closed(
+    def _closed_upstream(
         self, upstream: upstreams.Registration, tier: types.Tier, now: float
     ) -> ClosedUpstream | None:
-        at = running_requests.instance_of(upstream)
-        rest_seconds = self._rests.rest_seconds(at, now=now)
+        instance = running_requests.instance_of(upstream)
+        rest_seconds = self._rests.rest_seconds(instance, now=now)
         limited_seconds = self._limited.closed_seconds(upstream, tier, now=now)
         if not rest_seconds and not limited_seconds:
             return None
--- a/packages/router/src/lagoonrun_router/block_keeper.py
+++ b/packages/router/src/lagoonrun_router/block_writer.py
@@ -15,11 +15,11 @@
 """Time between two tries while the store is away: well below the time that entry
 VMs have to know of a block after its return."""
 
-_MOST_WAITING = 64
+_MAX_PENDING = 64
 """Blocks and lifted blocks that wait for the store; the oldest yield."""
 
 
-class BlockKeeper:
+class BlockWriter:
     """Writes and removes the keys of blocked requests.
 
     The keys go away by a lease when their crashes say nothing any more.
@@ -44,10 +44,10 @@
         self._store = store
         self._prefix = prefix
         self._rng = rng
-        self._wanted_by_request: dict[
+        self._pending_by_request: dict[
             types.RequestDigest, crash_evidence.Block | None
         ] = {}
-        self._wakes = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._task = standing_task.StandingTask(
             name="block-keeper", function=self._run
         )
@@ -60,35 +60,35 @@
         """Stop writing."""
         await self._task.close()
 
-    def keep(self, block: crash_evidence.Block) -> None:
+    def write(self, block: crash_evidence.Block) -> None:
         """Have a block written as soon as the store takes it."""
-        self._want(block.request, block)
+        self._enqueue(block.request, block)
 
     def remove(self, request: types.RequestDigest) -> None:
         """Have a block removed as soon as the store takes it."""
-        self._want(request, None)
+        self._enqueue(request, None)
 
-    def _want(
+    def _enqueue(
         self, request: types.RequestDigest, block: crash_evidence.Block | None
     ) -> None:
-        self._wanted_by_request.pop(request, None)
-        self._wanted_by_request[request] = block
-        while len(self._wanted_by_request) > _MOST_WAITING:
-            del self._wanted_by_request[next(iter(self._wanted_by_request))]
-        self._wakes.set()
+        self._pending_by_request.pop(request, None)
+        self._pending_by_request[request] = block
+        while len(self._pending_by_request) > _MAX_PENDING:
+            del self._pending_by_request[next(iter(self._pending_by_request))]
+        self._wakeup.set()
 
     async def _run(self) -> None:
         while True:
-            await self._wakes.wait()
-            if not self._wanted_by_request:
-                self._wakes.clear()
+            await self._wakeup.wait()
+            if not self._pending_by_request:
+                self._wakeup.clear()
                 continue
-            request, block = next(iter(self._wanted_by_request.items()))
+            request, block = next(iter(self._pending_by_request.items()))
             if not await self._write(request, block):
                 pause = _PAUSE_SECONDS * (0.5 + self._rng.random())
                 await asyncio.sleep(pause)
-            elif self._wanted_by_request.get(request) is block:
-                self._wanted_by_request.pop(request, None)
+            elif self._pending_by_request.get(request) is block:
+                self._pending_by_request.pop(request, None)
 
     async def _write(
         self, request: types.RequestDigest, block: crash_evidence.Block | None
@@ -99,7 +99,7 @@
             result = await self._store.transact(comparisons=(), deletes=[key])
             return isinstance(result, store_module.Committed)
         lease = await self._store.grant_lease(
-            ttl_seconds=crash_evidence.FORGET_SECONDS
+            ttl_seconds=crash_evidence.EXPIRY_SECONDS
         )
         if not isinstance(lease, store_module.LeaseGranted):
             return False
--- a/packages/router/src/lagoonrun_router/considered.py
+++ b/packages/router/src/lagoonrun_router/candidate_sampling.py
@@ -15,25 +15,25 @@
 from lagoonrun_core import types
 from lagoonrun_router import upstreams
 
-WHOLE_POOL = 12
+MAX_UNSAMPLED_POOL = 12
 """Upstreams up to which all are considered: there the work that is not known yet
 is known a moment later, and each one counts."""
 
-_NEAR = 4
+_SAMPLED_IN_DOMAIN = 4
 """Upstreams of the own failure domain that are picked. With one of two, the worse
 half of a burst still meets; more than four know the same stale news."""
 
-_FAR = 4
+_SAMPLED_REMOTE = 4
 """Upstreams of other failure domains that are picked, where the own ones are
 busy."""
 
 
-def choose(
+def sample(
     registered: tuple[upstreams.Registration, ...],
     *,
     request_id: types.RequestId,
     domain: types.FailureDomain,
-    wanted: Container[types.UpstreamId],
+    always_included: Container[types.UpstreamId],
 ) -> tuple[upstreams.Registration, ...]:
     """Return the upstreams that a request considers.
 
@@ -46,20 +46,25 @@
     wanted
         Those that are considered in any case.
     """
-    if len(registered) <= WHOLE_POOL:
+    if len(registered) <= MAX_UNSAMPLED_POOL:
         return registered
-    shuffled = sorted(registered, key=lambda one: _place(request_id, one))
-    near = [one for one in shuffled if one.domain == domain]
-    far = [one for one in shuffled if one.domain != domain]
+    shuffled = sorted(registered, key=lambda one: _sample_key(request_id, one))
+    in_domain = [one for one in shuffled if one.domain == domain]
+    remote = [one for one in shuffled if one.domain != domain]
     # A domain with few of its own has more of the others.
-    most_far = _FAR + max(0, _NEAR - len(near))
-    picked = {one.id for one in (*near[:_NEAR], *far[:most_far])}
+    max_remote = _SAMPLED_REMOTE + max(0, _SAMPLED_IN_DOMAIN - len(in_domain))
+    picked = {
+        one.id
+        for one in (*in_domain[:_SAMPLED_IN_DOMAIN], *remote[:max_remote])
+    }
     return tuple(
-        one for one in registered if one.id in picked or one.id in wanted
+        one
+        for one in registered
+        if one.id in picked or one.id in always_included
     )
 
 
-def _place(
+def _sample_key(
     request_id: types.RequestId, upstream: upstreams.Registration
 ) -> int:
     return xxhash.xxh3_64_intdigest(f"{request_id}{upstream.id}".encode())
--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -8,14 +8,14 @@
 from lagoonrun_router import (
     admission,
     availability,
-    considered,
+    candidate_sampling,
     placement,
     upstreams,
 )
 from lagoonrun_router import call as calls
 from lagoonrun_router import components as router_components
 
-_LOGGED_CANDIDATES = 4
+_MAX_LOGGED_CANDIDATES = 4
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -87,18 +87,16 @@
         by_id = {one.id: one for one in registered if one.id not in excluded}
         if not by_id:
             return None
-        available = self._components.notices.availability.among(
+        available = self._components.notices.availability.partition(
             by_id, call.tier, now=now
         )
         if not available.open_by_id:
             return AllClosed(closed=available.closed)
         usable = tuple(available.open_by_id.values())
-        considered_few = self._considered(call, usable, now)
-        ranking = self._rank(call, considered_few, usable, now)
+        sampled = self._sample_candidates(call, usable, now)
+        ranking = self._rank(call, sampled, usable, now)
         best = self._admit(call, ranking.ranked, now)
-        if isinstance(best, admission.Refusal) and len(considered_few) < len(
-            usable
-        ):
+        if isinstance(best, admission.Refusal) and len(sampled) < len(usable):
             # No request is refused while an upstream has room for it.
             ranking = self._rank(call, usable, usable, now)
             best = self._admit(call, ranking.ranked, now)
@@ -137,33 +135,40 @@
         """Return the upstreams of the pool if each takes nothing; else none."""
         now = self._components.clock.monotonic()
         registered = self._components.directory.usable(call.pool.name, now=now)
-        available = self._components.notices.availability.among(
+        available = self._components.notices.availability.partition(
             {one.id: one for one in registered}, call.tier, now=now
         )
         return () if available.open_by_id else available.closed
 
-    def _considered(
+    def _sample_candidates(
         self,
         call: calls.Call,
         usable: tuple[upstreams.Registration, ...],
         now: float,
     ) -> tuple[upstreams.Registration, ...]:
         """Return the upstreams that the call looks at."""
-        home = call.affinity_part
-        if call.pool.engine is None or len(usable) <= considered.WHOLE_POOL:
+        affinity_part = call.affinity_part
+        if (
+            call.pool.engine is None
+            or len(usable) <= candidate_sampling.MAX_UNSAMPLED_POOL
+        ):
             return usable
-        wanted: set[types.UpstreamId] = set()
-        if home is not None:
-            wanted.update(
-                self._components.prompt_locations.holders(home.id, now=now)
+        always_included: set[types.UpstreamId] = set()
+        if affinity_part is not None:
+            always_included.update(
+                self._components.prompt_locations.holders(
+                    affinity_part.id, now=now
+                )
             )
-            if not self._shared_lately(call):
-                wanted.add(_pool_of(usable).reader_of(home.id))
-        return considered.choose(
+            if not self._shared_recently(call):
+                always_included.add(
+                    _pool_order_of(usable).prefill_upstream_of(affinity_part.id)
+                )
+        return candidate_sampling.sample(
             usable,
             request_id=call.request_id,
             domain=self._components.domain,
-            wanted=wanted,
+            always_included=always_included,
         )
 
     def _rank(
@@ -174,11 +179,11 @@
         now: float,
     ) -> "_Ranking":
         """Rank some of the usable upstreams, for a late request behind all."""
-        request = _request_of(call, shared_lately=self._shared_lately(call))
+        request = _request_of(call, shared_recently=self._shared_recently(call))
         candidates = tuple(
             self._candidate(call, one, now) for one in registered
         )
-        pool = _pool_of(usable)
+        pool = _pool_order_of(usable)
         ranked = placement.rank(request, candidates, pool=pool)
         stands_back = call.pool.engine is not None and admission.stands_back(
             call.tier,
@@ -187,8 +192,8 @@
             target_seconds=call.route.profile.target_seconds,
         )
         if stands_back:
-            after_all = types.Tier(call.tier + 1)
-            request = dataclasses.replace(request, tier=after_all)
+            lowest_tier = types.Tier(call.tier + 1)
+            request = dataclasses.replace(request, tier=lowest_tier)
             ranked = placement.rank(request, candidates, pool=pool)
         return _Ranking(request=request, ranked=ranked, stands_back=stands_back)
 
@@ -206,16 +211,16 @@
         if call.pool.engine is None:
             return ranked[0]
         profile = call.route.profile.name
-        standing = admission.Standing(
+        admission_request = admission.AdmissionRequest(
             tier=call.tier,
             tiers=call.pool_tiers,
             patience_seconds=call.patience_seconds,
-            higher_turned_away=self._components.pressure.higher_tier_pressed(
+            higher_tier_pressed=self._components.pressure.higher_tier_pressed(
                 call.pool.name, call.tier, now=now
             ),
             floor_due=self._components.admission_floor.is_due(profile, now=now),
         )
-        return admission.admit(standing, ranked)
+        return admission.admit(admission_request, ranked)
 
     def _candidate(
         self,
@@ -224,15 +229,17 @@
         now: float,
     ) -> placement.Candidate:
         components = self._components
-        home = call.affinity_part
+        affinity_part = call.affinity_part
         return placement.Candidate(
             upstream=upstream.id,
             slots=upstream.slots,
             cache_tokens=call.pool.engine.cache_tokens
             if call.pool.engine
             else 0.0,
-            has_shared=home is not None
-            and components.prompt_locations.has(home.id, upstream.id, now=now),
+            has_shared=affinity_part is not None
+            and components.prompt_locations.has(
+                affinity_part.id, upstream.id, now=now
+            ),
             same_domain=upstream.domain == components.domain,
             load=components.ledger.load_of(upstream.id, now=now),
             recent_prefill=components.ledger.recent_prefill(
@@ -244,12 +251,14 @@
             ),
         )
 
-    def _shared_lately(self, call: calls.Call) -> bool:
-        home = call.affinity_part
-        if home is None:
+    def _shared_recently(self, call: calls.Call) -> bool:
+        affinity_part = call.affinity_part
+        if affinity_part is None:
             return False
         now = self._components.clock.monotonic()
-        return self._components.prompt_locations.used_lately(home.id, now=now)
+        return self._components.prompt_locations.used_recently(
+            affinity_part.id, now=now
+        )
 
     def _log(
         self,
@@ -276,7 +285,7 @@
             stands_back=ranking.stands_back,
             closed={
                 one.upstream: one.reason.value
-                for one in closed[:_LOGGED_CANDIDATES]
+                for one in closed[:_MAX_LOGGED_CANDIDATES]
             },
             candidates=[
                 {
@@ -287,7 +296,7 @@
                     "running": one.candidate.load.running,
                     "failures": round(one.candidate.failures, 2),
                 }
-                for one in ranking.ranked[:_LOGGED_CANDIDATES]
+                for one in ranking.ranked[:_MAX_LOGGED_CANDIDATES]
             ],
         )
 
@@ -310,32 +319,38 @@
 
     def reread_tokens(self, chosen: placement.Ranked) -> int:
         """Return the shared tokens that another upstream has read lately."""
-        if chosen.candidate.has_shared or not self.request.shared_lately:
+        if chosen.candidate.has_shared or not self.request.shared_recently:
             return 0
         return round(self.request.shared_tokens)
 
 
-def _pool_of(usable: tuple[upstreams.Registration, ...]) -> placement.Pool:
-    return _pool_of_ids(tuple(one.id for one in usable))
+def _pool_order_of(
+    usable: tuple[upstreams.Registration, ...],
+) -> placement.PoolOrder:
+    return _pool_order_of_ids(tuple(one.id for one in usable))
 
 
 @functools.lru_cache(maxsize=16)
-def _pool_of_ids(ids: tuple[types.UpstreamId, ...]) -> placement.Pool:
+def _pool_order_of_ids(
+    ids: tuple[types.UpstreamId, ...],
+) -> placement.PoolOrder:
     # The same for each request until an upstream comes or goes.
-    return placement.Pool(ids=ids)
+    return placement.PoolOrder(ids=ids)
 
 
-def _request_of(call: calls.Call, *, shared_lately: bool) -> placement.Request:
-    home = call.affinity_part
+def _request_of(
+    call: calls.Call, *, shared_recently: bool
+) -> placement.Request:
+    affinity_part = call.affinity_part
     return placement.Request(
-        affinity=home.id if home else call.request_id,
+        affinity=affinity_part.id if affinity_part else call.request_id,
         tier=call.tier,
         prompt_tokens=call.attributes.prompt_tokens,
         shared_tokens=call.shared_tokens,
         target_seconds=call.route.profile.target_seconds,
         sensitivity=sensitivity_of(call),
         tightest_pause_seconds=call.tightest_pause_seconds,
-        shared_lately=shared_lately,
+        shared_recently=shared_recently,
         body_bytes=len(call.body),
     )
 
--- a/packages/router/src/lagoonrun_router/crash_evidence.py
+++ b/packages/router/src/lagoonrun_router/crash_evidence.py
@@ -18,7 +18,7 @@
 """Upstreams that end under a request before it is sent no more. Each crash cuts all
 that runs beside it, and a request may be there by chance once or twice."""
 
-CRASHES_SURE = 4
+CRASHES_TO_BLOCK_ANY = 4
 """Crashes from which all count: a request that ends upstreams after its answer has
 begun, or two that always come together, would else go on for ever."""
 
@@ -27,10 +27,10 @@
 upstream that was mended in the meantime serves the request again; one more crash
 blocks it for as long."""
 
-FORGET_SECONDS = 600.0
+EXPIRY_SECONDS = 600.0
 """Age from which a crash says nothing any more."""
 
-MOST_RECORDS = 2048
+MAX_RECORDS = 2048
 """Records that are kept, some hundred bytes each: half a megabyte."""
 
 
@@ -104,8 +104,8 @@
         if len(crashes) < CRASHES_TO_BLOCK:
             return None
         counted = crashes
-        if len(crashes) < CRASHES_SURE:
-            counted = [one for one in crashes if self._counts(one, now)]
+        if len(crashes) < CRASHES_TO_BLOCK_ANY:
+            counted = [one for one in crashes if self._is_counted(one, now)]
         if len(counted) < CRASHES_TO_BLOCK:
             return None
         until = counted[-1].seen_at + BLOCK_SECONDS
@@ -151,7 +151,7 @@
             for records in self._records_by_request.values()
             if any(one.seen_at >= since for one in records.values())
         ]
-        wanted.sort(key=_weight, reverse=True)
+        wanted.sort(key=_retention_rank, reverse=True)
         return tuple(
             one
             for records in wanted
@@ -163,7 +163,7 @@
 
     def take(self, record: CrashRecord, *, now: float) -> bool:
         """Take in a record; return whether it says anything new."""
-        if now - record.seen_at >= FORGET_SECONDS:
+        if now - record.seen_at >= EXPIRY_SECONDS:
             return False
         records = self._records_by_request.setdefault(record.request, {})
         known = records.get(record.at)
@@ -172,7 +172,7 @@
             self._size += 1
             suspects = self._suspects_by_upstream.setdefault(record.at, set())
             suspects.add(record.request)
-            self._drop_least()
+            self._evict()
             return True
         merged = dataclasses.replace(
             known,
@@ -202,7 +202,7 @@
             one
             for records in tuple(self._records_by_request.values())
             for one in tuple(records.values())
-            if now - one.seen_at >= FORGET_SECONDS
+            if now - one.seen_at >= EXPIRY_SECONDS
         )
 
     # Parts.
@@ -217,11 +217,11 @@
         crashes = [
             one
             for one in records.values()
-            if not one.void and now - one.seen_at < FORGET_SECONDS
+            if not one.void and now - one.seen_at < EXPIRY_SECONDS
         ]
         return sorted(crashes, key=lambda one: one.seen_at)
 
-    def _counts(self, crash: CrashRecord, now: float) -> bool:
+    def _is_counted(self, crash: CrashRecord, now: float) -> bool:
         """Return whether no other suspect explains a crash as well.
 
         Requests that ran beside the cause break with it, come again and may
@@ -242,14 +242,16 @@
             crashes=len(crashes), silent=sum(one.silent for one in crashes)
         )
 
-    def _drop_least(self) -> None:
+    def _evict(self) -> None:
         """Drop the quarter of the requests that are the least suspect."""
-        if self._size <= MOST_RECORDS:
+        if self._size <= MAX_RECORDS:
             return
-        weakest = sorted(self._records_by_request.values(), key=_weight)
+        ascending = sorted(
+            self._records_by_request.values(), key=_retention_rank
+        )
         self._drop(
             one
-            for records in weakest[: max(1, len(weakest) // 4)]
+            for records in ascending[: max(1, len(ascending) // 4)]
             for one in tuple(records.values())
         )
 
@@ -273,16 +275,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, order=True)
-class _Weight:
+class _RetentionRank:
     crashes: int
     newest_at: float
 
 
-def _weight(
+def _retention_rank(
     records: dict[running_requests.UpstreamInstance, CrashRecord],
-) -> _Weight:
+) -> _RetentionRank:
     """Return how much it would cost to forget the records of a request."""
-    return _Weight(
+    return _RetentionRank(
         crashes=sum(not one.void for one in records.values()),
         newest_at=max(one.seen_at for one in records.values()),
     )
--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -5,7 +5,7 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_platform import store as store_module
 from lagoonrun_router import (
-    block_keeper,
+    block_writer,
     crash_watch,
     crashing_requests,
     metrics,
@@ -48,21 +48,21 @@
         self.watch = crash_watch.CrashWatch(
             directory=directory, counters=counters, clock=clock
         )
-        self._keeper = block_keeper.BlockKeeper(
+        self._block_writer = block_writer.BlockWriter(
             store=store, prefix=prefix, rng=rng
         )
         self.crashing = crashing_requests.CrashingRequests(
-            watch=self.watch, keeper=self._keeper, clock=clock
+            watch=self.watch, block_writer=self._block_writer, clock=clock
         )
 
     async def start(self) -> None:
         """Begin to write blocks."""
-        await self._keeper.start()
+        await self._block_writer.start()
 
     async def close(self) -> None:
         """End what is under way."""
         await self.watch.close()
-        await self._keeper.close()
+        await self._block_writer.close()
 
     def run_housekeeping(self) -> None:
         """Forget what is old and write what waits; called once a second."""
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -21,14 +21,14 @@
 """Age up to which a record is repeated often: longer than entry VMs may take to
 know of it."""
 
-_NEWS_BEATS = 5
+_NEWS_TICKS = 5
 """Beats between two repetitions of news: a quarter of a second."""
 
-_OLD_BEATS = 20
+_OLD_TICKS = 20
 """The same of what is older: a second. It reaches those that were cut off within
 the seconds that they have to know of it."""
 
-_MOST_TOLD = 24
+_MAX_RECORDS_PER_MESSAGE = 24
 """Records in a message: two kilobytes."""
 
 
@@ -66,10 +66,10 @@
         self._domain = domain
         self._spreader = spreader
         self._records = records
-        self._beats = 0
-        self._next_old = 0
+        self._ticks = 0
+        self._next_index = 0
 
-    def tell(
+    def broadcast(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, now: float
     ) -> None:
         """Tell the whole fleet what this entry VM has just learned itself."""
@@ -94,38 +94,38 @@
 
     def tick(self, *, now: float) -> None:
         """Repeat what others may not have heard, every few calls."""
-        self._beats += 1
-        if self._beats % _NEWS_BEATS:
+        self._ticks += 1
+        if self._ticks % _NEWS_TICKS:
             return
         told = self._records(since=now - NEWS_SECONDS)
-        if not told and self._beats % _OLD_BEATS == 0:
-            told = self._some_old(self._records())
+        if not told and self._ticks % _OLD_TICKS == 0:
+            told = self._next_batch(self._records())
         if not told:
             return
-        for news in self._messages(told[:_MOST_TOLD], now):
+        for news in self._messages(told[:_MAX_RECORDS_PER_MESSAGE], now):
             self._spreader.send_to_sample(news)
 
-    def _some_old(
+    def _next_batch(
         self, records: tuple[crash_evidence.CrashRecord, ...]
     ) -> tuple[crash_evidence.CrashRecord, ...]:
         """Return the next part of all records, the weightiest in each."""
-        half = _MOST_TOLD // 2
-        heavy, others = records[:half], records[half:]
-        if self._next_old >= len(others):
-            self._next_old = 0
-        part = others[self._next_old : self._next_old + half]
-        self._next_old += half
-        return (*heavy, *part)
+        half = _MAX_RECORDS_PER_MESSAGE // 2
+        top, others = records[:half], records[half:]
+        if self._next_index >= len(others):
+            self._next_index = 0
+        part = others[self._next_index : self._next_index + half]
+        self._next_index += half
+        return (*top, *part)
 
     def _messages(
         self, records: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> Iterable[router_messages.CrashNews]:
-        for begin in range(0, len(records), _MOST_TOLD):
-            part = records[begin : begin + _MOST_TOLD]
+        for begin in range(0, len(records), _MAX_RECORDS_PER_MESSAGE):
+            part = records[begin : begin + _MAX_RECORDS_PER_MESSAGE]
             yield router_messages.CrashNews(
                 entry_vm=self._entry_vm,
                 domain=self._domain,
-                runs=tuple(_told(one, now) for one in part),
+                runs=tuple(_run_of(one, now) for one in part),
             )
 
 
@@ -148,7 +148,7 @@
     )
 
 
-def _told(
+def _run_of(
     record: crash_evidence.CrashRecord, now: float
 ) -> router_messages.CrashedRun:
     age_seconds = max(0.0, now - record.seen_at)
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -23,11 +23,11 @@
     upstreams,
 )
 
-_PROBE_SECONDS = 0.4
+_PROBE_TIMEOUT_SECONDS = 0.4
 """Longest wait for a connection, as for those of requests: a hundred round
 trips."""
 
-_REMEMBERED_CRASHES = 256
+_MAX_REMEMBERED_CRASHES = 256
 """Crashes that are not looked into again; more than end within the seconds in
 which their requests break."""
 
@@ -37,7 +37,7 @@
 
     def __call__(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
         """Take in which requests of this entry VM ran there; maybe none."""
@@ -50,7 +50,7 @@
         """Take in that a request can be run."""
 
 
-class _Found(enum.Enum):
+class _ProbeResult(enum.Enum):
     """What a connection attempt tells of an upstream."""
 
     REFUSES = "refuses"
@@ -97,7 +97,7 @@
         await asyncio.gather(*probes, return_exceptions=True)
 
     @property
-    def looks_into(self) -> frozenset[running_requests.UpstreamInstance]:
+    def probed_instances(self) -> frozenset[running_requests.UpstreamInstance]:
         """Upstreams to which a connection is being tried."""
         return frozenset(self._probes_by_upstream)
 
@@ -128,13 +128,13 @@
         result
             None where the caller left.
         """
-        end = _end_of(result)
+        end = _run_end_of(result)
         self._running.end(run, end, now=self._clock.monotonic())
         if end is running_requests.RunEnd.ANSWERED and self.on_answer:
             self.on_answer(run.digest)
         broken = end is running_requests.RunEnd.BROKEN
         if broken and self._directory.is_serving(run.at.upstream):
-            self._probe(run.at, upstream)
+            self._start_probe(run.at, upstream)
 
     def forget_old(self) -> None:
         """Forget runs that ended too long ago to be of interest."""
@@ -143,67 +143,72 @@
     # What others tell.
 
     def suspects_at(
-        self, at: running_requests.UpstreamInstance
+        self, instance: running_requests.UpstreamInstance
     ) -> frozenset[running_requests.SuspectRequest]:
         """Return the requests of this entry VM that ran at a crashed upstream.
 
         Another entry VM has noticed the crash; here callers may have left
         before.
         """
-        return self._running.suspects_at(at, now=self._clock.monotonic())
+        return self._running.suspects_at(instance, now=self._clock.monotonic())
 
     # Parts.
 
-    def _probe(
+    def _start_probe(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
         # All that ran there is looked at together, whichever breaks first.
-        if at not in self._probes_by_upstream and at not in self._crashed:
-            self._probes_by_upstream[at] = asyncio.create_task(
-                self._look_into(at, upstream)
+        if (
+            instance not in self._probes_by_upstream
+            and instance not in self._crashed
+        ):
+            self._probes_by_upstream[instance] = asyncio.create_task(
+                self._probe(instance, upstream)
             )
 
-    async def _look_into(
+    async def _probe(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
         try:
-            found = await _connect(upstream.host, upstream.port)
+            result = await _connect(upstream.host, upstream.port)
         finally:
-            del self._probes_by_upstream[at]
-        if found is _Found.REFUSES:
-            self._take_crash(at, upstream)
+            del self._probes_by_upstream[instance]
+        if result is _ProbeResult.REFUSES:
+            self._record_crash(instance, upstream)
 
-    def _take_crash(
+    def _record_crash(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
-        requests = self.suspects_at(at)
-        self._remember(at)
+        requests = self.suspects_at(instance)
+        self._remember(instance)
         self._metrics.upstream_crashes.labels(upstream.pool).inc()
         logs.emit(
             events.LogEvent.UPSTREAM_CRASHED,
             level=logging.WARNING,
-            upstream=at.upstream,
-            start=at.start,
+            upstream=instance.upstream,
+            start=instance.start,
             pool=upstream.pool,
             requests=sorted(one.digest for one in requests),
             silent=sorted(one.digest for one in requests if one.silent),
         )
         if self.on_crash is not None:
-            self.on_crash(at, requests)
+            self.on_crash(instance, requests)
 
-    def _remember(self, at: running_requests.UpstreamInstance) -> None:
-        self._crashed[at] = None
-        while len(self._crashed) > _REMEMBERED_CRASHES:
+    def _remember(self, instance: running_requests.UpstreamInstance) -> None:
+        self._crashed[instance] = None
+        while len(self._crashed) > _MAX_REMEMBERED_CRASHES:
             del self._crashed[next(iter(self._crashed))]
 
 
-def _end_of(result: attempt_result.Result | None) -> running_requests.RunEnd:
+def _run_end_of(
+    result: attempt_result.Result | None,
+) -> running_requests.RunEnd:
     if result is None:
         return running_requests.RunEnd.ABANDONED
     if isinstance(result, attempt_result.Delivered):
@@ -215,18 +220,18 @@
     return running_requests.RunEnd.FAILED
 
 
-async def _connect(host: str, port: int) -> _Found:
+async def _connect(host: str, port: int) -> _ProbeResult:
     """Return whether anybody listens at an address."""
     try:
-        async with asyncio.timeout(_PROBE_SECONDS):
+        async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
-        return _Found.REFUSES
+        return _ProbeResult.REFUSES
     except OSError:
         # TimeoutError is an OSError as well.
-        return _Found.SILENT
+        return _ProbeResult.SILENT
     writer.close()
     with contextlib.suppress(OSError):
         # The other side may reset what it has just taken.
         await writer.wait_closed()
-    return _Found.TAKES
+    return _ProbeResult.TAKES
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -13,8 +13,8 @@
 from lagoonrun_core import errors, events, logs, types
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
-    block_keeper,
     block_record,
+    block_writer,
     crash_evidence,
     crash_news,
     crash_watch,
@@ -22,34 +22,34 @@
     running_requests,
 )
 
-_OWN_KEEP_SECONDS = 0.25
+_OWN_WRITE_DELAY_SECONDS = 0.25
 """Time from a crash until a block is written to the store: by then the other entry
 VMs have told what else ran there."""
 
-_TOLD_KEEP_SECONDS = 1.5
+_REPORTED_WRITE_DELAY_SECONDS = 1.5
 """The same for a relay that was only told of it, if nobody has written it: whoever
 saw the crash may have ended right after."""
 
-_CRASHES_TO_TELL = 2
+_CRASHES_TO_BROADCAST = 2
 """Crashes from which it is told at once that a request was answered. With one, as
 all that ran beside the cause have, it is of no use to others."""
 
 
-class TellsCrashes(Protocol):
+class CrashAnnouncer(Protocol):
     """Tells the other entry VMs."""
 
     @property
     def is_relay(self) -> bool:
         """Whether this entry VM is the relay of its failure domain."""
 
-    def tell(
+    def broadcast(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, now: float
     ) -> None:
         """Tell the whole fleet."""
 
     def forward(
         self,
-        told: router_messages.CrashNews,
+        reported: router_messages.CrashNews,
         new: tuple[crash_evidence.CrashRecord, ...],
         *,
         now: float,
@@ -74,20 +74,20 @@
         self,
         *,
         watch: crash_watch.CrashWatch,
-        keeper: block_keeper.BlockKeeper,
+        block_writer: block_writer.BlockWriter,
         clock: clocks.Clock,
     ) -> None:
         self._watch = watch
-        watch.on_crash = self.take_crash
-        watch.on_answer = self.take_answer
-        self._keeper = keeper
+        watch.on_crash = self.record_crash
+        watch.on_answer = self.record_answer
+        self._block_writer = block_writer
         self._clock = clock
         self._evidence = crash_evidence.CrashEvidence()
         self._answered = recent_answers.RecentAnswers()
         self._blocked: set[types.RequestDigest] = set()
         self._stored: set[types.RequestDigest] = set()
-        self._keep_at_by_request: dict[types.RequestDigest, float] = {}
-        self.news: TellsCrashes | None = None
+        self._write_at_by_request: dict[types.RequestDigest, float] = {}
+        self.news: CrashAnnouncer | None = None
         """Set once the exchange with the peers is there."""
 
     # What is asked.
@@ -110,30 +110,32 @@
 
     # What this entry VM notices.
 
-    def take_crash(
+    def record_crash(
         self,
         at: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
         """Hold a crash against the requests that ran there."""
         now = self._clock.monotonic()
-        new = self._take(_records(at, requests, seen_at=now), now)
-        self._tell(new, now)
-        for one in self._note_blocked(new, source="own"):
-            self._keep_at_by_request[one.request] = now + _OWN_KEEP_SECONDS
+        new = self._merge(_records(at, requests, seen_at=now), now)
+        self._broadcast(new, now)
+        for one in self._update_blocked(new, source="own"):
+            self._write_at_by_request[one.request] = (
+                now + _OWN_WRITE_DELAY_SECONDS
+            )
 
-    def take_answer(self, request: types.RequestDigest) -> None:
+    def record_answer(self, request: types.RequestDigest) -> None:
         """Hold nothing against a request that an upstream has run."""
         now = self._clock.monotonic()
         self._answered.note(request, now=now)
         cleared = self._clear(request, reason="answered")
-        if len(cleared) >= _CRASHES_TO_TELL:
-            self._tell(cleared, now)
+        if len(cleared) >= _CRASHES_TO_BROADCAST:
+            self._broadcast(cleared, now)
 
     def lift(self, request: types.RequestDigest) -> bool:
         """Let a request run again; return whether anything was held against it."""
         cleared = self._clear(request, reason="lifted")
-        self._tell(cleared, self._clock.monotonic())
+        self._broadcast(cleared, self._clock.monotonic())
         return bool(cleared)
 
     # What peers and the store tell.
@@ -141,17 +143,17 @@
     def receive_news(self, news: router_messages.CrashNews) -> None:
         """Take in what a peer knows of crashes."""
         now = self._clock.monotonic()
-        told = crash_news.records_of(news, now=now)
-        new = self._take(told, now)
-        own = self._own_records(told, now)
-        self._tell(own, now)
+        reported = crash_news.records_of(news, now=now)
+        new = self._merge(reported, now)
+        own = self._own_records(reported, now)
+        self._broadcast(own, now)
         if self.news is not None:
             self.news.forward(news, new, now=now)
-        for one in self._note_blocked((*new, *own), source=news.entry_vm):
+        for one in self._update_blocked((*new, *own), source=news.entry_vm):
             stored = one.request in self._stored
             if self.news is not None and self.news.is_relay and not stored:
-                self._keep_at_by_request.setdefault(
-                    one.request, now + _TOLD_KEEP_SECONDS
+                self._write_at_by_request.setdefault(
+                    one.request, now + _REPORTED_WRITE_DELAY_SECONDS
                 )
 
     def apply_stored(self, request: types.RequestDigest, value: bytes) -> None:
@@ -168,8 +170,8 @@
             )
             return
         self._stored.add(request)
-        self._keep_at_by_request.pop(request, None)
-        self._note_blocked(self._take(records, now), source="store")
+        self._write_at_by_request.pop(request, None)
+        self._update_blocked(self._merge(records, now), source="store")
 
     def apply_removed(self, request: types.RequestDigest) -> None:
         """Take in that the store keeps a block no more.
@@ -188,25 +190,25 @@
             return
         for request in lost:
             if self.block_of(request) is not None:
-                self._keep_at_by_request.setdefault(
-                    request, now + _TOLD_KEEP_SECONDS
+                self._write_at_by_request.setdefault(
+                    request, now + _REPORTED_WRITE_DELAY_SECONDS
                 )
 
     def tick(self) -> None:
         """Write what nobody has written, and forget what is old."""
         now = self._clock.monotonic()
         self._evidence.forget_old(now=now)
-        for request, at in tuple(self._keep_at_by_request.items()):
+        for request, at in tuple(self._write_at_by_request.items()):
             if now >= at:
-                del self._keep_at_by_request[request]
-                self._keep(request)
+                del self._write_at_by_request[request]
+                self._write_block(request)
         for request in tuple(self._blocked):
             if self.block_of(request) is None:
-                self._note_unblocked(request, reason="time has passed")
+                self._record_unblocked(request, reason="time has passed")
 
     # Parts.
 
-    def _take(
+    def _merge(
         self, records: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> tuple[crash_evidence.CrashRecord, ...]:
         return tuple(
@@ -214,7 +216,7 @@
         )
 
     def _own_records(
-        self, told: tuple[crash_evidence.CrashRecord, ...], now: float
+        self, reported: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> tuple[crash_evidence.CrashRecord, ...]:
         """Return what ran here at upstreams that others saw crash.
 
@@ -222,31 +224,31 @@
         """
         news = {
             one.at
-            for one in told
+            for one in reported
             if now - one.seen_at < running_requests.SUSPECT_SECONDS
         }
         found: list[crash_evidence.CrashRecord] = []
         for at in news:
             records = _records(at, self._watch.suspects_at(at), seen_at=now)
-            found.extend(self._take(records, now))
+            found.extend(self._merge(records, now))
         return tuple(found)
 
-    def _tell(
+    def _broadcast(
         self, records: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> None:
         if records and self.news is not None:
-            self.news.tell(records, now=now)
+            self.news.broadcast(records, now=now)
 
     def _clear(
         self, request: types.RequestDigest, *, reason: str
     ) -> tuple[crash_evidence.CrashRecord, ...]:
         cleared = self._evidence.clear(request)
         if request in self._stored:
-            self._keeper.remove(request)
-        self._note_unblocked(request, reason=reason)
+            self._block_writer.remove(request)
+        self._record_unblocked(request, reason=reason)
         return cleared
 
-    def _note_blocked(
+    def _update_blocked(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, source: str
     ) -> tuple[crash_evidence.Block, ...]:
         """Return what is blocked of what was just told; log what changed."""
@@ -255,7 +257,7 @@
             self._clear_if_answered(request)
             block = self.block_of(request)
             if block is None:
-                self._note_unblocked(request, reason=f"cleared by {source}")
+                self._record_unblocked(request, reason=f"cleared by {source}")
                 continue
             blocks.append(block)
             if request not in self._blocked:
@@ -271,7 +273,7 @@
         """
         now = self._clock.monotonic()
         if self.block_of(request) and self._answered.has(request, now=now):
-            self._tell(self._clear(request, reason="answered lately"), now)
+            self._broadcast(self._clear(request, reason="answered lately"), now)
 
     def _log_blocked(self, block: crash_evidence.Block, source: str) -> None:
         left_seconds = block.until - self._clock.monotonic()
@@ -285,10 +287,10 @@
             source=source,
         )
 
-    def _note_unblocked(
+    def _record_unblocked(
         self, request: types.RequestDigest, *, reason: str
     ) -> None:
-        self._keep_at_by_request.pop(request, None)
+        self._write_at_by_request.pop(request, None)
         if request not in self._blocked:
             return
         self._blocked.discard(request)
@@ -296,10 +298,10 @@
             events.LogEvent.REQUEST_UNBLOCKED, digest=request, reason=reason
         )
 
-    def _keep(self, request: types.RequestDigest) -> None:
+    def _write_block(self, request: types.RequestDigest) -> None:
         block = self.block_of(request)
         if block is not None:
-            self._keeper.keep(block)
+            self._block_writer.write(block)
 
 
 def _records(
--- a/packages/router/src/lagoonrun_router/place_giver.py
+++ b/packages/router/src/lagoonrun_router/place_buckets.py
@@ -5,11 +5,11 @@
 from lagoonrun_core import types
 from lagoonrun_router import place_bucket, running_requests, upstream_limits
 
-_MOST_BUCKETS = 1024
+_MAX_BUCKETS = 1024
 """Buckets that are kept; the one that was asked least lately yields."""
 
 
-class PlaceGiver:
+class PlaceBuckets:
     """Has a bucket for each limited upstream that is asked for.
 
     Parameters
@@ -28,16 +28,16 @@
     ) -> None:
         self._limits = limits
         self._rng = rng
-        self._bucket_by_start: dict[
+        self._bucket_by_instance: dict[
             running_requests.UpstreamInstance, place_bucket.PlaceBucket
         ] = {}
 
-    def take(
+    def acquire(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         tier: types.Tier,
         *,
-        part: float,
+        share: float,
         now: float,
     ) -> place_bucket.PlaceDecision:
         """Take a place for a request of a tier.
@@ -47,24 +47,24 @@
         part
             Part of the limit that is given out here, above 0.
         """
-        limit = self._limits.limit_of(at)
+        limit = self._limits.limit_of(instance)
         if limit is None:
-            self._bucket_by_start.pop(at, None)
+            self._bucket_by_instance.pop(instance, None)
             return place_bucket.Granted()
-        bucket = self._bucket(at, limit * part, now)
-        return bucket.take(tier, now=now)
+        bucket = self._updated_bucket(instance, limit * share, now)
+        return bucket.acquire(tier, now=now)
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Begin anew: what was left over is not to be used any more."""
-        self._bucket_by_start.clear()
+        self._bucket_by_instance.clear()
 
-    def _bucket(
+    def _updated_bucket(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         per_second: float,
         now: float,
     ) -> place_bucket.PlaceBucket:
-        bucket = self._bucket_by_start.pop(at, None)
+        bucket = self._bucket_by_instance.pop(instance, None)
         if bucket is None:
             bucket = place_bucket.PlaceBucket(
                 per_second=per_second,
@@ -72,8 +72,8 @@
                 level=self._rng.random() if self._rng else 0.0,
             )
         else:
-            bucket.use(per_second, now=now)
-        self._bucket_by_start[at] = bucket
-        while len(self._bucket_by_start) > _MOST_BUCKETS:
-            del self._bucket_by_start[next(iter(self._bucket_by_start))]
+            bucket.set_rate(per_second, now=now)
+        self._bucket_by_instance[instance] = bucket
+        while len(self._bucket_by_instance) > _MAX_BUCKETS:
+            del self._bucket_by_instance[next(iter(self._bucket_by_instance))]
         return bucket
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -62,18 +62,18 @@
             return None
         return self._table.address_of(on_duty[0])
 
-    def gives(self, upstream_domain: types.FailureDomain) -> bool:
+    def is_giver_for(self, upstream_domain: types.FailureDomain) -> bool:
         """Return whether the own domain gives out the places there."""
-        return self._giving_domain(upstream_domain) == self._domain
+        return self._giver_domain(upstream_domain) == self._domain
 
     def giver(
         self, upstream_domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
         """Return the relay that gives out places; None where it is silent."""
-        giving = self._giving_domain(upstream_domain)
-        return self._relays.relay_of(giving, now=now)
+        giver_domain = self._giver_domain(upstream_domain)
+        return self._relays.relay_of(giver_domain, now=now)
 
-    def view(self, *, now: float) -> limit_shares.FleetCounts:
+    def fleet_counts(self, *, now: float) -> limit_shares.FleetCounts:
         """Return the fleet as it is heard here."""
         near_known = self._table.neighbour_budget_sharers(now=now) + 1
         near = len(self._table.neighbours()) + 1
@@ -86,17 +86,19 @@
                 silent += len(cores_by_id)
         return limit_shares.FleetCounts(known=known, near=near, silent=silent)
 
-    def _giving_domain(
+    def _giver_domain(
         self, upstream_domain: types.FailureDomain
     ) -> types.FailureDomain:
         """Return the upstream's domain, or another where no entry VM is there."""
         others = self._table.remote_cores_by_domain().keys()
         if upstream_domain == self._domain or upstream_domain in others:
             return upstream_domain
-        return min((self._domain, *others), key=_hash_with(upstream_domain))
+        return min(
+            (self._domain, *others), key=_rendezvous_hash(upstream_domain)
+        )
 
 
-def _hash_with(
+def _rendezvous_hash(
     upstream_domain: types.FailureDomain,
 ) -> Callable[[types.FailureDomain], int]:
     """Return the order of domains for the upstreams of another one."""
--- a/packages/router/src/lagoonrun_router/placement.py
+++ b/packages/router/src/lagoonrun_router/placement.py
@@ -122,7 +122,7 @@
     target_seconds: float
     sensitivity: float = 0.0
     tightest_pause_seconds: float | None = None
-    shared_lately: bool = False
+    shared_recently: bool = False
     body_bytes: int = 0
 
 
@@ -161,7 +161,7 @@
     silent_domain: bool = False
 
 
-class Pool:
+class PoolOrder:
     """What a decision knows of all upstreams of a pool together.
 
     Parameters
@@ -181,7 +181,7 @@
         """
         return self._position_by_upstream[upstream]
 
-    def reader_of(self, part: str) -> types.UpstreamId:
+    def prefill_upstream_of(self, part: str) -> types.UpstreamId:
         """Return where a shared part that nobody has read lately is to be read.
 
         One upstream, by the hash of the part: other entry VMs may have the same
@@ -189,13 +189,13 @@
         In the first ten seconds of a fleet of 82, 0.75 of the requests were
         served in this way, else 0.68.
         """
-        return min(self._ids, key=lambda one: _spread(part, one))
+        return min(self._ids, key=lambda one: _hash_fraction(part, one))
 
     @functools.cached_property
     def _position_by_upstream(self) -> dict[types.UpstreamId, float]:
         ordered = sorted(self._ids, key=_id_hash)
         last = max(1, len(ordered) - 1)
-        return {one: place / last for place, one in enumerate(ordered)}
+        return {one: index / last for index, one in enumerate(ordered)}
 
 
 def _id_hash(upstream: types.UpstreamId) -> int:
@@ -249,7 +249,7 @@
     candidates: tuple[Candidate, ...],
     weights: Weights = DEFAULT_WEIGHTS,
     *,
-    pool: Pool | None = None,
+    pool: PoolOrder | None = None,
 ) -> tuple[Ranked, ...]:
     """Return the candidates, the cheapest first.
 
@@ -258,43 +258,46 @@
     pool
         All upstreams; None where the candidates are all.
     """
-    known = pool or Pool(ids=tuple(one.upstream for one in candidates))
-    reader = None
-    if not request.shared_lately:
-        reader = known.reader_of(request.affinity)
+    order = pool or PoolOrder(ids=tuple(one.upstream for one in candidates))
+    prefill_upstream = None
+    if not request.shared_recently:
+        prefill_upstream = order.prefill_upstream_of(request.affinity)
     ranked = [
-        _assess(request, one, known, reader, weights) for one in candidates
+        _estimate(request, one, order, prefill_upstream, weights)
+        for one in candidates
     ]
-    return tuple(sorted(ranked, key=_order))
+    return tuple(sorted(ranked, key=_sort_key))
 
 
-def _order(ranked: Ranked) -> tuple[float, str]:
+def _sort_key(ranked: Ranked) -> tuple[float, str]:
     return ranked.cost, ranked.candidate.upstream
 
 
-def _assess(
+def _estimate(
     request: Request,
     candidate: Candidate,
-    pool: Pool,
-    reader: types.UpstreamId | None,
+    pool: PoolOrder,
+    prefill_upstream: types.UpstreamId | None,
     weights: Weights,
 ) -> Ranked:
     new_tokens = request.prompt_tokens
     if candidate.has_shared:
         new_tokens -= request.shared_tokens
     reading = weights.reading * new_tokens
-    if candidate.upstream != reader and not candidate.has_shared:
+    if candidate.upstream != prefill_upstream and not candidate.has_shared:
         reading += weights.rereading * request.shared_tokens
     rate = weights.prefill_tokens_per_second
     load = candidate.load
-    own_seconds = new_tokens / rate
-    wait_seconds = waiting_seconds(load, request.tier, weights) + own_seconds
+    prefill_seconds = new_tokens / rate
+    wait_seconds = (
+        waiting_seconds(load, request.tier, weights) + prefill_seconds
+    )
     occupied = load.running / max(1, candidate.slots)
     position = pool.position_of(candidate.upstream)
     # In the order of `CostKind`.
     costs = (
         weights.wait * (wait_seconds / request.target_seconds) ** 2,
-        weights.harm * own_seconds * load.sensitive,
+        weights.harm * prefill_seconds * load.sensitive,
         weights.exposure
         * request.sensitivity
         * min(1.0, candidate.recent_prefill / rate),
@@ -306,8 +309,8 @@
         weights.overdue * load.overdue,
         weights.silence * candidate.silent_domain,
         weights.queue * occupied,
-        weights.spread * _spread(request.affinity, candidate.upstream),
-        weights.side * _side(request, own_seconds, position),
+        weights.spread * _hash_fraction(request.affinity, candidate.upstream),
+        weights.side * _misplacement(request, prefill_seconds, position),
     )
     return Ranked(
         candidate=candidate,
@@ -322,13 +325,15 @@
     load: loads.Load, tier: types.Tier, weights: Weights
 ) -> float:
     """Return how long a new prompt of `tier` waits for others."""
-    before = load.waiting_before(tier)
-    behind = load.waiting_tokens - before
-    tokens = before + weights.lower_tiers * behind
+    ahead = load.waiting_before(tier)
+    behind = load.waiting_tokens - ahead
+    tokens = ahead + weights.lower_tiers * behind
     return tokens / weights.prefill_tokens_per_second
 
 
-def _side(request: Request, own_seconds: float, position: float) -> float:
+def _misplacement(
+    request: Request, prefill_seconds: float, position: float
+) -> float:
     """Return how far a request is from its own end of the pool, 0 to 1.
 
     A prompt that is read for as long as the tightest pause of the pool makes
@@ -341,12 +346,12 @@
     tightest = request.tightest_pause_seconds
     if tightest is None:
         return 0.0
-    tight = request.sensitivity * tightest
-    long = min(1.0, own_seconds / tightest)
-    return tight * position + long * (1.0 - position)
+    pause_tightness = request.sensitivity * tightest
+    prompt_length = min(1.0, prefill_seconds / tightest)
+    return pause_tightness * position + prompt_length * (1.0 - position)
 
 
-def _spread(affinity: str, upstream: types.UpstreamId) -> float:
+def _hash_fraction(affinity: str, upstream: types.UpstreamId) -> float:
     """Return a number from 0 to 1 that all entry VMs compute alike."""
     named = f"{affinity}{upstream}"
     return xxhash.xxh3_64_intdigest(named.encode()) / _HASH_RANGE
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -21,7 +21,7 @@
     metrics,
     news_broadcaster,
     place_bucket,
-    place_giver,
+    place_buckets,
     place_routing,
     running_requests,
     settings,
@@ -32,19 +32,19 @@
 _ANSWER_SECONDS = 0.1
 """Longest wait for a place: a dozen round trips. The request goes elsewhere then."""
 
-_UNANSWERED_SECONDS = 1.0
+_FALLBACK_SECONDS = 1.0
 """Time in which nobody is asked again after an answer did not come: until then the
 next relay is known."""
 
-_LONGEST_CLOSED_SECONDS = 1.0
+_MAX_CLOSED_SECONDS = 1.0
 """Longest time without another question after a place was refused."""
 
-_LEAST_CLOSED_SECONDS = 0.02
+_MIN_CLOSED_SECONDS = 0.02
 """Shortest time of the same: a few round trips."""
 
 _NUMBER_BITS = 48
 
-_MOST_TIERS = 16
+_MAX_TIER = 16
 """Tiers that are told apart; those below count as the last."""
 
 
@@ -61,7 +61,7 @@
     """An entry VM that can't ask its relay."""
 
 
-_PART_OF = {
+_SHARE_BY_GIVER = {
     Giver.FLEET: limit_shares.giver_share,
     Giver.DOMAIN: limit_shares.domain_share,
     Giver.SELF: limit_shares.single_share,
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Closed:
+class _Closure:
     tier: types.Tier
     until: float
 
@@ -110,47 +110,47 @@
         self._send = send
         self._metrics = counters
         self._clock = clock
-        self._giver_by_kind = {
-            Giver.FLEET: place_giver.PlaceGiver(limits=limits),
-            Giver.DOMAIN: place_giver.PlaceGiver(limits=limits),
+        self._buckets_by_giver = {
+            Giver.FLEET: place_buckets.PlaceBuckets(limits=limits),
+            Giver.DOMAIN: place_buckets.PlaceBuckets(limits=limits),
             # Levels by chance: were all buckets of a fleet empty at first, the
             # small parts of many entry VMs would come up together much later.
-            Giver.SELF: place_giver.PlaceGiver(limits=limits, rng=rng),
+            Giver.SELF: place_buckets.PlaceBuckets(limits=limits, rng=rng),
         }
-        self._own_used_at = float("-inf")
-        self._unanswered_until = float("-inf")
+        self._own_share_used_at = float("-inf")
+        self._fallback_until = float("-inf")
         # By chance: an answer to the process before must not be taken for one.
         self._number = rng.getrandbits(_NUMBER_BITS)
         self._waiting_by_number: dict[
             int, asyncio.Future[router_messages.PlaceAnswer]
         ] = {}
-        self._closed_by_start: dict[
-            running_requests.UpstreamInstance, _Closed
+        self._closure_by_instance: dict[
+            running_requests.UpstreamInstance, _Closure
         ] = {}
 
     # As the entry VM that has a request.
 
     def is_limited(self, upstream: upstreams.Registration) -> bool:
         """Return whether a request needs a place at an upstream."""
-        at = running_requests.instance_of(upstream)
-        return self._limits.limit_of(at) is not None
+        instance = running_requests.instance_of(upstream)
+        return self._limits.limit_of(instance) is not None
 
     def closed_seconds(
         self, upstream: upstreams.Registration, tier: types.Tier, *, now: float
     ) -> float:
         """Return for how long no place is to be had there; 0 where one may be."""
-        at = running_requests.instance_of(upstream)
-        closed = self._closed_by_start.get(at)
-        if closed is None or now >= closed.until or tier < closed.tier:
+        instance = running_requests.instance_of(upstream)
+        closure = self._closure_by_instance.get(instance)
+        if closure is None or now >= closure.until or tier < closure.tier:
             return 0.0
-        return closed.until - now if self._limits.limit_of(at) else 0.0
+        return closure.until - now if self._limits.limit_of(instance) else 0.0
 
     def has_closed(self, *, now: float) -> bool:
         """Return whether any upstream has refused a place a moment ago."""
-        for at, closed in tuple(self._closed_by_start.items()):
-            if now >= closed.until:
-                del self._closed_by_start[at]
-        return bool(self._closed_by_start)
+        for instance, closure in tuple(self._closure_by_instance.items()):
+            if now >= closure.until:
+                del self._closure_by_instance[instance]
+        return bool(self._closure_by_instance)
 
     async def acquire(
         self,
@@ -160,16 +160,16 @@
         request_id: types.RequestId,
     ) -> place_bucket.PlaceDecision:
         """Take a place at an upstream, where it has named a limit."""
-        at = running_requests.instance_of(upstream)
-        limit = self._limits.limit_of(at)
+        instance = running_requests.instance_of(upstream)
+        limit = self._limits.limit_of(instance)
         if limit is None:
             return place_bucket.Granted()
-        tier = types.Tier(min(tier, _MOST_TIERS))
-        giver, verdict = await self._ask(upstream, at, tier)
-        granted = isinstance(verdict, place_bucket.Granted)
-        wait_seconds = 0.0 if granted else verdict.wait_seconds
+        tier = types.Tier(min(tier, _MAX_TIER))
+        giver, decision = await self._ask(upstream, instance, tier)
+        granted = isinstance(decision, place_bucket.Granted)
+        wait_seconds = 0.0 if granted else decision.wait_seconds
         if not granted:
-            self._close_for(at, tier, wait_seconds)
+            self._record_refusal(instance, tier, wait_seconds)
         self._metrics.places.labels(
             upstream.pool, "granted" if granted else "refused", giver.value
         ).inc()
@@ -184,56 +184,58 @@
             wait_seconds=round(wait_seconds, 3),
             giver=giver.value,
         )
-        return verdict
+        return decision
 
-    def _close_for(
+    def _record_refusal(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         tier: types.Tier,
         wait_seconds: float,
     ) -> None:
         now = self._clock.monotonic()
-        seconds = min(_LONGEST_CLOSED_SECONDS, wait_seconds)
-        until = now + max(_LEAST_CLOSED_SECONDS, seconds)
-        closed = self._closed_by_start.get(at)
-        if closed is not None and now < closed.until and closed.tier < tier:
+        seconds = min(_MAX_CLOSED_SECONDS, wait_seconds)
+        until = now + max(_MIN_CLOSED_SECONDS, seconds)
+        closure = self._closure_by_instance.get(instance)
+        if closure is not None and now < closure.until and closure.tier < tier:
             # What a higher tier can't have, a lower one can't have either.
-            until = min(until, closed.until)
-            tier = closed.tier
-        self._closed_by_start[at] = _Closed(tier=tier, until=until)
+            until = min(until, closure.until)
+            tier = closure.tier
+        self._closure_by_instance[instance] = _Closure(tier=tier, until=until)
 
     async def _ask(
         self,
         upstream: upstreams.Registration,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         tier: types.Tier,
     ) -> tuple[Giver, place_bucket.PlaceDecision]:
         now = self._clock.monotonic()
         relay = self._routing.own_relay(now=now)
-        if relay is None and self._routing.gives(upstream.domain):
-            return Giver.FLEET, self._give(Giver.FLEET, at, tier, now)
-        if now < self._unanswered_until:
-            return Giver.SELF, self._give(Giver.SELF, at, tier, now)
-        asked = self._question(upstream, at, tier, now)
-        to = relay or self._routing.giver(upstream.domain, now=now)
-        if to is None:
-            return Giver.DOMAIN, self._give(Giver.DOMAIN, at, tier, now)
-        answer = await self._exchange(asked, to)
+        if relay is None and self._routing.is_giver_for(upstream.domain):
+            return Giver.FLEET, self._allocate(Giver.FLEET, instance, tier, now)
+        if now < self._fallback_until:
+            return Giver.SELF, self._allocate(Giver.SELF, instance, tier, now)
+        request = self._make_request(upstream, instance, tier, now)
+        address = relay or self._routing.giver(upstream.domain, now=now)
+        if address is None:
+            return Giver.DOMAIN, self._allocate(
+                Giver.DOMAIN, instance, tier, now
+            )
+        answer = await self._request_place(request, address)
         if answer is None:
             now = self._clock.monotonic()
-            self._unanswered_until = now + _UNANSWERED_SECONDS
-            return Giver.SELF, self._give(Giver.SELF, at, tier, now)
-        return Giver(answer.giver), _verdict_of(answer)
+            self._fallback_until = now + _FALLBACK_SECONDS
+            return Giver.SELF, self._allocate(Giver.SELF, instance, tier, now)
+        return Giver(answer.giver), _decision_of(answer)
 
-    def _question(
+    def _make_request(
         self,
         upstream: upstreams.Registration,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         tier: types.Tier,
         now: float,
     ) -> router_messages.PlaceRequest:
         self._number += 1
-        statement = self._limits.statement_of(at)
+        statement = self._limits.statement_of(instance)
         return router_messages.PlaceRequest(
             entry_vm=self._configured.entry_vm,
             host=self._configured.peer.host,
@@ -245,27 +247,27 @@
             tier=tier,
         )
 
-    async def _exchange(
-        self, asked: router_messages.PlaceRequest, to: settings.Address
+    async def _request_place(
+        self, request: router_messages.PlaceRequest, address: settings.Address
     ) -> router_messages.PlaceAnswer | None:
         """Return the answer; None where none comes in time."""
-        answered = asyncio.get_running_loop().create_future()
-        self._waiting_by_number[asked.number] = answered
+        answer_future = asyncio.get_running_loop().create_future()
+        self._waiting_by_number[request.number] = answer_future
         try:
-            self._send(asked, (to,))
+            self._send(request, (address,))
             async with asyncio.timeout(_ANSWER_SECONDS):
-                return await answered
+                return await answer_future
         except TimeoutError:
             logs.emit(
                 events.LogEvent.PLACE_UNANSWERED,
                 level=logging.WARNING,
-                upstream=asked.limit.upstream,
-                peer=f"{to.host}:{to.port}",
+                upstream=request.limit.upstream,
+                peer=f"{address.host}:{address.port}",
                 waited_seconds=_ANSWER_SECONDS,
             )
             return None
         finally:
-            del self._waiting_by_number[asked.number]
+            del self._waiting_by_number[request.number]
 
     # What peers send.
 
@@ -275,75 +277,75 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def receive_question(self, asked: router_messages.PlaceRequest) -> None:
+    def receive_question(self, request: router_messages.PlaceRequest) -> None:
         """Answer a question, or pass it on as the relay of who asks."""
         now = self._clock.monotonic()
         self._limits.apply_report(
-            limit_news.statement_of(asked.limit, now=now),
-            source=asked.entry_vm,
+            limit_news.statement_of(request.limit, now=now),
+            source=request.entry_vm,
             now=now,
         )
-        at = running_requests.UpstreamInstance(
-            upstream=asked.limit.upstream, start=asked.limit.start
+        instance = running_requests.UpstreamInstance(
+            upstream=request.limit.upstream, start=request.limit.start
         )
-        tier = types.Tier(asked.tier)
-        if self._routing.gives(asked.upstream_domain):
-            verdict = self._give(Giver.FLEET, at, tier, now)
-            self._answer(asked, Giver.FLEET, verdict)
+        tier = types.Tier(request.tier)
+        if self._routing.is_giver_for(request.upstream_domain):
+            decision = self._allocate(Giver.FLEET, instance, tier, now)
+            self._answer(request, Giver.FLEET, decision)
             return
-        if asked.domain != self._configured.domain:
+        if request.domain != self._configured.domain:
             # Its sender takes another domain for the giver than this one does;
             # no answer makes it use its own part.
             return
-        giver = self._routing.giver(asked.upstream_domain, now=now)
+        giver = self._routing.giver(request.upstream_domain, now=now)
         if giver is not None:
-            self._send(asked, (giver,))
+            self._send(request, (giver,))
             return
-        verdict = self._give(Giver.DOMAIN, at, tier, now)
-        self._answer(asked, Giver.DOMAIN, verdict)
+        decision = self._allocate(Giver.DOMAIN, instance, tier, now)
+        self._answer(request, Giver.DOMAIN, decision)
 
     def _answer(
         self,
-        asked: router_messages.PlaceRequest,
+        request: router_messages.PlaceRequest,
         giver: Giver,
-        verdict: place_bucket.PlaceDecision,
+        decision: place_bucket.PlaceDecision,
     ) -> None:
-        refused = isinstance(verdict, place_bucket.Refused)
-        wait_seconds = verdict.wait_seconds if refused else 0.0
+        refused = isinstance(decision, place_bucket.Refused)
+        wait_seconds = decision.wait_seconds if refused else 0.0
         answer = router_messages.PlaceAnswer(
-            number=asked.number,
+            number=request.number,
             granted=not refused,
             wait_milliseconds=round(wait_seconds * 1000.0),
             giver=giver.value,
         )
-        address = settings.Address(host=asked.host, port=asked.port)
+        address = settings.Address(host=request.host, port=request.port)
         self._send(answer, (address,))
 
     # Giving.
 
-    def _give(
+    def _allocate(
         self,
         giver: Giver,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         tier: types.Tier,
         now: float,
     ) -> place_bucket.PlaceDecision:
         """Decide on a place here, for the fleet or a part of it."""
         if giver is Giver.SELF:
-            self._begin_own_part(now)
-        view = self._routing.view(now=now)
-        return self._giver_by_kind[giver].take(
-            at, tier, part=_PART_OF[giver](view), now=now
+            self._reset_unused_own_share(now)
+        fleet_counts = self._routing.fleet_counts(now=now)
+        return self._buckets_by_giver[giver].acquire(
+            instance, tier, share=_SHARE_BY_GIVER[giver](fleet_counts), now=now
         )
 
-    def _begin_own_part(self, now: float) -> None:
+    def _reset_unused_own_share(self, now: float) -> None:
         """Save nothing up while others give the places out."""
-        if now - self._own_used_at > place_bucket.FLOOR_SECONDS:
-            self._giver_by_kind[Giver.SELF].forget()
-        self._own_used_at = now
+        if now - self._own_share_used_at > place_bucket.FLOOR_SECONDS:
+            self._buckets_by_giver[Giver.SELF].clear()
+        self._own_share_used_at = now
 
 
-def _verdict_of(
+def _decision_of(
     answer: router_messages.PlaceAnswer,
 ) -> place_bucket.PlaceDecision:
     if answer.granted:
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -42,13 +42,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Place:
+class _PoolTier:
     pool: types.PoolName
     tier: types.Tier
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Told:
+class _Report:
     pressed: tuple[PressedTier, ...]
     at: float
 
@@ -57,17 +57,17 @@
     """Failed requests of the last moments, own and told ones."""
 
     def __init__(self) -> None:
-        self._own_by_place: dict[_Place, list[float]] = {}
-        self._told_by_peer: dict[types.LoadReporter, _Told] = {}
-        self._fleet = _Told(pressed=(), at=float("-inf"))
+        self._own_times_by_key: dict[_PoolTier, list[float]] = {}
+        self._report_by_peer: dict[types.LoadReporter, _Report] = {}
+        self._fleet_report = _Report(pressed=(), at=float("-inf"))
         self.changed = False
 
     def record_rejection(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> None:
         """Note that a request found no room or no time."""
-        place = _Place(pool=pool, tier=tier)
-        self._own_by_place.setdefault(place, []).append(now)
+        key = _PoolTier(pool=pool, tier=tier)
+        self._own_times_by_key.setdefault(key, []).append(now)
         self.changed = True
 
     def apply_report(
@@ -78,63 +78,65 @@
         now: float,
     ) -> None:
         """Replace what a peer told of its own requests."""
-        self._told_by_peer[peer] = _Told(pressed=pressed, at=now)
+        self._report_by_peer[peer] = _Report(pressed=pressed, at=now)
 
     def apply_fleet_report(
         self, pressed: tuple[PressedTier, ...], *, now: float
     ) -> None:
         """Replace what was told of all entry VMs, this one included."""
-        self._told_by_peer.clear()
-        self._fleet = _Told(pressed=pressed, at=now)
+        self._report_by_peer.clear()
+        self._fleet_report = _Report(pressed=pressed, at=now)
 
     def higher_tier_pressed(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> bool:
         """Return whether a higher tier of the pool cannot be served."""
-        known = [*self.recent(now=now)]
-        for told in self._told_by_peer.values():
-            if now - told.at < PRESSURE_SECONDS:
-                known.extend(told.pressed)
-        failed = _failed_before(known, pool, tier)
-        if now - self._fleet.at < PRESSURE_SECONDS:
+        counted = [*self.recent(now=now)]
+        for report in self._report_by_peer.values():
+            if now - report.at < PRESSURE_SECONDS:
+                counted.extend(report.pressed)
+        rejections = _rejections_above(counted, pool, tier)
+        if now - self._fleet_report.at < PRESSURE_SECONDS:
             # Own ones are in that sum as well, but for the newest.
-            fleet = _failed_before(self._fleet.pressed, pool, tier)
-            failed = max(failed, fleet)
-        return failed >= LEAST_REQUESTS
+            fleet_rejections = _rejections_above(
+                self._fleet_report.pressed, pool, tier
+            )
+            rejections = max(rejections, fleet_rejections)
+        return rejections >= LEAST_REQUESTS
 
     def recent_with(
         self, peers: Iterable[types.LoadReporter], *, now: float
     ) -> tuple[PressedTier, ...]:
         """Return what own requests met and those of `peers`, together."""
-        known = [*self.recent(now=now)]
+        counted = [*self.recent(now=now)]
         for peer in peers:
-            told = self._told_by_peer.get(peer)
-            if told is not None and now - told.at < PRESSURE_SECONDS:
-                known.extend(told.pressed)
-        requests_by_place: collections.Counter[_Place] = collections.Counter()
-        for one in known:
-            place = _Place(pool=one.pool, tier=one.tier)
-            requests_by_place[place] += one.requests
+            report = self._report_by_peer.get(peer)
+            if report is not None and now - report.at < PRESSURE_SECONDS:
+                counted.extend(report.pressed)
+        requests_by_key: collections.Counter[_PoolTier] = collections.Counter()
+        for one in counted:
+            key = _PoolTier(pool=one.pool, tier=one.tier)
+            requests_by_key[key] += one.requests
         return tuple(
-            PressedTier(pool=place.pool, tier=place.tier, requests=requests)
-            for place, requests in requests_by_place.items()
+            PressedTier(pool=key.pool, tier=key.tier, requests=requests)
+            for key, requests in requests_by_key.items()
         )
 
     def recent(self, *, now: float) -> tuple[PressedTier, ...]:
         """Return what own requests met, for the other entry VMs."""
-        for place, times in list(self._own_by_place.items()):
+        for key, times in list(self._own_times_by_key.items()):
             kept = [at for at in times if now - at < PRESSURE_SECONDS]
             if kept:
-                self._own_by_place[place] = kept
+                self._own_times_by_key[key] = kept
             else:
-                del self._own_by_place[place]
+                del self._own_times_by_key[key]
         return tuple(
-            PressedTier(pool=place.pool, tier=place.tier, requests=len(times))
-            for place, times in self._own_by_place.items()
+            PressedTier(pool=key.pool, tier=key.tier, requests=len(times))
+            for key, times in self._own_times_by_key.items()
         )
 
 
-def _failed_before(
+def _rejections_above(
     pressed: Iterable[PressedTier], pool: types.PoolName, tier: types.Tier
 ) -> int:
     """Return how many requests of tiers above `tier` could not be served."""
--- a/packages/router/src/lagoonrun_router/prompt_locations.py
+++ b/packages/router/src/lagoonrun_router/prompt_locations.py
@@ -4,7 +4,7 @@
 
 from lagoonrun_core import types
 
-KEPT_SECONDS = 30.0
+CACHE_LIFETIME_SECONDS = 30.0
 """Age from which a part is taken for evicted.
 
 Runners yield the least recently used parts first; in a busy minute they read
@@ -12,22 +12,22 @@
 """
 
 
-_MOST_PARTS = 8192
+_MAX_PARTS = 8192
 """Parts that are remembered, the least recently used are forgotten first."""
 
-_TOLD_AT_ONCE = 24
+_MAX_OWN_PER_MESSAGE = 24
 """Placements in one message of an entry VM; fits a datagram."""
 
-_RELAYED_AT_ONCE = 48
+_MAX_RELAYED_PER_MESSAGE = 48
 """Placements in one message of a relay: several times those of a failure domain
 in a tenth of a second, and few enough for a datagram."""
 
-_MOST_UNTOLD = 192
+_MAX_PENDING = 192
 """Placements that wait to be told; where more come, as after a pause, the oldest
 are left out: whoever does not hear of one reads the part again."""
 
 
-class _Untold:
+class _PendingReports:
     """Placements that wait to be told to somebody."""
 
     def __init__(self) -> None:
@@ -38,12 +38,12 @@
     def add(self, part: str, upstream: types.UpstreamId) -> None:
         """Have a placement told."""
         self._by_part[part] = upstream
-        if len(self._by_part) > _MOST_UNTOLD:
+        if len(self._by_part) > _MAX_PENDING:
             self._by_part.popitem(last=False)
 
-    def take(self, most: int) -> dict[str, types.UpstreamId]:
+    def pop(self, max_count: int) -> dict[str, types.UpstreamId]:
         """Return the oldest placements, which are told now."""
-        count = min(most, len(self._by_part))
+        count = min(max_count, len(self._by_part))
         return dict(self._by_part.popitem(last=False) for _ in range(count))
 
     def forget(self, upstream: types.UpstreamId) -> None:
@@ -69,9 +69,9 @@
         self._seen_by_part: collections.OrderedDict[
             str, dict[types.UpstreamId, float]
         ] = collections.OrderedDict()
-        self._own = _Untold()
-        self._for_other_domains = _Untold()
-        self._for_neighbours = _Untold()
+        self._own = _PendingReports()
+        self._for_other_domains = _PendingReports()
+        self._for_neighbours = _PendingReports()
 
     def record_placement(
         self, part: str, upstream: types.UpstreamId, *, now: float
@@ -101,43 +101,45 @@
         seen = self._seen_by_part.setdefault(part, {})
         seen[upstream] = now
         self._seen_by_part.move_to_end(part)
-        if len(self._seen_by_part) > _MOST_PARTS:
+        if len(self._seen_by_part) > _MAX_PARTS:
             self._seen_by_part.popitem(last=False)
 
     def forget_upstream(self, upstream: types.UpstreamId) -> None:
         """Drop the parts of an upstream whose memory is empty."""
         for seen in self._seen_by_part.values():
             seen.pop(upstream, None)
-        for untold in (
+        for pending in (
             self._own,
             self._for_other_domains,
             self._for_neighbours,
         ):
-            untold.forget(upstream)
+            pending.forget(upstream)
 
     def has(self, part: str, upstream: types.UpstreamId, *, now: float) -> bool:
         """Return whether `upstream` probably has `part` in its memory."""
         seen = self._seen_by_part.get(part, {}).get(upstream)
-        return seen is not None and now - seen < KEPT_SECONDS
+        return seen is not None and now - seen < CACHE_LIFETIME_SECONDS
 
     def holders(self, part: str, *, now: float) -> tuple[types.UpstreamId, ...]:
         """Return the upstreams that probably have `part` in their memory."""
         seen = self._seen_by_part.get(part, {})
-        return tuple(id for id, at in seen.items() if now - at < KEPT_SECONDS)
+        return tuple(
+            id for id, at in seen.items() if now - at < CACHE_LIFETIME_SECONDS
+        )
 
-    def used_lately(self, part: str, *, now: float) -> bool:
+    def used_recently(self, part: str, *, now: float) -> bool:
         """Return whether a part was read somewhere a moment ago."""
         seen = self._seen_by_part.get(part)
         return bool(seen) and now - max(seen.values()) < self._reuse_seconds
 
     def pop_for_other_domains(self) -> dict[str, types.UpstreamId]:
         """Return the domain's placements that other domains don't know yet."""
-        return self._for_other_domains.take(_RELAYED_AT_ONCE)
+        return self._for_other_domains.pop(_MAX_RELAYED_PER_MESSAGE)
 
     def pop_for_neighbours(self) -> dict[str, types.UpstreamId]:
         """Return placements of the fleet that neighbours don't know yet."""
-        return self._for_neighbours.take(_RELAYED_AT_ONCE)
+        return self._for_neighbours.pop(_MAX_RELAYED_PER_MESSAGE)
 
     def pop_own(self) -> dict[str, types.UpstreamId]:
         """Return own placements that nobody was told of yet."""
-        return self._own.take(_TOLD_AT_ONCE)
+        return self._own.pop(_MAX_OWN_PER_MESSAGE)
--- a/packages/router/src/lagoonrun_router/reach.py
+++ b/packages/router/src/lagoonrun_router/reach.py
@@ -7,14 +7,14 @@
 
 from lagoonrun_core import types
 
-FRESH_SECONDS = 0.6
+STALE_CONNECTION_SECONDS = 0.6
 """Silence from which only new connections are used: one and a half times the
 longest time between two datagrams of a peer, of which a domain has several."""
 
 SILENT_SECONDS = 1.0
 """Silence from which upstreams of other domains are preferred."""
 
-_FORGOTTEN_SECONDS = 30.0
+_EXPIRY_SECONDS = 30.0
 """Silence after which a domain says nothing any more: its entry VMs may have
 been taken away while its upstreams serve on."""
 
@@ -84,7 +84,7 @@
         self, domain: types.FailureDomain, *, now: float
     ) -> bool:
         """Return whether open connections to `domain` may be dead."""
-        return self._is_silent_for(domain, FRESH_SECONDS, now)
+        return self._is_silent_for(domain, STALE_CONNECTION_SECONDS, now)
 
     def is_silent(self, domain: types.FailureDomain, *, now: float) -> bool:
         """Return whether `domain` is probably cut off."""
@@ -96,4 +96,4 @@
         heard_at = self._heard_at_by_domain.get(domain)
         if heard_at is None:
             return False
-        return seconds < now - heard_at < _FORGOTTEN_SECONDS
+        return seconds < now - heard_at < _EXPIRY_SECONDS
--- a/packages/router/src/lagoonrun_router/retry_budget.py
+++ b/packages/router/src/lagoonrun_router/retry_budget.py
@@ -11,7 +11,7 @@
 
 from lagoonrun_core import types
 
-_KEPT_BACK = 0.2
+_RESERVE_FRACTION = 0.2
 """Part of the allowance that is left unused.
 
 Windows of the entry VMs and of whoever counts don't begin at the same time,
@@ -49,7 +49,7 @@
 
     def __init__(self, *, allowance: Allowance) -> None:
         self._allowance = allowance
-        self._entry_vms = 1
+        self._entry_vm_count = 1
         self._requests_by_pool: dict[
             types.PoolName, collections.deque[float]
         ] = collections.defaultdict(collections.deque)
@@ -63,7 +63,7 @@
 
     def set_entry_vm_count(self, entry_vms: int) -> None:
         """Set the number of entry VMs, this one included."""
-        self._entry_vms = max(1, entry_vms)
+        self._entry_vm_count = max(1, entry_vms)
 
     def record_request(self, pool: types.PoolName, *, now: float) -> None:
         """Count a request of a caller."""
@@ -79,8 +79,8 @@
         self._drop_old(repeats, now)
         allowance = self._allowance
         allowed = allowance.ratio * len(requests)
-        allowed += allowance.fixed / self._entry_vms
-        return allowed * (1.0 - _KEPT_BACK) - len(repeats)
+        allowed += allowance.fixed / self._entry_vm_count
+        return allowed * (1.0 - _RESERVE_FRACTION) - len(repeats)
 
     def spend(self, pool: types.PoolName, *, now: float) -> bool:
         """Count a repeat if one is left; return whether it may be sent."""
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -7,20 +7,20 @@
 from lagoonrun_router import attempt_result
 from lagoonrun_router import call as calls
 
-MOST_UNREACHED = 3
+MAX_UNREACHED = 3
 """Upstreams that a request fails to reach before its caller is told. Each takes
 0.4 s where it is dark or cut off."""
 
-MOST_REFUSED = 12
+MAX_REFUSED = 12
 """Upstreams that refuse a connection before the caller is told. Each takes a round
 trip; after a crash of a third of a pool, one request in thirty finds three of them
 in a row, until the store lists them no more seconds later."""
 
-REFUSED_SECONDS = 0.05
+MAX_REFUSAL_SECONDS = 0.05
 """Time within which an upstream that refuses connections has done so: ten round
 trips between failure domains."""
 
-_LEAST_PART_OF_TARGET = 0.25
+_MIN_TARGET_FRACTION = 0.25
 """Part of the target below which another attempt can't succeed any more."""
 
 
@@ -67,7 +67,7 @@
         """
         if lost.sent and not lost.misdirected:
             return dataclasses.replace(self, reached=self.reached + 1)
-        if not lost.misdirected and seconds < REFUSED_SECONDS:
+        if not lost.misdirected and seconds < MAX_REFUSAL_SECONDS:
             return dataclasses.replace(self, refused=self.refused + 1)
         return dataclasses.replace(self, unreached=self.unreached + 1)
 
@@ -87,10 +87,10 @@
         All sends so far, the lost one included.
     """
     target = call.route.profile.target_seconds
-    if call.limit_at - now < _LEAST_PART_OF_TARGET * min(target, 1.0):
+    if call.limit_at - now < _MIN_TARGET_FRACTION * min(target, 1.0):
         return RetryDecision.END
     if not lost.sent or lost.misdirected:
-        if sends.unreached >= MOST_UNREACHED or sends.refused >= MOST_REFUSED:
+        if sends.unreached >= MAX_UNREACHED or sends.refused >= MAX_REFUSED:
             return RetryDecision.END
         # A request at an address that another process has by now counts as
         # an arrival there, although that process does not run it.
@@ -101,5 +101,5 @@
         return RetryDecision.PAID
     if lost.ran is outcomes.Outcome.PARTIAL:
         return RetryDecision.PAID if call.route.resumable else RetryDecision.END
-    repeatable = call.idempotent or call.route.resumable
-    return RetryDecision.PAID if repeatable else RetryDecision.END
+    may_repeat = call.idempotent or call.route.resumable
+    return RetryDecision.PAID if may_repeat else RetryDecision.END
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -12,7 +12,7 @@
 from lagoonrun_core import events, logs
 from lagoonrun_router import running_requests, upstream_notice
 
-LEAST_PER_SECOND = 0.1
+MIN_PER_SECOND = 0.1
 """Smallest limit that is taken at its word. Only an answer can end a limit, so an
 upstream that takes nothing at all would never be asked again."""
 
@@ -21,11 +21,11 @@
 
 _OWN_ANSWER = "answer"
 
-_TOLD_DECIMALS = 3
+_REPORTED_DECIMALS = 3
 """Digits of a limit that messages keep: with more, what an answer says would always
 differ from what a peer has told of it."""
 
-_WAY_SECONDS = 0.05
+_MAX_TRANSIT_SECONDS = 0.05
 """Longest usual time of a message: statements that are nearer to each other can't be
 told which is newer, and the one that is known stays."""
 
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Known:
+class _Entry:
     """A statement, since when it says what it says, and whether heard here."""
 
     statement: LimitStatement
@@ -65,25 +65,29 @@
     """The newest statement of each upstream."""
 
     def __init__(self) -> None:
-        self._by_start: dict[running_requests.UpstreamInstance, _Known] = {}
+        self._entry_by_instance: dict[
+            running_requests.UpstreamInstance, _Entry
+        ] = {}
 
-    def limit_of(self, at: running_requests.UpstreamInstance) -> float | None:
+    def limit_of(
+        self, instance: running_requests.UpstreamInstance
+    ) -> float | None:
         """Return the requests a second that an upstream takes; None for any."""
-        known = self._by_start.get(at)
+        known = self._entry_by_instance.get(instance)
         return known.statement.requests_per_second if known else None
 
     def statement_of(
-        self, at: running_requests.UpstreamInstance
+        self, instance: running_requests.UpstreamInstance
     ) -> LimitStatement | None:
         """Return what an upstream has said last; None for nothing."""
-        known = self._by_start.get(at)
+        known = self._entry_by_instance.get(instance)
         return known.statement if known else None
 
     def in_force(self) -> tuple[LimitStatement, ...]:
         """Return the statements that name a limit."""
         return tuple(
             one.statement
-            for one in self._by_start.values()
+            for one in self._entry_by_instance.values()
             if one.statement.requests_per_second is not None
         )
 
@@ -91,13 +95,13 @@
         """Return what answers to this entry VM have changed since then."""
         return tuple(
             one.statement
-            for one in self._by_start.values()
+            for one in self._entry_by_instance.values()
             if one.own and one.changed_at >= since
         )
 
     def apply_answer(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
         *,
         sent_at: float,
@@ -116,7 +120,7 @@
             Reading of the clock when the request was written.
         """
         per_second = _bounded(notice.requests_per_second)
-        known = self.statement_of(at)
+        known = self.statement_of(instance)
         if known is None and per_second is None:
             return None
         if known is not None:
@@ -125,8 +129,10 @@
             )
             if toggles and sent_at < known.heard_at:
                 return None
-        return self._take(
-            LimitStatement(at=at, requests_per_second=per_second, heard_at=now),
+        return self._apply(
+            LimitStatement(
+                at=instance, requests_per_second=per_second, heard_at=now
+            ),
             source=_OWN_ANSWER,
             now=now,
         )
@@ -143,28 +149,30 @@
         if known is not None and (
             bounded.requests_per_second == known.requests_per_second
             # The age of a statement leaves the time on the way out.
-            or bounded.heard_at <= known.heard_at + _WAY_SECONDS
+            or bounded.heard_at <= known.heard_at + _MAX_TRANSIT_SECONDS
         ):
             return None
-        return self._take(bounded, source=source, now=now)
+        return self._apply(bounded, source=source, now=now)
 
-    def forget_instance(self, at: running_requests.UpstreamInstance) -> None:
+    def forget_instance(
+        self, instance: running_requests.UpstreamInstance
+    ) -> None:
         """Forget what an upstream said before it started again."""
-        self._by_start.pop(at, None)
+        self._entry_by_instance.pop(instance, None)
 
-    def _take(
+    def _apply(
         self, statement: LimitStatement, *, source: str, now: float
     ) -> LimitStatement | None:
-        known = self._by_start.pop(statement.at, None)
-        before = known.statement.requests_per_second if known else None
-        changed = statement.requests_per_second != before
-        self._by_start[statement.at] = _Known(
+        known = self._entry_by_instance.pop(statement.at, None)
+        previous = known.statement.requests_per_second if known else None
+        changed = statement.requests_per_second != previous
+        self._entry_by_instance[statement.at] = _Entry(
             statement=statement,
             changed_at=now if changed or known is None else known.changed_at,
             own=source == _OWN_ANSWER,
         )
-        while len(self._by_start) > _MOST_LIMITS:
-            del self._by_start[next(iter(self._by_start))]
+        while len(self._entry_by_instance) > _MOST_LIMITS:
+            del self._entry_by_instance[next(iter(self._entry_by_instance))]
         if not changed:
             return None
         logs.emit(
@@ -173,7 +181,7 @@
             upstream=statement.at.upstream,
             start=statement.at.start,
             per_second=statement.requests_per_second,
-            previous=before,
+            previous=previous,
             source=source,
             age_seconds=round(now - statement.heard_at, 3),
         )
@@ -183,4 +191,4 @@
 def _bounded(per_second: float | None) -> float | None:
     if per_second is None or per_second >= UNLIMITED_PER_SECOND:
         return None
-    return max(LEAST_PER_SECOND, round(per_second, _TOLD_DECIMALS))
+    return max(MIN_PER_SECOND, round(per_second, _REPORTED_DECIMALS))
--- a/packages/router/tests/test_admission.py
+++ b/packages/router/tests/test_admission.py
@@ -27,8 +27,8 @@
     )
 
 
-def standing(tier=3, patience=10.0, **changes):
-    return admission.Standing(
+def admission_request(tier=3, patience=10.0, **changes):
+    return admission.AdmissionRequest(
         tier=tier,
         tiers=TIERS,
         patience_seconds=patience,
@@ -39,7 +39,7 @@
 def test_free_runner_takes_every_tier():
     for tier in TIERS:
         one = ranked()
-        assert admission.admit(standing(tier), (one,)) is one
+        assert admission.admit(admission_request(tier), (one,)) is one
 
 
 def test_places_are_kept_for_higher_tiers():
@@ -48,30 +48,36 @@
     An urgent request that comes then waits until its caller leaves.
     """
     half = ranked(running=32)
-    assert admission.admit(standing(3), (half,)) is admission.Refusal.NO_ROOM
-    assert admission.admit(standing(1), (half,)) is half
+    assert (
+        admission.admit(admission_request(3), (half,))
+        is admission.Refusal.NO_ROOM
+    )
+    assert admission.admit(admission_request(1), (half,)) is half
 
 
 def test_memory_is_kept_for_higher_tiers():
     full = ranked(running=9, held_tokens=300_000.0)
-    assert admission.admit(standing(3), (full,)) is admission.Refusal.NO_ROOM
-    assert admission.admit(standing(1), (full,)) is full
+    assert (
+        admission.admit(admission_request(3), (full,))
+        is admission.Refusal.NO_ROOM
+    )
+    assert admission.admit(admission_request(1), (full,)) is full
 
 
 def test_largest_prompt_is_let_in_where_nothing_runs():
     one = ranked(new=390_000.0)
-    assert admission.admit(standing(3), (one,)) is one
+    assert admission.admit(admission_request(3), (one,)) is one
 
 
 def test_what_would_come_too_late_is_refused():
     late = ranked(wait=8.0)
-    verdict = admission.admit(standing(3, patience=10.0), (late,))
+    verdict = admission.admit(admission_request(3, patience=10.0), (late,))
     assert verdict is admission.Refusal.TOO_LATE
 
 
 def test_second_choice_is_taken_where_the_first_has_no_room():
     full, other = ranked(running=60), ranked("u-2")
-    assert admission.admit(standing(3), (full, other)) is other
+    assert admission.admit(admission_request(3), (full, other)) is other
 
 
 def test_each_class_is_served_in_the_longest_overload():
@@ -80,7 +86,7 @@
     A class below them gets one request in from time to time.
     """
     full = ranked(running=64)
-    waited = standing(3, higher_turned_away=True, floor_due=True)
+    waited = admission_request(3, higher_tier_pressed=True, floor_due=True)
     assert admission.admit(waited, (full,)) is full
 
 
@@ -89,7 +95,7 @@
 
     Long prompts that are let in now would make the next ones fail too.
     """
-    pressed = standing(3, higher_turned_away=True)
+    pressed = admission_request(3, higher_tier_pressed=True)
     verdict = admission.admit(pressed, (ranked(),))
     assert verdict is admission.Refusal.HIGHER_TIER
 
@@ -109,7 +115,7 @@
     running, held, wait, tier
 ):
     one = (ranked(wait=wait, running=running, held_tokens=held),)
-    lower = admission.admit(standing(tier + 1), one)
+    lower = admission.admit(admission_request(tier + 1), one)
     if not isinstance(lower, admission.Refusal):
-        higher = admission.admit(standing(tier), one)
+        higher = admission.admit(admission_request(tier), one)
         assert not isinstance(higher, admission.Refusal)
--- a/packages/router/tests/test_block_keeper.py
+++ b/packages/router/tests/test_block_writer.py
@@ -7,8 +7,8 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_platform import memory_store
 from lagoonrun_router import (
-    block_keeper,
     block_record,
+    block_writer,
     crash_evidence,
     running_requests,
 )
@@ -37,9 +37,9 @@
 
 
 @pytest.fixture
-async def keeper(store, monkeypatch):
-    monkeypatch.setattr(block_keeper, "_PAUSE_SECONDS", 0.01)
-    made = block_keeper.BlockKeeper(
+async def writer(store, monkeypatch):
+    monkeypatch.setattr(block_writer, "_PAUSE_SECONDS", 0.01)
+    made = block_writer.BlockWriter(
         store=store, prefix=PREFIX, rng=random.Random(1)
     )
     await made.start()
@@ -52,24 +52,24 @@
 
 
 async def test_block_is_kept_until_its_crashes_say_nothing_more(
-    keeper, store, clock
+    writer, store, clock
 ):
     before = store.revision
-    keeper.keep(BLOCK)
+    writer.write(BLOCK)
     await wait_for(lambda: store.revision > before)
     kept = await stored(store)
     records = block_record.decode("one", kept.value, now=5.0)
     assert tuple(one.at for one in records) == BLOCK.crashes
-    clock.advance(crash_evidence.FORGET_SECONDS + 1.0)
+    clock.advance(crash_evidence.EXPIRY_SECONDS + 1.0)
     # A lease ends when a call sees it expired.
     await store.grant_lease(ttl_seconds=1.0)
     assert await stored(store) is None
 
 
-async def test_block_is_written_after_the_store_has_come_back(keeper, store):
+async def test_block_is_written_after_the_store_has_come_back(writer, store):
     store.reachable = False
     before = store.revision
-    keeper.keep(BLOCK)
+    writer.write(BLOCK)
     calls = store.calls_by_kind["lease"]
     await wait_for(lambda: store.calls_by_kind["lease"] > calls + 1)
     store.reachable = True
@@ -77,28 +77,28 @@
     assert await stored(store) is not None
 
 
-async def test_answer_that_is_lost_has_it_written_again(keeper, store):
+async def test_answer_that_is_lost_has_it_written_again(writer, store):
     store.lost_replies = 1
     before = store.revision
-    keeper.keep(BLOCK)
+    writer.write(BLOCK)
     await wait_for(lambda: store.revision > before)
     assert await stored(store) is not None
 
 
-async def test_lifted_block_is_removed(keeper, store):
+async def test_lifted_block_is_removed(writer, store):
     before = store.revision
-    keeper.keep(BLOCK)
+    writer.write(BLOCK)
     await wait_for(lambda: store.revision > before)
     before = store.revision
-    keeper.remove("one")
+    writer.remove("one")
     await wait_for(lambda: store.revision > before)
     assert await stored(store) is None
 
 
-async def test_lifted_block_that_was_not_written_yet_never_is(keeper, store):
+async def test_lifted_block_that_was_not_written_yet_never_is(writer, store):
     store.reachable = False
-    keeper.keep(BLOCK)
-    keeper.remove("one")
+    writer.write(BLOCK)
+    writer.remove("one")
     before = store.calls_by_kind["transact"]
     store.reachable = True
     await wait_for(lambda: store.calls_by_kind["transact"] > before)
--- a/packages/router/tests/test_considered.py
+++ b/packages/router/tests/test_candidate_sampling.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lagoonrun_router import considered
+from lagoonrun_router import candidate_sampling
 from lagoonrun_standins.router_samples import make_registration
 
 DOMAINS = ("north", "south", "east")
@@ -30,15 +30,18 @@
     return pool_of(45)
 
 
-def ids_for(pool, request_id, domain="north", wanted=()):
-    chosen = considered.choose(
-        pool, request_id=request_id, domain=domain, wanted=wanted
+def ids_for(pool, request_id, domain="north", always_included=()):
+    chosen = candidate_sampling.sample(
+        pool,
+        request_id=request_id,
+        domain=domain,
+        always_included=always_included,
     )
     return [one.id for one in chosen]
 
 
 def test_small_pool_is_considered_as_a_whole():
-    pool = pool_of(considered.WHOLE_POOL)
+    pool = pool_of(candidate_sampling.MAX_UNSAMPLED_POOL)
     assert ids_for(pool, "r-1") == [one.id for one in pool]
 
 
@@ -54,9 +57,11 @@
 
 
 def test_those_that_have_the_shared_parts_are_always_considered(pool):
-    wanted = {"u-07", "u-31"}
+    always_included = {"u-07", "u-31"}
     for number in range(20):
-        assert wanted <= set(ids_for(pool, f"r-{number}", wanted=wanted))
+        assert always_included <= set(
+            ids_for(pool, f"r-{number}", always_included=always_included)
+        )
 
 
 def test_requests_of_one_moment_look_at_different_upstreams(pool):
--- a/packages/router/tests/test_crash_evidence.py
+++ b/packages/router/tests/test_crash_evidence.py
@@ -153,7 +153,7 @@
 
 def test_old_crashes_are_forgotten(evidence):
     crash(evidence, "u-1", GUILTY)
-    later = NOW + crash_evidence.FORGET_SECONDS
+    later = NOW + crash_evidence.EXPIRY_SECONDS
     evidence.forget_old(now=later)
     assert evidence.records() == ()
     # Peers that have not forgotten yet don't bring them back.
@@ -167,9 +167,9 @@
     """
     for number in range(3):
         crash(evidence, f"u-{number}", GUILTY)
-    for number in range(3 * crash_evidence.MOST_RECORDS):
+    for number in range(3 * crash_evidence.MAX_RECORDS):
         crash(evidence, f"u-{number // 60}", f"r-{number}", at=NOW + 1)
-        assert evidence.size <= crash_evidence.MOST_RECORDS
+        assert evidence.size <= crash_evidence.MAX_RECORDS
         if number % 1000 == 0:
             assert blocked(evidence, GUILTY, now=NOW + 1)
     assert blocked(evidence, GUILTY, now=NOW + 1)
@@ -260,7 +260,7 @@
             assert counts[request] >= crash_evidence.CRASHES_TO_BLOCK
         for request, count in counts.items():
             # Whatever ran beside it, so many crashes are enough.
-            if count >= crash_evidence.CRASHES_SURE:
+            if count >= crash_evidence.CRASHES_TO_BLOCK_ANY:
                 assert request in blocked
 
     @invariant()
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -18,7 +18,7 @@
 NEAR = {f"vm-{n}": settings.Address(host="10.1.0.1", port=n) for n in (2, 3, 4)}
 FAR = settings.Address(host="10.2.0.1", port=9)
 RELAY = settings.Address(host="10.2.0.1", port=8)
-BEATS_A_SECOND = 20
+TICKS_PER_SECOND = 20
 
 
 class Fleet:
@@ -82,7 +82,7 @@
 
 
 def test_crash_is_told_to_neighbours_and_other_domains_at_once(news, sent):
-    news.tell((record(1),), now=NOW + 0.5)
+    news.broadcast((record(1),), now=NOW + 0.5)
     assert {one for _, to in sent for one in to} == {*NEAR.values(), RELAY}
     message = router_codec.decode(router_codec.encode(sent[0][0]))
     (told,) = crash_news.records_of(message, now=NOW + 2.5)
@@ -92,7 +92,7 @@
 def test_news_is_repeated_to_one_near_and_one_far(news, evidence, sent):
     """The first datagrams are lost; the next reach all within a second or two."""
     evidence.take(record(1), now=NOW)
-    for _ in range(3 * BEATS_A_SECOND):
+    for _ in range(3 * TICKS_PER_SECOND):
         news.tick(now=NOW + 1.0)
     reached = {one for _, to in sent for one in to}
     assert reached == {*NEAR.values(), FAR}
@@ -105,7 +105,7 @@
     old = NOW - crash_news.NEWS_SECONDS - 1.0
     for number in range(100):
         evidence.take(record(number, seen_at=old), now=NOW)
-    for _ in range(12 * BEATS_A_SECOND):
+    for _ in range(12 * TICKS_PER_SECOND):
         news.tick(now=NOW)
     told = {one.request for message, _ in sent for one in message.runs}
     assert len(told) == 100
@@ -115,20 +115,20 @@
 def test_flood_of_news_is_told_in_part(news, evidence, sent):
     for number in range(1000):
         evidence.take(record(number), now=NOW)
-    for _ in range(BEATS_A_SECOND):
+    for _ in range(TICKS_PER_SECOND):
         news.tick(now=NOW)
     assert len(sent) <= 4
     assert all(len(router_codec.encode(one)) < 4096 for one, _ in sent)
 
 
 def test_nothing_is_said_without_a_crash(news, sent):
-    for _ in range(10 * BEATS_A_SECOND):
+    for _ in range(10 * TICKS_PER_SECOND):
         news.tick(now=NOW)
     assert sent == []
 
 
 def test_relay_hands_on_what_is_new_from_another_domain(news, fleet, sent):
-    news.tell((record(1),), now=NOW)
+    news.broadcast((record(1),), now=NOW)
     message = sent[0][0]
     far = type(message)(entry_vm="far-1", domain="south", runs=message.runs)
     sent.clear()
--- a/packages/router/tests/test_crash_watch.py
+++ b/packages/router/tests/test_crash_watch.py
@@ -67,7 +67,7 @@
 
 async def settled(watch):
     """Wait until no upstream is looked into."""
-    await wait_for(lambda: not watch.looks_into)
+    await wait_for(lambda: not watch.probed_instances)
 
 
 async def test_upstream_that_refuses_connections_has_crashed(
@@ -122,5 +122,5 @@
     watch, registration, result
 ):
     watch.end(begin(watch, "one", registration), result, registration)
-    assert not watch.looks_into
+    assert not watch.probed_instances
     assert watch.seen == []
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -28,16 +28,16 @@
         return self.ran_by_upstream.get(at, frozenset())
 
 
-class Keeper:
+class BlockWriter:
     """Keeps what it was asked for."""
 
     def __init__(self):
-        self.kept = []
+        self.written = []
         self.removed = []
 
-    def keep(self, block):
+    def write(self, block):
         """Note a block."""
-        self.kept.append(block.request)
+        self.written.append(block.request)
 
     def remove(self, request):
         """Note a removal."""
@@ -51,7 +51,7 @@
         self.is_relay = False
         self.told = []
 
-    def tell(self, records, *, now):
+    def broadcast(self, records, *, now):
         """Note records."""
         del now
         self.told.extend(records)
@@ -71,8 +71,8 @@
 
 
 @pytest.fixture
-def keeper():
-    return Keeper()
+def block_writer():
+    return BlockWriter()
 
 
 @pytest.fixture
@@ -81,9 +81,9 @@
 
 
 @pytest.fixture
-def crashing(watch, keeper, clock, news):
+def crashing(watch, block_writer, clock, news):
     made = crashing_requests.CrashingRequests(
-        watch=watch, keeper=keeper, clock=clock
+        watch=watch, block_writer=block_writer, clock=clock
     )
     made.news = news
     return made
@@ -113,7 +113,7 @@
 
 def crash_thrice(crashing):
     for number in range(3):
-        crashing.take_crash(started(number), frozenset({ONE}))
+        crashing.record_crash(started(number), frozenset({ONE}))
 
 
 def blocked(crashing):
@@ -121,45 +121,47 @@
 
 
 def test_own_crashes_are_told_and_the_block_is_kept(
-    crashing, news, keeper, clock
+    crashing, news, block_writer, clock
 ):
     crash_thrice(crashing)
     assert blocked(crashing) == ["one"]
     assert len(news.told) == 3
     crashing.tick()
-    assert keeper.kept == []
+    assert block_writer.written == []
     clock.advance(1.0)
     crashing.tick()
     crashing.tick()
-    assert keeper.kept == ["one"]
+    assert block_writer.written == ["one"]
 
 
 def test_crashes_at_several_entry_vms_add_up(crashing):
-    crashing.take_crash(started(0), frozenset({ONE}))
+    crashing.record_crash(started(0), frozenset({ONE}))
     crashing.receive_news(told(("one", 1), ("one", 2)))
     assert blocked(crashing) == ["one"]
 
 
 @pytest.mark.parametrize("is_relay", [True, False])
 def test_only_relays_keep_what_they_were_told(
-    crashing, news, keeper, clock, is_relay
+    crashing, news, block_writer, clock, is_relay
 ):
     """Whoever saw the crash may have ended; all others at once would storm."""
     news.is_relay = is_relay
     crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == (["one"] if is_relay else [])
+    assert block_writer.written == (["one"] if is_relay else [])
 
 
-def test_relay_does_not_keep_what_the_store_has(crashing, news, keeper, clock):
+def test_relay_does_not_keep_what_the_store_has(
+    crashing, news, block_writer, clock
+):
     news.is_relay = True
     crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     (block,) = crashing.blocks()
     crashing.apply_stored("one", block_record.encode(block))
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == []
+    assert block_writer.written == []
 
 
 def test_request_whose_caller_left_right_before_the_crash_ran_there(
@@ -178,22 +180,22 @@
     assert {one.request for one in crashing.records()} == {"one"}
 
 
-def test_answer_unblocks_everywhere(crashing, news, keeper):
+def test_answer_unblocks_everywhere(crashing, news, block_writer):
     crash_thrice(crashing)
     (block,) = crashing.blocks()
     crashing.apply_stored("one", block_record.encode(block))
     news.told.clear()
-    crashing.take_answer("one")
+    crashing.record_answer("one")
     assert blocked(crashing) == []
     assert [one.void for one in news.told] == [True] * 3
-    assert keeper.removed == ["one"]
+    assert block_writer.removed == ["one"]
 
 
 def test_answer_of_a_request_beside_one_crash_is_not_told(crashing, news):
-    crashing.take_crash(started(0), frozenset({ONE, TWO}))
+    crashing.record_crash(started(0), frozenset({ONE, TWO}))
     news.told.clear()
-    crashing.take_answer("two")
-    crashing.take_answer("never-suspect")
+    crashing.record_answer("two")
+    crashing.record_answer("never-suspect")
     assert news.told == []
 
 
@@ -201,7 +203,7 @@
     crashing, news, clock
 ):
     """Many callers send the same lookup; several upstreams end within a second."""
-    crashing.take_answer("one")
+    crashing.record_answer("one")
     clock.advance(1.0)
     crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
     assert blocked(crashing) == []
@@ -210,7 +212,7 @@
 
 def test_request_that_was_answered_long_ago_is_blocked(crashing, clock):
     """A new version of an engine ends by what the one before could bear."""
-    crashing.take_answer("one")
+    crashing.record_answer("one")
     clock.advance(recent_answers.ANSWERED_SECONDS)
     crash_thrice(crashing)
     assert blocked(crashing) == ["one"]
@@ -237,19 +239,19 @@
 
 @pytest.mark.parametrize("is_relay", [True, False])
 def test_relay_writes_a_block_again_that_a_restored_store_may_lack(
-    crashing, news, keeper, clock, is_relay
+    crashing, news, block_writer, clock, is_relay
 ):
     news.is_relay = is_relay
     crashing.apply_stored("one", _stored_block())
     crashing.on_store_restored()
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == (["one"] if is_relay else [])
+    assert block_writer.written == (["one"] if is_relay else [])
     assert blocked(crashing) == ["one"]
 
 
 def test_block_that_a_restored_store_has_is_not_written_again(
-    crashing, news, keeper, clock
+    crashing, news, block_writer, clock
 ):
     news.is_relay = True
     crashing.apply_stored("one", _stored_block())
@@ -257,7 +259,7 @@
     crashing.apply_stored("one", _stored_block())
     clock.advance(LONG_SECONDS)
     crashing.tick()
-    assert keeper.kept == []
+    assert block_writer.written == []
 
 
 def test_block_of_ones_own_does_not_end_by_a_key_that_was_not_seen(crashing):
@@ -273,18 +275,18 @@
 
 
 def test_block_ends_with_time_and_one_crash_renews_and_keeps_it(
-    crashing, keeper, clock
+    crashing, block_writer, clock
 ):
     crash_thrice(crashing)
     clock.advance(crash_evidence.BLOCK_SECONDS)
     crashing.tick()
     assert blocked(crashing) == []
-    keeper.kept.clear()
-    crashing.take_crash(started(3), frozenset({ONE}))
+    block_writer.written.clear()
+    crashing.record_crash(started(3), frozenset({ONE}))
     clock.advance(1.0)
     crashing.tick()
     assert blocked(crashing) == ["one"]
-    assert keeper.kept == ["one"]
+    assert block_writer.written == ["one"]
 
 
 def _stored_block():
--- a/packages/router/tests/test_place_bucket.py
+++ b/packages/router/tests/test_place_bucket.py
@@ -15,7 +15,7 @@
 
 
 def granted(bucket, tier, now):
-    return isinstance(bucket.take(tier, now=now), place_bucket.Granted)
+    return isinstance(bucket.acquire(tier, now=now), place_bucket.Granted)
 
 
 def test_places_come_up_at_the_rate():
@@ -30,7 +30,7 @@
 
 def test_refusal_tells_when_the_next_place_comes_up():
     bucket = bucket_of(0.5)
-    refused = bucket.take(1, now=NOW)
+    refused = bucket.acquire(1, now=NOW)
     assert refused == place_bucket.Refused(wait_seconds=2.0)
     assert granted(bucket, 1, NOW + 2.0)
 
@@ -63,7 +63,7 @@
 
 def test_rate_may_change():
     bucket = bucket_of(1.0)
-    bucket.use(10.0, now=NOW + 0.5)
+    bucket.set_rate(10.0, now=NOW + 0.5)
     assert granted(bucket, 1, NOW + 0.6)
 
 
--- a/packages/router/tests/test_placement.py
+++ b/packages/router/tests/test_placement.py
@@ -40,7 +40,7 @@
 
 
 def test_long_prompt_goes_where_its_shared_part_was_read():
-    request = dataclasses.replace(LONG, shared_lately=True)
+    request = dataclasses.replace(LONG, shared_recently=True)
     assert best(request, candidate("a"), candidate("b", has_shared=True)) == "b"
 
 
@@ -80,7 +80,7 @@
 
 
 def test_part_that_was_read_is_not_read_first_elsewhere():
-    request = dataclasses.replace(LONG, shared_lately=True)
+    request = dataclasses.replace(LONG, shared_recently=True)
     for name in "ab":
         other = "b" if name == "a" else "a"
         chosen = best(
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -126,7 +126,7 @@
         relay = self._fleet.relay(self.domain)
         return None if relay is self else relay.address
 
-    def gives(self, upstream_domain):
+    def is_giver_for(self, upstream_domain):
         """Return whether the own domain is the upstream's."""
         return upstream_domain == self.domain
 
@@ -137,7 +137,7 @@
             return None
         return self._fleet.relay(upstream_domain).address
 
-    def view(self, *, now):
+    def fleet_counts(self, *, now):
         """Return the fleet as it is heard."""
         fleet = self._fleet
         heard = [one for one in fleet.vms if fleet.hears(self, one)]
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -11,7 +11,7 @@
 )
 
 Outcome = outcomes.Outcome
-Verdict = retrying.RetryDecision
+RetryDecision = retrying.RetryDecision
 
 UNREACHED = retrying.SendCounts(unreached=1)
 ONCE = retrying.SendCounts(reached=1)
@@ -36,29 +36,34 @@
 @pytest.mark.parametrize(
     ("route", "what", "sends", "verdict"),
     [
-        (ONLY_ONCE, lost(Outcome.NOT_RUN, sent=False), UNREACHED, Verdict.FREE),
-        (ONLY_ONCE, lost(Outcome.NOT_RUN), ONCE, Verdict.PAID),
-        (ONLY_ONCE, lost(Outcome.UNKNOWN), ONCE, Verdict.END),
-        (ONLY_ONCE, lost(Outcome.FAILED), ONCE, Verdict.END),
-        (SAFE, lost(Outcome.UNKNOWN), ONCE, Verdict.PAID),
-        (SAFE, lost(Outcome.FAILED), ONCE, Verdict.PAID),
-        (SAFE, lost(Outcome.UNKNOWN), TWICE, Verdict.END),
-        (STREAM, lost(Outcome.PARTIAL), ONCE, Verdict.END),
-        (STREAM, lost(Outcome.UNKNOWN), ONCE, Verdict.END),
-        (RESUMABLE, lost(Outcome.PARTIAL), ONCE, Verdict.PAID),
-        (RESUMABLE, lost(Outcome.UNKNOWN), ONCE, Verdict.PAID),
-        (RESUMABLE, lost(Outcome.PARTIAL), TWICE, Verdict.END),
+        (
+            ONLY_ONCE,
+            lost(Outcome.NOT_RUN, sent=False),
+            UNREACHED,
+            RetryDecision.FREE,
+        ),
+        (ONLY_ONCE, lost(Outcome.NOT_RUN), ONCE, RetryDecision.PAID),
+        (ONLY_ONCE, lost(Outcome.UNKNOWN), ONCE, RetryDecision.END),
+        (ONLY_ONCE, lost(Outcome.FAILED), ONCE, RetryDecision.END),
+        (SAFE, lost(Outcome.UNKNOWN), ONCE, RetryDecision.PAID),
+        (SAFE, lost(Outcome.FAILED), ONCE, RetryDecision.PAID),
+        (SAFE, lost(Outcome.UNKNOWN), TWICE, RetryDecision.END),
+        (STREAM, lost(Outcome.PARTIAL), ONCE, RetryDecision.END),
+        (STREAM, lost(Outcome.UNKNOWN), ONCE, RetryDecision.END),
+        (RESUMABLE, lost(Outcome.PARTIAL), ONCE, RetryDecision.PAID),
+        (RESUMABLE, lost(Outcome.UNKNOWN), ONCE, RetryDecision.PAID),
+        (RESUMABLE, lost(Outcome.PARTIAL), TWICE, RetryDecision.END),
         (
             ONLY_ONCE,
             lost(Outcome.NOT_RUN, misdirected=True),
             UNREACHED,
-            Verdict.PAID,
+            RetryDecision.PAID,
         ),
         (
             SAFE,
             lost(Outcome.NOT_RUN, sent=False),
             retrying.SendCounts(unreached=3),
-            Verdict.END,
+            RetryDecision.END,
         ),
     ],
 )
@@ -76,26 +81,31 @@
     call = make_call(route=ONLY_ONCE)
     refused = lost(Outcome.NOT_RUN, sent=False)
     sends = retrying.SendCounts()
-    for _ in range(retrying.MOST_REFUSED):
-        assert retrying.decide(call, refused, sends, now=1000.0) is Verdict.FREE
+    for _ in range(retrying.MAX_REFUSED):
+        assert (
+            retrying.decide(call, refused, sends, now=1000.0)
+            is RetryDecision.FREE
+        )
         sends = sends.with_lost(refused, seconds=0.002)
-    assert retrying.decide(call, refused, sends, now=1000.0) is Verdict.END
+    assert (
+        retrying.decide(call, refused, sends, now=1000.0) is RetryDecision.END
+    )
 
 
 def test_dark_upstreams_are_tried_three_times():
     """A request that is given up gets its answer at once, not after seconds."""
     dark = lost(Outcome.NOT_RUN, sent=False)
     sends = retrying.SendCounts()
-    for _ in range(retrying.MOST_UNREACHED):
+    for _ in range(retrying.MAX_UNREACHED):
         sends = sends.with_lost(dark, seconds=0.4)
     call = make_call(route=ONLY_ONCE)
-    assert retrying.decide(call, dark, sends, now=1000.0) is Verdict.END
+    assert retrying.decide(call, dark, sends, now=1000.0) is RetryDecision.END
 
 
 def test_no_other_send_without_time_for_it():
     call = make_call(route=SAFE, limit_at=1000.05)
     verdict = retrying.decide(call, lost(), ONCE, now=1000.0)
-    assert verdict is Verdict.END
+    assert verdict is RetryDecision.END
 
 
 def test_sends_are_counted_by_whether_an_upstream_had_the_request():
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -78,8 +78,8 @@
 @pytest.mark.parametrize(
     ("named", "taken"),
     [
-        (0.0, upstream_limits.LEAST_PER_SECOND),
-        (0.01, upstream_limits.LEAST_PER_SECOND),
+        (0.0, upstream_limits.MIN_PER_SECOND),
+        (0.01, upstream_limits.MIN_PER_SECOND),
         (0.5, 0.5),
         (999.0, 999.0),
         (1000.0, None),
