--- a/packages/router/src/lagoonrun_router/admission.py
+++ b/packages/router/src/lagoonrun_router/admission.py
@@ -1,9 +1,10 @@
-"""Whether a request is let in, in an overload. Pure decisions.
+"""Admission control of overloaded pools. Pure functions.
 
-A runner that is given all that comes serves nobody: prompts wait until their
-callers have left, and urgent streams find no place beside earlier ones. So
-lower tiers use only a part of each runner, and what would wait for longer
-than its caller does is refused at once, with a time to come back.
+A runner that accepts every request serves none in time: prompts queue until
+their callers have given up, and urgent streams find no capacity beside earlier
+ones. So lower tiers may use only a share of each runner, and a request that
+would wait for longer than its caller does is rejected at once with a
+Retry-After time.
 """
 
 import dataclasses
@@ -14,30 +15,32 @@
 from lagoonrun_router import placement
 
 LOWEST_TIER_SHARE = 0.5
-"""Part of a runner's places and memory that the lowest tier may fill.
+"""Share of a runner's slots and prefix cache that the lowest tier may use.
 
-The rest is for higher tiers; those in between get parts in between.
+The rest is reserved for higher tiers; the shares of the tiers between the
+lowest and the highest are evenly spaced.
 """
 
 MAX_PATIENCE_FRACTION = 0.7
-"""Part of a caller's patience that may pass before the first event.
+"""Maximum expected wait for the first event, as a fraction of the patience.
 
-The estimate of the wait is rough; above this part most callers have left
-when their first event comes.
+The estimate of the wait is rough; above this fraction most callers have
+disconnected by the time of their first event.
 """
 
 
 LATE_TARGET_FACTOR = 1.2
-"""Part of the target from which a foreseen wait counts as late.
+"""Expected wait, relative to the target, from which a request counts as late.
 
-Above 1, since the reading is foreseen as a little slower than it is. With 0.8
-the lowest tier came in time more often and the most urgent one less (97 of 639
-streams late on a day of bursts, 57 with 1.2, 54 where nothing stands back).
+Above 1, because the assumed prefill rate is a little below the real one. With
+0.8 the lowest tier met its target more often and the most urgent tier less
+often: on a day with bursts 97 of 639 urgent streams were late, against 57 with
+1.2 and 54 without yielding.
 """
 
 
 class Refusal(enum.Enum):
-    """Why a request is not let in."""
+    """Why a request is rejected."""
 
     NO_ROOM = "no-room"
     HIGHER_TIER = "higher-tier"
@@ -46,18 +49,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AdmissionRequest:
-    """What admission needs to know of a request.
+    """Attributes of a request that decide on its admission.
 
     Parameters
     ----------
     tiers
-        Tiers of all classes of the pool.
+        Tiers of all request classes of the pool.
     patience_seconds
         How long the caller waits for the first event or the whole answer.
-    higher_turned_away
-        Whether a request of a higher tier found no room or no time just now.
+    higher_tier_pressed
+        Whether requests of a higher tier could not be admitted recently.
     floor_due
-        Whether one request of the class is let in whatever else is.
+        Whether the admission floor of the class is due: the request is
+        admitted regardless of capacity.
     """
 
     tier: types.Tier
@@ -68,7 +72,7 @@
 
 
 def share_of(tier: types.Tier, tiers: Iterable[types.Tier]) -> float:
-    """Return the part of a runner that `tier` may fill."""
+    """Return the share of a runner's capacity that `tier` may use."""
     ordered = sorted({*tiers, tier})
     if len(ordered) == 1:
         return 1.0
@@ -83,26 +87,26 @@
     wait_seconds: float,
     target_seconds: float,
 ) -> bool:
-    """Return whether a request waits behind all others of its pool.
+    """Return whether a request yields to all others of its pool.
 
-    In an overload the lowest tier waits for longer than its target. If all of
-    it waits in turn, all of it is late, and a queue that once is as long as
-    the target never makes room again. A request that would come late anyway
-    lets pass those that can still come in time; it is read when nothing else
-    is. Only of the lowest tier: a higher one would come behind a lower one.
+    In an overload the lowest tier waits for longer than its target. In FIFO
+    order all of its requests are then late, because a queue as long as the
+    target never drains. So a request that would miss its target anyway is
+    queued behind those that can still meet theirs. Only the lowest tier
+    yields: a request of a higher tier would end up behind a lower one.
 
-    On two overloaded fleets of 22 entry VMs the worth of a day rose from 0.42
-    to 0.48 and from 0.53 to 0.54 (two runs each); on eight days of a fleet of 9
-    it made no difference (0.808 and 0.812).
+    On two overloaded fleets of 22 entry VMs this raised the score of a day of
+    traffic from 0.42 to 0.48 and from 0.53 to 0.54 (two runs each); on eight
+    days of a fleet of 9 it made no difference (0.808 and 0.812).
 
     Parameters
     ----------
     tiers
-        Tiers of all classes of the pool.
+        Tiers of all request classes of the pool.
     wait_seconds
         Estimated time to the first event at the cheapest upstream.
     target_seconds
-        Time to the first event that is on time.
+        Target for the time to the first event.
     """
     lowest = tier >= max(tiers, default=tier)
     return lowest and wait_seconds > LATE_TARGET_FACTOR * target_seconds
@@ -111,12 +115,12 @@
 def admit(
     request: AdmissionRequest, ranked: tuple[placement.Ranked, ...]
 ) -> placement.Ranked | Refusal:
-    """Return the cheapest upstream that may take the request, or why none.
+    """Return the cheapest upstream that admits the request, or the refusal.
 
     Parameters
     ----------
     ranked
-        At least one candidate, the cheapest first.
+        At least one candidate, in ascending order of cost.
     """
     if request.floor_due:
         return ranked[0]
@@ -145,7 +149,7 @@
     if not candidate.cache_tokens:
         return True
     used_tokens = candidate.load.held_tokens + ranked.new_tokens
-    # One request alone is always let in, however large its prompt is.
+    # An idle upstream admits a prompt of any size.
     return (
         candidate.load.running == 0
         or used_tokens <= share * candidate.cache_tokens
--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -1,23 +1,23 @@
-"""When this entry VM may let a request in although there is no room for it."""
+"""Admission floor: the rate at which each class is admitted in any overload."""
 
 from lagoonrun_core import types
 
 FLOOR_SECONDS = 10.0
-"""Time between two requests of a class that all entry VMs together let in
-although a higher tier takes all room.
+"""Interval at which all entry VMs together admit one request of a class
+although a higher tier uses all capacity.
 
-Long enough that the higher tier does not notice; every class is served in the
-longest overload all the same.
+Long enough not to affect the higher tier, yet every class makes progress in an
+overload of any length.
 """
 
 
 class AdmissionFloor:
-    """Times by class at which the last request was let in here.
+    """Schedules this entry VM's share of the admission floor of each class.
 
     Parameters
     ----------
     started_at
-        Reading of the clock; stands for a request of every class.
+        Monotonic time of the start; counts as an admission of every class.
     """
 
     def __init__(self, *, started_at: float) -> None:
@@ -32,10 +32,10 @@
     def record_admission(
         self, profile: types.ProfileName, *, now: float
     ) -> None:
-        """Note that a request was let in."""
+        """Record that a request of a class was admitted."""
         self._admitted_at_by_profile[profile] = now
 
     def is_due(self, profile: types.ProfileName, *, now: float) -> bool:
-        """Return whether a class has waited for its share of the floor."""
+        """Return whether this entry VM owes a class one admission."""
         last = self._admitted_at_by_profile.get(profile, self._started_at)
         return now - last >= FLOOR_SECONDS * self._entry_vm_count
--- a/packages/router/src/lagoonrun_router/candidate_sampling.py
+++ b/packages/router/src/lagoonrun_router/candidate_sampling.py
@@ -1,11 +1,12 @@
-"""Which upstreams of a large pool one request considers.
+"""Sample the candidates of one request from a large pool.
 
-What an entry VM knows of the others' work is a tenth to four tenths of a second
-old. In a burst, dozens of requests are placed within that time; if each looked
-at all upstreams, all would go to the same few that were idle a moment ago, and
-wait there two to three times as long as foreseen. So each looks at a few that
-its own id picks, and at those that have its shared parts: a choice among few
-that differ from request to request spreads what nobody knows of yet.
+An entry VM learns of the others' in-flight requests with a delay of 0.1 to
+0.4 s. In a burst, dozens of requests are placed within that time. If each
+considered all upstreams, all would be sent to the same few that were idle when
+last reported, and wait there two to three times as long as expected. So each
+request considers a few upstreams selected by a hash of its own id, and those
+that hold its shared prompt parts: differing samples spread the requests that
+are not reported yet.
 """
 
 from collections.abc import Container
@@ -16,15 +17,16 @@
 from lagoonrun_router import upstreams
 
 MAX_UNSAMPLED_POOL = 12
-"""Upstreams up to which all are considered: there the work that is not known yet
-is known a moment later, and each one counts."""
+"""Size up to which the whole pool is considered: in a small pool, requests are
+reported soon enough, and each upstream is needed."""
 
 _SAMPLED_IN_DOMAIN = 4
-"""Upstreams of the own failure domain that are picked. With one of two, the worse
-half of a burst still meets; more than four know the same stale news."""
+"""Sampled upstreams of the own failure domain. With one or two, the worse half
+of a burst still collides; more than four again rely on the same stale
+reports."""
 
 _SAMPLED_REMOTE = 4
-"""Upstreams of other failure domains that are picked, where the own ones are
+"""Sampled upstreams of other failure domains, used when the local ones are
 busy."""
 
 
@@ -35,23 +37,23 @@
     domain: types.FailureDomain,
     always_included: Container[types.UpstreamId],
 ) -> tuple[upstreams.Registration, ...]:
-    """Return the upstreams that a request considers.
+    """Return the candidates of a request.
 
     Parameters
     ----------
     registered
-        All that it might be sent to.
+        All usable upstreams of the pool.
     domain
         Failure domain of this entry VM.
-    wanted
-        Those that are considered in any case.
+    always_included
+        Upstreams that are candidates in any case.
     """
     if len(registered) <= MAX_UNSAMPLED_POOL:
         return registered
     shuffled = sorted(registered, key=lambda one: _sample_key(request_id, one))
     in_domain = [one for one in shuffled if one.domain == domain]
     remote = [one for one in shuffled if one.domain != domain]
-    # A domain with few of its own has more of the others.
+    # Remote upstreams make up for missing local ones.
     max_remote = _SAMPLED_REMOTE + max(0, _SAMPLED_IN_DOMAIN - len(in_domain))
     picked = {
         one.id
--- a/packages/router/src/lagoonrun_router/choosing.py
+++ b/packages/router/src/lagoonrun_router/choosing.py
@@ -1,4 +1,4 @@
-"""Gather what is known of a call's candidates and choose among them."""
+"""Select the upstream of each attempt by placement and admission."""
 
 import dataclasses
 import functools
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AllClosed:
-    """All upstreams that are left are rate limited or rest just now.
+    """All remaining upstreams are rate-limited or have asked for a rest.
 
     Parameters
     ----------
     closed
-        At least one, the first to open again first.
+        At least one, in the order in which they open again.
     """
 
     closed: tuple[availability.ClosedUpstream, ...]
@@ -33,22 +33,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Choice:
-    """An upstream, and what its choice rested on.
+    """The selected upstream and the inputs of its selection.
 
     Parameters
     ----------
     new_tokens
-        Prompt tokens that it has to read.
+        Prompt tokens that the upstream has to prefill.
     wait_seconds
         Estimated time to the first event.
     tier
-        Among whose prompts it waits there.
+        Tier in which the request is queued there.
     stands_back
-        Whether it waits behind all others of the pool.
+        Whether the request yields to all others of the pool.
     decided_at
-        Reading of the clock.
+        Monotonic time of the decision.
     has_place
-        Whether a place was taken there, as upstreams with a limit ask for.
+        Whether a place was acquired, the right to send one request to a
+        rate-limited upstream.
     """
 
     upstream: upstreams.Registration
@@ -61,7 +62,7 @@
 
 
 class Chooser:
-    """Chooses the upstream of each attempt.
+    """Selects the upstream of each attempt.
 
     Parameters
     ----------
@@ -75,7 +76,7 @@
     def choose(
         self, call: calls.Call, *, excluded: Container[types.UpstreamId]
     ) -> Choice | admission.Refusal | AllClosed | None:
-        """Return the upstream of the next attempt; None if there is none.
+        """Return the upstream of the next attempt; None if none is usable.
 
         Parameters
         ----------
@@ -97,7 +98,8 @@
         ranking = self._rank(call, sampled, usable, now)
         best = self._admit(call, ranking.ranked, now)
         if isinstance(best, admission.Refusal) and len(sampled) < len(usable):
-            # No request is refused while an upstream has room for it.
+            # A request is rejected only if no upstream of the pool has
+            # capacity for it, so all of them are tried.
             ranking = self._rank(call, usable, usable, now)
             best = self._admit(call, ranking.ranked, now)
         if isinstance(best, admission.Refusal):
@@ -132,7 +134,7 @@
     def all_closed(
         self, call: calls.Call
     ) -> tuple[availability.ClosedUpstream, ...]:
-        """Return the upstreams of the pool if each takes nothing; else none."""
+        """Return the upstreams of the pool if all are closed, else none."""
         now = self._components.clock.monotonic()
         registered = self._components.directory.usable(call.pool.name, now=now)
         available = self._components.notices.availability.partition(
@@ -146,7 +148,7 @@
         usable: tuple[upstreams.Registration, ...],
         now: float,
     ) -> tuple[upstreams.Registration, ...]:
-        """Return the upstreams that the call looks at."""
+        """Return the candidates of a call: the pool, or a sample of it."""
         affinity_part = call.affinity_part
         if (
             call.pool.engine is None
@@ -178,7 +180,11 @@
         usable: tuple[upstreams.Registration, ...],
         now: float,
     ) -> "_Ranking":
-        """Rank some of the usable upstreams, for a late request behind all."""
+        """Rank some usable upstreams.
+
+        A request that would be late is ranked as one of an additional tier
+        below all others.
+        """
         request = _request_of(call, shared_recently=self._shared_recently(call))
         candidates = tuple(
             self._candidate(call, one, now) for one in registered
@@ -203,10 +209,11 @@
         ranked: tuple[placement.Ranked, ...],
         now: float,
     ) -> placement.Ranked | admission.Refusal:
-        """Return the upstream that may take the call.
+        """Return the upstream that admits the call, or the refusal.
 
-        Plain services refuse by themselves and at once what they have no
-        room for; only engines take more than they can serve.
+        Admission control applies to inference engines only: they accept more
+        requests than they can serve, while plain services reject excess
+        requests themselves.
         """
         if call.pool.engine is None:
             return ranked[0]
@@ -303,14 +310,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Ranking:
-    """The upstreams of one attempt, the cheapest first.
+    """The candidates of one attempt, in ascending order of cost.
 
     Parameters
     ----------
     request
-        What they were ranked for.
+        Request for which they were ranked.
     stands_back
-        Whether the request waits behind all others of the pool.
+        Whether the request yields to all others of the pool.
     """
 
     request: placement.Request
@@ -318,7 +325,7 @@
     stands_back: bool
 
     def reread_tokens(self, chosen: placement.Ranked) -> int:
-        """Return the shared tokens that another upstream has read lately."""
+        """Return the shared tokens that another upstream prefilled recently."""
         if chosen.candidate.has_shared or not self.request.shared_recently:
             return 0
         return round(self.request.shared_tokens)
@@ -334,7 +341,7 @@
 def _pool_order_of_ids(
     ids: tuple[types.UpstreamId, ...],
 ) -> placement.PoolOrder:
-    # The same for each request until an upstream comes or goes.
+    # Cached: the ids change only when an upstream joins or leaves.
     return placement.PoolOrder(ids=ids)
 
 
@@ -356,6 +363,6 @@
 
 
 def sensitivity_of(call: calls.Call) -> float:
-    """Return the inverse of the longest pause of a call's stream."""
+    """Return the inverse of the longest pause allowed in a call's stream."""
     pause = call.route.longest_pause_seconds
     return 1.0 / pause if pause else 0.0
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -1,7 +1,8 @@
-"""Which tiers of a pool could not be served a moment ago.
+"""Tiers of a pool whose requests could not be admitted recently.
 
-While requests of a tier find no room or no time, no lower tier is let in:
-its prompts would take the place of those that are turned away.
+While requests of a tier are rejected for lack of capacity or time, no lower
+tier is admitted: its prompts would use the capacity that the rejected ones
+need.
 """
 
 import collections
@@ -11,29 +12,29 @@
 from lagoonrun_core import types
 
 PRESSURE_SECONDS = 1.5
-"""How long a failed request of a tier keeps lower ones out.
+"""How long a rejection blocks lower tiers; each further one restarts the time.
 
-About the time in which a runner reads the prompts that wait for it in an
-overload; the next failure begins it anew.
+About the time that a runner takes to prefill its queue in an overload.
 """
 
 
 LEAST_REQUESTS = 3
-"""Failed requests of a tier, at all entry VMs, that keep lower ones out.
+"""Rejected requests of a tier, at all entry VMs together, that block lower
+tiers.
 
-A single one may have been given up by an impatient caller or have been lost
-with a broken upstream; lower tiers are not turned away for that.
+A single one may be due to an impatient caller or a broken upstream, which is no
+reason to reject lower tiers.
 """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PressedTier:
-    """A tier of a pool that could not be served.
+    """A tier of a pool with recently rejected requests.
 
     Parameters
     ----------
     requests
-        Requests of the last moments that could not.
+        Number of rejected requests within `PRESSURE_SECONDS`.
     """
 
     pool: types.PoolName
@@ -54,7 +55,13 @@
 
 
 class Pressure:
-    """Failed requests of the last moments, own and told ones."""
+    """Recently rejected requests, at this entry VM and as reported by others.
+
+    Attributes
+    ----------
+    changed
+        Whether there were rejections that peers have not been sent yet.
+    """
 
     def __init__(self) -> None:
         self._own_times_by_key: dict[_PoolTier, list[float]] = {}
@@ -65,7 +72,7 @@
     def record_rejection(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> None:
-        """Note that a request found no room or no time."""
+        """Record a request rejected for lack of capacity or time."""
         key = _PoolTier(pool=pool, tier=tier)
         self._own_times_by_key.setdefault(key, []).append(now)
         self.changed = True
@@ -77,27 +84,28 @@
         *,
         now: float,
     ) -> None:
-        """Replace what a peer told of its own requests."""
+        """Replace a peer's report of its own rejections."""
         self._report_by_peer[peer] = _Report(pressed=pressed, at=now)
 
     def apply_fleet_report(
         self, pressed: tuple[PressedTier, ...], *, now: float
     ) -> None:
-        """Replace what was told of all entry VMs, this one included."""
+        """Replace the sum of rejections at all entry VMs, own included."""
         self._report_by_peer.clear()
         self._fleet_report = _Report(pressed=pressed, at=now)
 
     def higher_tier_pressed(
         self, pool: types.PoolName, tier: types.Tier, *, now: float
     ) -> bool:
-        """Return whether a higher tier of the pool cannot be served."""
+        """Return whether a higher tier of the pool could not be admitted."""
         counted = [*self.recent(now=now)]
         for report in self._report_by_peer.values():
             if now - report.at < PRESSURE_SECONDS:
                 counted.extend(report.pressed)
         rejections = _rejections_above(counted, pool, tier)
         if now - self._fleet_report.at < PRESSURE_SECONDS:
-            # Own ones are in that sum as well, but for the newest.
+            # The sum includes own rejections except the newest, so the two
+            # counts must not be added.
             fleet_rejections = _rejections_above(
                 self._fleet_report.pressed, pool, tier
             )
@@ -107,7 +115,7 @@
     def recent_with(
         self, peers: Iterable[types.LoadReporter], *, now: float
     ) -> tuple[PressedTier, ...]:
-        """Return what own requests met and those of `peers`, together."""
+        """Return the sum of own rejections and those reported by `peers`."""
         counted = [*self.recent(now=now)]
         for peer in peers:
             report = self._report_by_peer.get(peer)
@@ -123,7 +131,7 @@
         )
 
     def recent(self, *, now: float) -> tuple[PressedTier, ...]:
-        """Return what own requests met, for the other entry VMs."""
+        """Return own rejections, to be reported to the other entry VMs."""
         for key, times in list(self._own_times_by_key.items()):
             kept = [at for at in times if now - at < PRESSURE_SECONDS]
             if kept:
@@ -139,7 +147,7 @@
 def _rejections_above(
     pressed: Iterable[PressedTier], pool: types.PoolName, tier: types.Tier
 ) -> int:
-    """Return how many requests of tiers above `tier` could not be served."""
+    """Return the number of rejected requests of tiers above `tier`."""
     return sum(
         one.requests for one in pressed if one.pool == pool and one.tier < tier
     )
--- a/packages/router/src/lagoonrun_router/urgency.py
+++ b/packages/router/src/lagoonrun_router/urgency.py
@@ -1,9 +1,9 @@
-"""The order in which an engine serves requests of classes and organisations.
+"""Urgency of a request: the order in which an engine serves queued requests.
 
-Both have tiers. The class goes first: an organisation's tier orders the
-requests within a class, and never puts a long summary of one organisation
-before the urgent questions of all others. Ways weighed, with the figures of
-each, are on the page about the users' platform.
+Request classes and organisations both have tiers. The tier of the class takes
+precedence; the organisation's tier only orders requests within a class, so
+that a long summary of one organisation never precedes urgent questions of the
+others. The page about the users' platform compares the alternatives.
 """
 
 from collections.abc import Iterable
@@ -23,11 +23,11 @@
     Parameters
     ----------
     tier
-        Tier of the request's class.
+        Tier of the request class.
     organisation
-        Who asks; one without a tier comes last within a class.
+        Organisation of the caller; without a tier it ranks last in the class.
     organisation_tiers
-        Lowest tier of any organisation, at least 1.
+        Lowest tier (greatest number) of any organisation, at least 1.
     """
     own = organisation_tiers
     if organisation is not None and organisation.tier is not None:
@@ -36,5 +36,5 @@
 
 
 def last(tiers: Iterable[types.Tier], *, organisation_tiers: int) -> int:
-    """Return the urgency after those of all `tiers`."""
+    """Return an urgency lower than that of any request of `tiers`."""
     return max(tiers, default=types.HIGHEST_TIER) * organisation_tiers
--- a/packages/router/tests/test_admission.py
+++ b/packages/router/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is let in when there is not enough for all."""
+"""Admission of requests to overloaded runners."""
 
 import pytest
 from hypothesis import given
@@ -36,16 +36,16 @@
     )
 
 
-def test_free_runner_takes_every_tier():
+def test_idle_runner_admits_every_tier():
     for tier in TIERS:
         one = ranked()
         assert admission.admit(admission_request(tier), (one,)) is one
 
 
-def test_places_are_kept_for_higher_tiers():
-    """Low-tier streams fill a runner and stay for seconds.
+def test_slots_are_reserved_for_higher_tiers():
+    """Guards against low-tier streams that occupy all slots for seconds.
 
-    An urgent request that comes then waits until its caller leaves.
+    An urgent request would then wait until its caller disconnects.
     """
     half = ranked(running=32)
     assert (
@@ -55,7 +55,7 @@
     assert admission.admit(admission_request(1), (half,)) is half
 
 
-def test_memory_is_kept_for_higher_tiers():
+def test_prefix_cache_is_reserved_for_higher_tiers():
     full = ranked(running=9, held_tokens=300_000.0)
     assert (
         admission.admit(admission_request(3), (full,))
@@ -64,44 +64,46 @@
     assert admission.admit(admission_request(1), (full,)) is full
 
 
-def test_largest_prompt_is_let_in_where_nothing_runs():
+def test_largest_prompt_is_admitted_by_an_idle_runner():
     one = ranked(new=390_000.0)
     assert admission.admit(admission_request(3), (one,)) is one
 
 
-def test_what_would_come_too_late_is_refused():
+def test_request_with_too_long_a_wait_is_rejected():
     late = ranked(wait=8.0)
-    verdict = admission.admit(admission_request(3, patience=10.0), (late,))
-    assert verdict is admission.Refusal.TOO_LATE
+    decision = admission.admit(admission_request(3, patience=10.0), (late,))
+    assert decision is admission.Refusal.TOO_LATE
 
 
-def test_second_choice_is_taken_where_the_first_has_no_room():
+def test_second_upstream_admits_if_the_first_has_no_capacity():
     full, other = ranked(running=60), ranked("u-2")
     assert admission.admit(admission_request(3), (full, other)) is other
 
 
 def test_each_class_is_served_in_the_longest_overload():
-    """Higher tiers fill all runners for minutes.
+    """Guards against a class without answers while higher tiers are busy.
 
-    A class below them gets one request in from time to time.
+    The admission floor admits one of its requests at a fixed interval.
     """
     full = ranked(running=64)
-    waited = admission_request(3, higher_tier_pressed=True, floor_due=True)
-    assert admission.admit(waited, (full,)) is full
+    floor_request = admission_request(
+        3, higher_tier_pressed=True, floor_due=True
+    )
+    assert admission.admit(floor_request, (full,)) is full
 
 
-def test_no_lower_tier_is_let_in_while_a_higher_one_is_turned_away():
-    """One runner is left, and urgent requests find no room.
+def test_no_lower_tier_is_admitted_while_a_higher_one_is_rejected():
+    """Guards against long prompts admitted while urgent requests are rejected.
 
-    Long prompts that are let in now would make the next ones fail too.
+    With one runner left, they would make the next urgent requests fail, too.
     """
     pressed = admission_request(3, higher_tier_pressed=True)
-    verdict = admission.admit(pressed, (ranked(),))
-    assert verdict is admission.Refusal.HIGHER_TIER
+    decision = admission.admit(pressed, (ranked(),))
+    assert decision is admission.Refusal.HIGHER_TIER
 
 
 @pytest.mark.parametrize("tiers", [(1,), (3,)])
-def test_only_tier_may_fill_everything(tiers):
+def test_only_tier_may_use_all_capacity(tiers):
     assert admission.share_of(tiers[0], tiers) == 1.0
 
 
@@ -111,7 +113,7 @@
     st.floats(0, 20),
     st.integers(1, 2),
 )
-def test_higher_tier_is_let_in_wherever_a_lower_one_is(
+def test_higher_tier_is_admitted_wherever_a_lower_one_is(
     running, held, wait, tier
 ):
     one = (ranked(wait=wait, running=running, held_tokens=held),)
--- a/packages/router/tests/test_candidate_sampling.py
+++ b/packages/router/tests/test_candidate_sampling.py
@@ -1,9 +1,9 @@
-"""Each request of a large pool considers some upstreams, not all.
+"""Each request to a large pool considers a sample of its upstreams.
 
-The load: 80 entry VMs place 370 long prompts a second among 45 runners, each by
-news that are two tenths of a second old. All that look at all runners send the
-prompts of those two tenths to the same few, where they wait three times as long
-as foreseen.
+Guards against collisions under this load: 80 entry VMs place 370 long prompts
+per second on 45 runners, by reports that are 0.2 s old. If each considers all
+runners, they send the prompts of those 0.2 s to the same few, where the prompts
+wait three times as long as expected.
 """
 
 import collections
@@ -56,7 +56,7 @@
     assert len(ids_for(pool, "r-1", domain="west")) == 8
 
 
-def test_those_that_have_the_shared_parts_are_always_considered(pool):
+def test_holders_of_shared_parts_are_always_considered(pool):
     always_included = {"u-07", "u-31"}
     for number in range(20):
         assert always_included <= set(
@@ -64,10 +64,10 @@
         )
 
 
-def test_requests_of_one_moment_look_at_different_upstreams(pool):
-    """All entry VMs believe the same few upstreams to be idle.
+def test_concurrent_requests_consider_different_upstreams(pool):
+    """Guards against a burst sent to the few upstreams last reported as idle.
 
-    No more than every third request may go to the same one.
+    At most a third of the requests may consider the same upstream.
     """
     considered_by = collections.Counter()
     for number in range(300):
--- a/packages/router/tests/test_urgency.py
+++ b/packages/router/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Classes first, organisations within them."""
+"""Urgency by request class first, by organisation within a class."""
 
 from lagoonrun_router import declarations, urgency
 
@@ -7,10 +7,10 @@
     return declarations.RankedOrganisation(id="o", key_digests=(), tier=tier)
 
 
-def test_class_goes_before_organisation():
-    """A favoured house sends long summaries, the others urgent questions.
+def test_class_takes_precedence_over_organisation():
+    """Guards against a preferred organisation's summaries before questions.
 
-    The questions of all houses come before its summaries.
+    The urgent questions of all organisations precede its summaries.
     """
     question = urgency.of(1, organisation(2), organisation_tiers=2)
     summary = urgency.of(3, organisation(1), organisation_tiers=2)
