--- a/packages/router/src/lagoonrun_router/placement.py
+++ b/packages/router/src/lagoonrun_router/placement.py
@@ -1,9 +1,9 @@
-"""Choose the upstream of one request.
+"""Rank the candidate upstreams of one request.
 
-A pure decision: readings go in, a ranking with its reasons comes out. The
-cost of a candidate is an estimate of the credit that is lost by the choice:
-by the request itself, which waits for the prompts before it, and by the
-streams that run there, whose tokens wait for this prompt.
+A pure function of the known state, which returns a ranking with its cost terms.
+The cost of a candidate estimates the score lost by choosing it: by the request
+itself, which waits for queued prompts, and by the streams that run there, whose
+tokens are delayed by the prefill of this prompt.
 """
 
 import dataclasses
@@ -20,39 +20,40 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Weights:
-    """How much each consideration counts.
-
-    Costs are in credits: an answer in time earns between 1 and 2 of them.
-    `reading`, `rereading` and `other_domain` are the prices that users put on
-    tokens and bytes (0.09 for a thousand tokens read again; 1.3 to 11 for a
-    megabyte between failure domains, the higher one taken); the others were
-    set by hand to the credit of what is usually lost, and moved only where
-    days of the users' deployments showed a difference: between 6 and 20 for
-    `other_domain`, 0 and 1 for `overdue` (0.05 of the worth of a day with dark
-    runners), and 0 and 4 for `side` (0.018 on five days of a fleet of five
-    runners, 0.023 and 0.003 on two others).
+    """Weights of the cost terms.
+
+    Costs are in points of the users' score: an answer in time earns between 1
+    and 2 points. `reading`, `rereading` and `other_domain` are prices that the
+    users set on tokens and bytes (0.09 for a thousand tokens prefilled again;
+    1.3 to 11 for a megabyte between failure domains, of which the higher is
+    used). The other weights are set by hand to the points usually lost, and
+    were changed only where days of traffic of the users' deployments showed a
+    difference: between 6 and 20 for `other_domain`, between 0 and 1 for
+    `overdue` (0.05 of the score of a day with unresponsive runners), and
+    between 0 and 4 for `side` (0.018 on five days of a fleet of five runners,
+    0.023 and 0.003 on two other fleets).
 
     Parameters
     ----------
     prefill_tokens_per_second
-        Prompt tokens that a runner reads in a second, alone; those of the
-        users read 36,700 and 48,200.
+        Prefill rate of a runner without other load; the users' runners reach
+        36,700 and 48,200.
     lower_tiers
-        Part of the waiting prompts of lower tiers that is read first all the
-        same, because it is being read already.
+        Fraction of the queued prompts of lower tiers that is prefilled first
+        because their prefill has already begun.
     harm
-        Cost of delaying one stream with a longest pause of one second by
-        one second of prompt reading.
+        Cost of delaying one stream, whose longest allowed pause is one second,
+        by one second of prefill.
     exposure
-        Cost of sending a stream with a longest pause of one second to a
-        runner that reads prompts all of the time.
+        Cost of sending a stream, whose longest allowed pause is one second, to
+        a runner that prefills prompts all the time.
     wait
-        Cost of being on time by a hair; it grows with the square of the time.
+        Cost of a wait as long as the target; grows with the square of the wait.
     reading
-        Cost of reading a thousand prompt tokens.
+        Cost of prefilling a thousand prompt tokens.
     rereading
-        Further cost of a thousand tokens of a shared part that another
-        upstream has read a moment ago, or is about to read.
+        Additional cost of prefilling a thousand tokens of a shared part that
+        another upstream has prefilled recently or is about to prefill.
     other_domain
         Cost of sending a megabyte to another failure domain.
     failure
@@ -60,14 +61,14 @@
     overdue
         Cost of each request there that is long overdue.
     silence
-        Cost of an upstream in a failure domain that is silent.
+        Cost of an upstream in a silent failure domain.
     queue
         Cost of running as many requests as there are slots.
     spread
-        Range of the costs by which the hash of a prompt's shared part orders
-        upstreams that are otherwise alike.
+        Range of the tie-breaking cost, by the hash of the affinity and the
+        upstream.
     side
-        Cost of standing at the wrong end of the pool; see `_side`.
+        Cost of being at the wrong end of the pool; see `_misplacement`.
     """
 
     prefill_tokens_per_second: float = 40_000.0
@@ -91,28 +92,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """What counts of a request.
+    """Attributes of a request that affect its placement.
 
     Parameters
     ----------
     affinity
-        What brings requests together on an upstream: the id of the largest
-        shared part of the prompt, or the request's own id.
+        Key of the requests that should share an upstream: the id of the
+        largest shared part of the prompt, or else the request's own id.
     tier
-        Engines read the prompts of higher tiers first.
+        Engines prefill the prompts of higher tiers first.
     prompt_tokens, shared_tokens
-        Whole prompt, and the part of it that an upstream may have read.
+        Length of the prompt, and of its parts that may be in a prefix cache.
     target_seconds
-        Time to the first event, or to the whole answer, that is on time.
+        Target for the time to the first event, or to the whole answer.
     sensitivity
-        Inverse of the longest pause in seconds; 0 where there are no pauses.
+        Inverse of the longest allowed pause in seconds; 0 without a limit.
     tightest_pause_seconds
-        Shortest longest pause of any class of the pool; None where no class
-        has one.
-    shared_lately
-        Whether some upstream has read the shared parts a moment ago.
+        Minimum over the pool's classes of the longest allowed pause; None if
+        no class has one.
+    shared_recently
+        Whether some upstream has prefilled the shared parts recently.
     body_bytes
-        Bytes that go to the upstream.
+        Size of the request body.
     """
 
     affinity: str
@@ -128,26 +129,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """What is known of an upstream.
+    """Known state of an upstream.
 
     Parameters
     ----------
     slots
-        Requests that it works on at once.
+        Maximum number of concurrent requests.
     cache_tokens
-        Tokens that fit into its memory; 0 where that is not known.
+        Capacity of its prefix cache; 0 if unknown.
     has_shared
-        Whether it probably has the request's shared parts in its memory.
+        Whether its prefix cache probably holds the request's shared parts.
     same_domain
-        Whether it stands in the failure domain of this entry VM.
+        Whether it is in the failure domain of this entry VM.
     load
-        Known work there.
+        Known in-flight requests there.
     recent_prefill
-        Prompt tokens a second that it was sent lately.
+        Prompt tokens per second that it was sent recently.
     failures
-        Faded number of its failures.
+        Exponentially decaying count of its failures.
     silent_domain
-        Whether its failure domain is probably cut off from here.
+        Whether its failure domain is probably unreachable.
     """
 
     upstream: types.UpstreamId
@@ -162,32 +163,32 @@
 
 
 class PoolOrder:
-    """What a decision knows of all upstreams of a pool together.
+    """Hash orders of a pool's upstreams, the same at all entry VMs.
 
     Parameters
     ----------
     ids
-        All upstreams that a request may be sent to.
+        All usable upstreams of the pool.
     """
 
     def __init__(self, *, ids: tuple[types.UpstreamId, ...]) -> None:
         self._ids = ids
 
     def position_of(self, upstream: types.UpstreamId) -> float:
-        """Return a place from 0 to 1 in an order that all entry VMs compute.
+        """Return the position of an upstream in the pool, from 0 to 1.
 
-        By the hash of the ids: an upstream that comes or goes moves the others
-        by one place at most.
+        The order is that of the hashes of the ids, so that an upstream that
+        joins or leaves moves each other one by one rank at most.
         """
         return self._position_by_upstream[upstream]
 
     def prefill_upstream_of(self, part: str) -> types.UpstreamId:
-        """Return where a shared part that nobody has read lately is to be read.
+        """Return the upstream to prefill a shared part that none holds yet.
 
-        One upstream, by the hash of the part: other entry VMs may have the same
-        part just now, and what they choose is heard a tenth of a second later.
-        In the first ten seconds of a fleet of 82, 0.75 of the requests were
-        served in this way, else 0.68.
+        It is determined by a hash of the part, because other entry VMs may
+        place the same part at the same time and report that 0.1 s later. In
+        the first ten seconds of a fleet of 82 entry VMs this raised the share
+        of served requests from 0.68 to 0.75.
         """
         return min(self._ids, key=lambda one: _hash_fraction(part, one))
 
@@ -203,7 +204,7 @@
 
 
 class CostKind(enum.Enum):
-    """Parts of a candidate's cost."""
+    """Terms of a candidate's cost."""
 
     WAIT = "wait"
     HARM = "harm"
@@ -225,11 +226,11 @@
     Parameters
     ----------
     new_tokens
-        Prompt tokens that it would have to read.
+        Prompt tokens that it would have to prefill.
     wait_seconds
         Estimated time to the first event.
     costs
-        Its parts, in the order of `CostKind`.
+        Terms of the cost, in the order of `CostKind`.
     """
 
     candidate: Candidate
@@ -240,7 +241,7 @@
 
     @property
     def cost_by_kind(self) -> dict[CostKind, float]:
-        """The parts of the cost by their kinds."""
+        """The terms of the cost by kind."""
         return dict(zip(CostKind, self.costs, strict=True))
 
 
@@ -251,12 +252,12 @@
     *,
     pool: PoolOrder | None = None,
 ) -> tuple[Ranked, ...]:
-    """Return the candidates, the cheapest first.
+    """Return the candidates in ascending order of cost.
 
     Parameters
     ----------
     pool
-        All upstreams; None where the candidates are all.
+        All upstreams of the pool; None if all of them are candidates.
     """
     order = pool or PoolOrder(ids=tuple(one.upstream for one in candidates))
     prefill_upstream = None
@@ -324,7 +325,7 @@
 def waiting_seconds(
     load: loads.Load, tier: types.Tier, weights: Weights
 ) -> float:
-    """Return how long a new prompt of `tier` waits for others."""
+    """Return how long a new prompt of `tier` waits for queued prompts."""
     ahead = load.waiting_before(tier)
     behind = load.waiting_tokens - ahead
     tokens = ahead + weights.lower_tiers * behind
@@ -334,14 +335,14 @@
 def _misplacement(
     request: Request, prefill_seconds: float, position: float
 ) -> float:
-    """Return how far a request is from its own end of the pool, 0 to 1.
-
-    A prompt that is read for as long as the tightest pause of the pool makes
-    each such stream beside it late, wherever it is read. Streams with tight
-    pauses gather at one end and long prompts at the other, with all between
-    them in between. The loads alone don't divide them so: streams go where no
-    prompt is read and prompts where no such stream runs, both by what was
-    heard a moment ago, so that they run after each other.
+    """Return how far a request is from its preferred end of the pool, 0 to 1.
+
+    A prompt whose prefill takes as long as the tightest pause of the pool makes
+    each concurrent stream with that limit late. So streams with tight pauses
+    are placed towards one end of the pool and long prompts towards the other.
+    Loads alone don't separate them: streams are sent where no prompt is being
+    prefilled, and prompts where no such stream runs, both by stale reports, so
+    that each follows the other around the pool.
     """
     tightest = request.tightest_pause_seconds
     if tightest is None:
@@ -352,6 +353,6 @@
 
 
 def _hash_fraction(affinity: str, upstream: types.UpstreamId) -> float:
-    """Return a number from 0 to 1 that all entry VMs compute alike."""
+    """Return a hash from 0 to 1 that is the same at all entry VMs."""
     named = f"{affinity}{upstream}"
     return xxhash.xxh3_64_intdigest(named.encode()) / _HASH_RANGE
--- a/packages/router/tests/test_placement.py
+++ b/packages/router/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""What a choice weighs, and that all entry VMs choose alike."""
+"""The cost terms of placement, and that all entry VMs rank alike."""
 
 import dataclasses
 
@@ -39,19 +39,19 @@
     return placement.rank(request, candidates)[0].candidate.upstream
 
 
-def test_long_prompt_goes_where_its_shared_part_was_read():
+def test_long_prompt_is_placed_where_its_shared_part_is_cached():
     request = dataclasses.replace(LONG, shared_recently=True)
     assert best(request, candidate("a"), candidate("b", has_shared=True)) == "b"
 
 
-def test_short_prompt_keeps_away_from_prompts_that_are_being_read():
+def test_short_prompt_avoids_upstreams_that_prefill():
     busy = candidate(
         "a", load=loads.Load(waiting_by_tier=(17_000.0,), running=1)
     )
     assert best(SHORT, busy, candidate("b", same_domain=False)) == "b"
 
 
-def test_long_prompt_keeps_away_from_streams_with_short_pauses():
+def test_long_prompt_avoids_streams_with_short_pauses():
     streams = candidate("a", load=loads.Load(running=4, sensitive=13.0))
     assert best(LONG, streams, candidate("b", same_domain=False)) == "b"
 
@@ -62,24 +62,26 @@
 
 
 @given(st.permutations(["a", "b", "c", "d"]), st.booleans())
-def test_new_shared_part_is_read_at_one_place(order, near):
-    """Many callers ask about a volume that nobody has asked about before.
+def test_new_shared_part_is_prefilled_at_one_upstream(order, near):
+    """Guards against a new shared part that is prefilled at several upstreams.
 
-    Their entry VMs choose before they hear of each other; in whichever
-    domain they are, they have to choose the same upstream.
+    Several entry VMs get requests with it before they receive each other's
+    reports. In any failure domain, they must choose the same upstream.
     """
     chosen = best(LONG, *(candidate(name, same_domain=near) for name in order))
     assert chosen == best(LONG, *map(candidate, ["a", "b", "c", "d"]))
 
 
-def test_new_shared_part_is_read_elsewhere_where_its_place_is_overloaded():
-    place = best(LONG, candidate("a"), candidate("b"))
+def test_new_shared_part_is_prefilled_elsewhere_if_its_upstream_is_overloaded():
+    preferred = best(LONG, candidate("a"), candidate("b"))
     load = loads.Load(waiting_by_tier=(160_000.0,), running=12)
-    other = "b" if place == "a" else "a"
-    assert best(LONG, candidate(place, load=load), candidate(other)) == other
+    other = "b" if preferred == "a" else "a"
+    assert (
+        best(LONG, candidate(preferred, load=load), candidate(other)) == other
+    )
 
 
-def test_part_that_was_read_is_not_read_first_elsewhere():
+def test_cached_part_is_not_prefilled_elsewhere():
     request = dataclasses.replace(LONG, shared_recently=True)
     for name in "ab":
         other = "b" if name == "a" else "a"
@@ -103,7 +105,7 @@
     assert best(SHORT, silent, loaded) == "b"
 
 
-def test_requests_of_one_shared_part_meet_without_any_knowledge():
+def test_new_shared_parts_are_spread_over_all_upstreams():
     names = [f"u-{n}" for n in range(5)]
     first = {
         best(
@@ -143,5 +145,5 @@
 
 
 def test_runner_with_an_overdue_request_is_avoided():
-    dark = candidate("a", load=loads.Load(running=1, overdue=1))
-    assert best(SHORT, dark, candidate("b", same_domain=False)) == "b"
+    unresponsive = candidate("a", load=loads.Load(running=1, overdue=1))
+    assert best(SHORT, unresponsive, candidate("b", same_domain=False)) == "b"
--- a/packages/router/tests/test_division.py
+++ b/packages/router/tests/test_pool_separation.py
@@ -1,14 +1,14 @@
-"""Long prompts beside streams with tight pauses, decided on stale news.
-
-The pattern: one class asks short questions and streams long answers with a
-pause of 0.2 s, another one sends prompts of thousands of tokens, both from
-several entry VMs that hear of each other a tenth of a second late. A runner
-reads 50,000 tokens a second in chunks between the steps of its streams, so
-that a stream is late where some 8,000 tokens are read in one go beside it.
-Rates are those of a maintenance fleet of five runners in a burst of both: 14
-questions and 28 prompts a second for ten seconds, a third of what the runners
-read. News take two tenths of a second in it, from one failure domain to the
-last entry VM of another.
+"""Placement of long prompts and of streams with tight pauses, by stale reports.
+
+The simulated load: one class sends short questions and streams long answers
+with a longest pause of 0.2 s, another one sends prompts of thousands of tokens,
+both through several entry VMs that learn of each other's requests 0.1 s late. A
+runner prefills 50,000 tokens per second in chunks between the steps of its
+streams, so that a stream is late if about 8,000 tokens are prefilled in one go
+at the same runner. The rates are those of a maintenance fleet of five runners
+in a burst of both classes: 14 questions and 28 prompts per second for ten
+seconds, a third of the runners' prefill capacity. Reports take 0.2 s there from
+one failure domain to the last entry VM of another.
 """
 
 import dataclasses
@@ -28,20 +28,20 @@
 
     Parameters
     ----------
-    read_per_second
-        Prompt tokens that a runner reads in a second.
+    prefill_tokens_per_second
+        Prefill rate of a runner.
     tightest_pause_seconds
-        Longest pause of the questions' streams.
+        Longest allowed pause of the questions' streams.
     question_tokens, digest_tokens
-        Prompts; those of digests are the median of a wide distribution.
+        Prompt lengths; that of digests is the median of a wide distribution.
     questions_per_second, digests_per_second
         Rates for each runner.
     """
 
     runners: int = 5
-    read_per_second: float = 50_000.0
+    prefill_tokens_per_second: float = 50_000.0
     tightest_pause_seconds: float = 0.2
-    news_seconds: float = 0.2
+    report_delay_seconds: float = 0.2
     question_tokens: float = 700.0
     digest_tokens: float = 2_000.0
     questions_per_second: float = 2.8
@@ -49,9 +49,11 @@
     names: str = "u"
 
     @property
-    def fatal_tokens(self) -> float:
-        """Tokens that make a stream late when they are read in one go."""
-        return 0.8 * self.read_per_second * self.tightest_pause_seconds
+    def late_threshold_tokens(self) -> float:
+        """Tokens that make a stream late if they are prefilled in one go."""
+        return (
+            0.8 * self.prefill_tokens_per_second * self.tightest_pause_seconds
+        )
 
     def question(self, number: int) -> placement.Request:
         """Return an urgent question."""
@@ -86,16 +88,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Prompt:
-    """A prompt that is read from its sending on, after those before it."""
+    """A prompt, queued at its runner from `sent_at` to `prefilled_at`."""
 
     runner: str
     tokens: float
     sent_at: float
-    read_at: float
+    prefilled_at: float
 
 
 class Fleet:
-    """Runners by a rough model, and what entry VMs have heard of them."""
+    """A simplified model of runners and of the delayed reports about them."""
 
     def __init__(self, deployment):
         self.deployment = deployment
@@ -106,14 +108,16 @@
         self.prompts = []
 
     def backlog(self, runner, now):
-        """Return the tokens that the runner has still to read."""
-        ends = [one.read_at for one in self.prompts if one.runner == runner]
+        """Return the tokens that the runner has yet to prefill."""
+        ends = [
+            one.prefilled_at for one in self.prompts if one.runner == runner
+        ]
         left = max(0.0, max(ends, default=0.0) - now)
-        return left * self.deployment.read_per_second
+        return left * self.deployment.prefill_tokens_per_second
 
-    def heard(self, runner, now):
-        """Return the runner's load as it was heard."""
-        then = now - self.deployment.news_seconds
+    def reported_load(self, runner, now):
+        """Return the runner's load as last reported."""
+        then = now - self.deployment.report_delay_seconds
         running = [
             one
             for one in self.streams
@@ -123,7 +127,7 @@
         waiting = sum(
             one.tokens
             for one in self.prompts
-            if one.runner == runner and one.sent_at <= then < one.read_at
+            if one.runner == runner and one.sent_at <= then < one.prefilled_at
         )
         return loads.Load(
             waiting_by_tier=(0.0, 0.0, waiting),
@@ -132,12 +136,13 @@
         )
 
     def recent_prefill(self, runner, now):
-        """Return the tokens a second that the runner was sent lately."""
-        heard_until = now - self.deployment.news_seconds
+        """Return the reported prefill rate of the last two seconds."""
+        reported_until = now - self.deployment.report_delay_seconds
         recent = sum(
             one.tokens
             for one in self.prompts
-            if one.runner == runner and now - 2.0 <= one.sent_at <= heard_until
+            if one.runner == runner
+            and now - 2.0 <= one.sent_at <= reported_until
         )
         return recent / 2.0
 
@@ -149,7 +154,7 @@
                 slots=64,
                 has_shared=False,
                 same_domain=True,
-                load=self.heard(runner, now),
+                load=self.reported_load(runner, now),
                 recent_prefill=self.recent_prefill(runner, now),
             )
             for runner in self.runners
@@ -158,7 +163,7 @@
         return ranked[0].candidate.upstream
 
     def send(self, request, now, weights):
-        """Place a request; streams beside a long reading become late."""
+        """Place a request; a long prefill makes the runner's streams late."""
         runner = self.choose(request, now, weights)
         backlog = self.backlog(runner, now) + request.prompt_tokens
         self.prompts.append(
@@ -166,14 +171,15 @@
                 runner=runner,
                 tokens=request.prompt_tokens,
                 sent_at=now,
-                read_at=now + backlog / self.deployment.read_per_second,
+                prefilled_at=now
+                + backlog / self.deployment.prefill_tokens_per_second,
             )
         )
         if request.affinity.startswith("question"):
             self.streams.append(
                 Stream(runner=runner, ends_at=now + STREAM_SECONDS)
             )
-        if backlog >= self.deployment.fatal_tokens:
+        if backlog >= self.deployment.late_threshold_tokens:
             for one in self.streams:
                 if one.runner == runner and one.ends_at > now:
                     one.late = True
@@ -201,7 +207,7 @@
     return late / len(fleet.streams)
 
 
-UNDIVIDED = dataclasses.replace(placement.DEFAULT_WEIGHTS, side=0.0)
+WITHOUT_SEPARATION = dataclasses.replace(placement.DEFAULT_WEIGHTS, side=0.0)
 
 
 def mean_late_share(deployment, weights, seeds=6):
@@ -212,15 +218,16 @@
 
 
 def test_streams_with_tight_pauses_stay_apart_from_long_prompts():
-    """A burst of digests comes beside a burst of urgent questions.
+    """Guards against late streams in joint bursts of digests and questions.
 
-    By loads alone, questions and digests run after each other: each long
-    digest finds some questions beside it, and their streams are late.
+    By loads alone, questions and digests follow each other around the pool:
+    each long digest meets some questions at its runner and makes their streams
+    late.
     """
-    undivided = mean_late_share(Deployment(), UNDIVIDED)
-    assert undivided > 0.05
-    divided = mean_late_share(Deployment(), placement.DEFAULT_WEIGHTS)
-    assert divided < 0.1 * undivided
+    unseparated = mean_late_share(Deployment(), WITHOUT_SEPARATION)
+    assert unseparated > 0.05
+    separated = mean_late_share(Deployment(), placement.DEFAULT_WEIGHTS)
+    assert separated < 0.1 * unseparated
 
 
 @pytest.mark.parametrize(
@@ -228,10 +235,10 @@
     [
         Deployment(names="reader"),
         Deployment(runners=3),
-        Deployment(runners=12, news_seconds=0.4),
-        Deployment(read_per_second=20_000.0, digest_tokens=800.0),
+        Deployment(runners=12, report_delay_seconds=0.4),
+        Deployment(prefill_tokens_per_second=20_000.0, digest_tokens=800.0),
         Deployment(
-            read_per_second=100_000.0,
+            prefill_tokens_per_second=100_000.0,
             digest_tokens=4_000.0,
             question_tokens=1_400.0,
         ),
@@ -240,10 +247,10 @@
     ],
     ids=["names", "few", "many", "slow", "fast", "patient", "hasty"],
 )
-def test_division_serves_other_deployments(deployment):
-    """Names, sizes, speeds and pauses are others than those it was made for.
+def test_separation_serves_other_deployments(deployment):
+    """Deployments with other names, sizes, rates and pauses than the tuned one.
 
-    The division must never make more streams late than the loads alone.
+    The separation must never make more streams late than loads alone do.
     """
-    divided = mean_late_share(deployment, placement.DEFAULT_WEIGHTS, seeds=3)
-    assert divided <= mean_late_share(deployment, UNDIVIDED, seeds=3)
+    separated = mean_late_share(deployment, placement.DEFAULT_WEIGHTS, seeds=3)
+    assert separated <= mean_late_share(deployment, WITHOUT_SEPARATION, seeds=3)
--- a/packages/router/tests/test_prompt_locations.py
+++ b/packages/router/tests/test_prompt_locations.py
@@ -1,4 +1,4 @@
-"""Where shared parts of prompts were read."""
+"""Locations of shared prompt parts, and their reports to other entry VMs."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     return prompt_locations.PromptLocations(reuse_seconds=REUSE_SECONDS)
 
 
-def test_part_is_at_its_upstream_until_it_is_old(locations):
+def test_part_is_at_its_upstream_until_its_assumed_eviction(locations):
     locations.record_placement("p", "u-1", now=0.0)
     assert locations.has("p", "u-1", now=1.0)
     assert not locations.has("p", "u-2", now=1.0)
@@ -28,7 +28,7 @@
     assert not locations.used_recently("q", now=0.0)
 
 
-def test_own_placements_are_told_once_and_told_ones_are_not_passed_on(
+def test_own_placements_are_reported_once_and_reported_ones_are_not(
     locations,
 ):
     locations.record_placement("p", "u-1", now=0.0)
@@ -37,7 +37,7 @@
     assert locations.pop_own() == {}
 
 
-def test_a_burst_is_told_in_several_messages(locations):
+def test_burst_is_reported_in_several_messages(locations):
     for number in range(100):
         locations.record_placement(f"p-{number}", "u-1", now=0.0)
     reported = []
@@ -54,11 +54,11 @@
     assert locations.has("p-8999", "u-1", now=0.0)
 
 
-def test_restarted_upstream_has_read_nothing(locations):
-    """A runner starts again under its id: its memory is empty.
+def test_restarted_upstream_has_an_empty_prefix_cache(locations):
+    """A runner restarts under its id with an empty prefix cache.
 
-    Prompts sent there for their shared parts would be read anew, and nobody
-    else is to be told that the parts are there.
+    Prompts must not be sent there for their shared parts, and its placements
+    must not be reported.
     """
     locations.record_placement("p", "u-1", now=0.0)
     locations.record_placement("p", "u-2", now=0.0)
@@ -71,10 +71,11 @@
     assert locations.pop_for_other_domains() == {"p": "u-2"}
 
 
-def test_placements_of_all_are_for_the_neighbours(locations):
-    """A relay tells its neighbours of the whole fleet.
+def test_relay_reports_all_placements_to_its_neighbours(locations):
+    """A relay reports the placements of the whole fleet to its neighbours.
 
-    Other domains are told of this one only: they hear from each domain itself.
+    It reports only those of its own domain to other domains, which get a report
+    from each domain.
     """
     locations.record_placement("own", "u-1", now=0.0)
     locations.apply_report("near", "u-2", now=0.0)
--- a/packages/router/tests/test_reach.py
+++ b/packages/router/tests/test_reach.py
@@ -1,9 +1,9 @@
-"""Quiet and silent failure domains."""
+"""Thresholds of silence of failure domains."""
 
 from lagoonrun_router import reach
 
 
-def test_domain_is_quiet_then_silent_then_forgotten():
+def test_domain_has_dead_connections_then_is_silent_then_expires():
     domains = reach.DomainReach()
     assert not domains.may_have_dead_connections("north", now=0.0)
     domains.record_contact("north", now=0.0)
