--- a/packages/router/src/lagoonrun_router/retry_budget.py
+++ b/packages/router/src/lagoonrun_router/retry_budget.py
@@ -1,9 +1,9 @@
-"""The share of repeated sends that this entry VM may use.
+"""Retry budget of this entry VM.
 
-All entry VMs share one allowance for each pool: a part of the requests of a
-sliding window, and a fixed number. Each takes the part of the requests that
-came to it, and an equal share of the fixed number, so that all together stay
-below the allowance without asking each other.
+All entry VMs share one allowance for each pool: a ratio of the requests in a
+sliding window, plus a fixed number. Each entry VM uses the ratio of its own
+requests and an equal share of the fixed number, so that all together stay
+within the allowance without coordination.
 """
 
 import collections
@@ -12,25 +12,25 @@
 from lagoonrun_core import types
 
 _RESERVE_FRACTION = 0.2
-"""Part of the allowance that is left unused.
+"""Fraction of the allowance that is left unused.
 
-Windows of the entry VMs and of whoever counts don't begin at the same time,
-and the number of entry VMs may be known late.
+The windows of the entry VMs and of whoever enforces the allowance are not
+aligned, and a change of the number of entry VMs is learned late.
 """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Allowance:
-    """What all entry VMs together may repeat for one pool.
+    """Retries that all entry VMs together may send to one pool.
 
     Parameters
     ----------
     ratio
-        Repeats for each request.
+        Retries per request.
     window_seconds
         Length of the sliding window.
     fixed
-        Repeats in any window beside the ratio.
+        Retries in any window in addition to the ratio.
     """
 
     ratio: float
@@ -39,12 +39,12 @@
 
 
 class RetryBudget:
-    """Repeats that may still be sent, by pool.
+    """Counts requests and retries by pool against the shared allowance.
 
     Parameters
     ----------
     allowance
-        What all entry VMs share.
+        Allowance shared by all entry VMs.
     """
 
     def __init__(self, *, allowance: Allowance) -> None:
@@ -53,12 +53,12 @@
         self._requests_by_pool: dict[
             types.PoolName, collections.deque[float]
         ] = collections.defaultdict(collections.deque)
-        self._repeats_by_pool: dict[
+        self._retries_by_pool: dict[
             types.PoolName, collections.deque[float]
         ] = collections.defaultdict(collections.deque)
 
     def set_allowance(self, allowance: Allowance) -> None:
-        """Replace what all entry VMs share."""
+        """Replace the shared allowance."""
         self._allowance = allowance
 
     def set_entry_vm_count(self, entry_vms: int) -> None:
@@ -66,27 +66,27 @@
         self._entry_vm_count = max(1, entry_vms)
 
     def record_request(self, pool: types.PoolName, *, now: float) -> None:
-        """Count a request of a caller."""
+        """Record a request of a caller."""
         requests = self._requests_by_pool[pool]
         requests.append(now)
         self._drop_old(requests, now)
 
     def left(self, pool: types.PoolName, *, now: float) -> float:
-        """Return how many repeats may still be sent now."""
+        """Return how many retries may be sent now."""
         requests = self._requests_by_pool[pool]
-        repeats = self._repeats_by_pool[pool]
+        retries = self._retries_by_pool[pool]
         self._drop_old(requests, now)
-        self._drop_old(repeats, now)
+        self._drop_old(retries, now)
         allowance = self._allowance
         allowed = allowance.ratio * len(requests)
         allowed += allowance.fixed / self._entry_vm_count
-        return allowed * (1.0 - _RESERVE_FRACTION) - len(repeats)
+        return allowed * (1.0 - _RESERVE_FRACTION) - len(retries)
 
     def spend(self, pool: types.PoolName, *, now: float) -> bool:
-        """Count a repeat if one is left; return whether it may be sent."""
+        """Record a retry if the budget allows one; return whether it does."""
         if self.left(pool, now=now) < 1.0:
             return False
-        self._repeats_by_pool[pool].append(now)
+        self._retries_by_pool[pool].append(now)
         return True
 
     def _drop_old(self, times: collections.deque[float], now: float) -> None:
--- a/packages/router/src/lagoonrun_router/retrying.py
+++ b/packages/router/src/lagoonrun_router/retrying.py
@@ -1,4 +1,4 @@
-"""Whether a lost request may be sent to another upstream. Pure decisions."""
+"""Whether a failed attempt may be retried elsewhere. Pure functions."""
 
 import dataclasses
 import enum
@@ -8,47 +8,51 @@
 from lagoonrun_router import call as calls
 
 MAX_UNREACHED = 3
-"""Upstreams that a request fails to reach before its caller is told. Each takes
-0.4 s where it is dark or cut off."""
+"""Upstreams that a request fails to reach before the caller gets an error. Each
+attempt takes 0.4 s if the upstream is unresponsive or cut off."""
 
 MAX_REFUSED = 12
-"""Upstreams that refuse a connection before the caller is told. Each takes a round
-trip; after a crash of a third of a pool, one request in thirty finds three of them
-in a row, until the store lists them no more seconds later."""
+"""Upstreams that refuse a connection before the caller gets an error. Each
+attempt takes one round trip. After a crash of a third of a pool, one request in
+thirty meets three crashed upstreams in a row, until the store removes them
+seconds later."""
 
 MAX_REFUSAL_SECONDS = 0.05
-"""Time within which an upstream that refuses connections has done so: ten round
+"""Maximum duration of an attempt that counts as a refused connection: ten round
 trips between failure domains."""
 
 _MIN_TARGET_FRACTION = 0.25
-"""Part of the target below which another attempt can't succeed any more."""
+"""Remaining time, as a fraction of the target, below which a retry can't
+succeed."""
 
 
 class RetryDecision(enum.Enum):
-    """What becomes of a lost request."""
+    """Whether a failed attempt is followed by another one."""
 
     FREE = "free"
-    """Another send that repeats nothing: no upstream has had the request."""
+    """Retry without drawing on the retry budget: no upstream got the
+    request."""
 
     PAID = "paid"
-    """Another send that draws on the shared budget."""
+    """Retry that draws on the shared retry budget."""
 
     END = "end"
-    """No other send."""
+    """No retry."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SendCounts:
-    """Sends of one request so far.
+    """Attempts of one request so far, by result.
 
     Parameters
     ----------
     reached
-        Upstreams that had the request, those that were not meant left out.
+        Upstreams that received the request and were the intended ones.
     unreached
-        Upstreams that no connection was had to, or that were not meant.
+        Upstreams without a connection, and processes that were not the
+        intended upstream.
     refused
-        Upstreams that refused a connection at once.
+        Upstreams that refused the connection at once.
     """
 
     reached: int = 0
@@ -58,12 +62,12 @@
     def with_lost(
         self, lost: attempt_result.Lost, *, seconds: float
     ) -> "SendCounts":
-        """Return the count with one more lost attempt.
+        """Return the counts with one more failed attempt.
 
         Parameters
         ----------
         seconds
-            How long the attempt took.
+            Duration of the attempt.
         """
         if lost.sent and not lost.misdirected:
             return dataclasses.replace(self, reached=self.reached + 1)
@@ -79,12 +83,12 @@
     *,
     now: float,
 ) -> RetryDecision:
-    """Return whether `call` may go to another upstream.
+    """Return whether `call` may be sent to another upstream.
 
     Parameters
     ----------
     sends
-        All sends so far, the lost one included.
+        All attempts so far, including the failed one.
     """
     target = call.route.profile.target_seconds
     if call.limit_at - now < _MIN_TARGET_FRACTION * min(target, 1.0):
@@ -92,8 +96,9 @@
     if not lost.sent or lost.misdirected:
         if sends.unreached >= MAX_UNREACHED or sends.refused >= MAX_REFUSED:
             return RetryDecision.END
-        # A request at an address that another process has by now counts as
-        # an arrival there, although that process does not run it.
+        # A misdirected request reached another process that now listens at
+        # the address. It counts as an arrival there although it is not run,
+        # so the retry draws on the budget.
         return RetryDecision.PAID if lost.misdirected else RetryDecision.FREE
     if sends.reached >= call.route.profile.maximum_attempts:
         return RetryDecision.END
--- a/packages/router/tests/test_retry_budget.py
+++ b/packages/router/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The shares of all entry VMs stay within what is allowed to all."""
+"""The retries of all entry VMs together stay within the allowance."""
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
@@ -18,7 +18,7 @@
     assert budget(1).left("p", now=0.0) > 7 * budget(8).left("p", now=0.0)
 
 
-def test_requests_earn_repeats_within_the_window():
+def test_requests_earn_retries_within_the_window():
     one = budget(8)
     before = one.left("p", now=0.0)
     for _ in range(100):
@@ -27,14 +27,14 @@
     assert one.left("p", now=10.1) == before
 
 
-def test_pools_do_not_share():
+def test_pools_have_separate_budgets():
     one = budget()
     while one.spend("p", now=0.0):
         pass
     assert one.spend("q", now=0.0)
 
 
-def test_spent_repeats_come_back_after_the_window():
+def test_spent_retries_are_available_after_the_window():
     one = budget()
     while one.spend("p", now=0.0):
         pass
@@ -42,7 +42,7 @@
     assert one.spend("p", now=10.1)
 
 
-# Drawing long lists takes a while where the machine is busy; that is no fault.
+# Drawing long lists is slow on a busy machine, which is not a failure.
 @settings(max_examples=50, suppress_health_check=[HealthCheck.too_slow])
 @given(
     st.lists(
@@ -51,23 +51,23 @@
         max_size=400,
     )
 )
-def test_all_together_never_repeat_too_often(steps):
-    """Eight entry VMs repeat whenever their shares let them.
+def test_retries_of_all_entry_vms_stay_within_the_allowance(steps):
+    """Eight entry VMs retry whenever their shares allow it.
 
-    A service that fails gets all its requests again from all entry VMs at
-    once; together they must stay within the allowance in any window.
+    All of them retry the requests of a failing service at once; together they
+    must stay within the allowance in any window.
     """
     budgets = [budget(8) for _ in range(8)]
     now = 0.0
-    requests, repeats = [], []
+    requests, retries = [], []
     for vm, request, pause in steps:
         now += pause
         if request:
             budgets[vm].record_request("p", now=now)
             requests.append(now)
         while budgets[vm].spend("p", now=now):
-            repeats.append(now)
+            retries.append(now)
         window = now - ALLOWANCE.window_seconds
         recent = sum(1 for at in requests if at >= window)
-        spent = sum(1 for at in repeats if at >= window)
+        spent = sum(1 for at in retries if at >= window)
         assert spent <= ALLOWANCE.ratio * recent + ALLOWANCE.fixed
--- a/packages/router/tests/test_retrying.py
+++ b/packages/router/tests/test_retrying.py
@@ -1,4 +1,4 @@
-"""Which lost requests go to another upstream."""
+"""Which failed attempts are retried at another upstream."""
 
 import pytest
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("route", "what", "sends", "verdict"),
+    ("route", "what", "sends", "decision"),
     [
         (
             ONLY_ONCE,
@@ -67,16 +67,16 @@
         ),
     ],
 )
-def test_verdict(route, what, sends, verdict):
+def test_retry_decision(route, what, sends, decision):
     call = make_call(route=route)
-    assert retrying.decide(call, what, sends, now=1000.0) is verdict
+    assert retrying.decide(call, what, sends, now=1000.0) is decision
 
 
-def test_dead_upstreams_that_refuse_at_once_are_passed_by():
-    """Callers are told "not run" while most of the pool is sound.
+def test_upstreams_that_refuse_connections_are_skipped():
+    """Guards against "not run" errors while most of the pool is healthy.
 
-    A third of the runners crash together; until the store lists them no more,
-    some requests try three of them in a row, each in a thousandth of a second.
+    After a crash of a third of the runners, some requests try three crashed
+    ones in a row, a millisecond each, until the store removes them.
     """
     call = make_call(route=ONLY_ONCE)
     refused = lost(Outcome.NOT_RUN, sent=False)
@@ -92,23 +92,26 @@
     )
 
 
-def test_dark_upstreams_are_tried_three_times():
-    """A request that is given up gets its answer at once, not after seconds."""
-    dark = lost(Outcome.NOT_RUN, sent=False)
+def test_unresponsive_upstreams_are_tried_three_times():
+    """Guards against an error that reaches the caller only after seconds."""
+    unresponsive = lost(Outcome.NOT_RUN, sent=False)
     sends = retrying.SendCounts()
     for _ in range(retrying.MAX_UNREACHED):
-        sends = sends.with_lost(dark, seconds=0.4)
+        sends = sends.with_lost(unresponsive, seconds=0.4)
     call = make_call(route=ONLY_ONCE)
-    assert retrying.decide(call, dark, sends, now=1000.0) is RetryDecision.END
+    assert (
+        retrying.decide(call, unresponsive, sends, now=1000.0)
+        is RetryDecision.END
+    )
 
 
-def test_no_other_send_without_time_for_it():
+def test_no_retry_without_time_for_it():
     call = make_call(route=SAFE, limit_at=1000.05)
-    verdict = retrying.decide(call, lost(), ONCE, now=1000.0)
-    assert verdict is RetryDecision.END
+    decision = retrying.decide(call, lost(), ONCE, now=1000.0)
+    assert decision is RetryDecision.END
 
 
-def test_sends_are_counted_by_whether_an_upstream_had_the_request():
+def test_sends_are_counted_by_whether_an_upstream_got_the_request():
     sends = retrying.SendCounts().with_lost(lost(), seconds=0.4)
     sends = sends.with_lost(lost(Outcome.NOT_RUN, sent=False), seconds=0.4)
     sends = sends.with_lost(
