--- a/packages/router/src/lagoonrun_router/availability.py
+++ b/packages/router/src/lagoonrun_router/availability.py
@@ -1,6 +1,7 @@
-"""Which upstreams of a pool take a request just now.
+"""Which upstreams of a pool accept a request at the moment.
 
-An upstream may have named a limit and have no place left, or have asked for rest.
+An upstream is closed while it has no place left within the rate limit that it
+announced, or while it rests: a back-off that it asked for by Retry-After.
 """
 
 import dataclasses
@@ -17,7 +18,7 @@
 
 
 class ClosedReason(enum.Enum):
-    """Why an upstream takes nothing."""
+    """Why an upstream accepts no request."""
 
     LIMITED = "limited"
     RESTING = "resting"
@@ -25,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClosedUpstream:
-    """An upstream that takes nothing for a while.
+    """An upstream that temporarily accepts no request.
 
     Parameters
     ----------
     wait_seconds
-        Time until it may take a request.
+        Time until it may accept one.
     """
 
     upstream: types.UpstreamId
@@ -40,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Available:
-    """Upstreams that take a request, and those that don't.
+    """Open and closed upstreams.
 
     Parameters
     ----------
     open_by_id
-        Those to choose among; empty where all are closed.
+        Upstreams to choose from; empty if all are closed.
     closed
-        The others, the first to open again first.
+        The others, in the order in which they open again.
     """
 
     open_by_id: Mapping[types.UpstreamId, upstreams.Registration]
@@ -55,12 +56,12 @@
 
 
 class Availability:
-    """Tells the upstreams that take a request from those that don't.
+    """Separates open from closed upstreams.
 
     Parameters
     ----------
     limited
-        Places at limited upstreams.
+        Places at rate-limited upstreams.
     rests
         Rests that upstreams asked for.
     """
@@ -81,7 +82,11 @@
         *,
         now: float,
     ) -> Available:
-        """Divide upstreams; those that others were asked to spare come last."""
+        """Separate the open upstreams from the closed ones.
+
+        Upstreams that asked other entry VMs for a rest are open only if all
+        open ones have done so.
+        """
         if not self._limited.has_closed(now=now) and not self._rests.has_any(
             now=now
         ):
@@ -114,7 +119,7 @@
     def is_resting(
         self, upstream: upstreams.Registration, *, now: float
     ) -> bool:
-        """Return whether an upstream has asked this entry VM for rest."""
+        """Return whether an upstream has asked this entry VM for a rest."""
         instance = running_requests.instance_of(upstream)
         return self._rests.rest_seconds(instance, now=now) > 0.0
 
--- a/packages/router/src/lagoonrun_router/place_bucket.py
+++ b/packages/router/src/lagoonrun_router/place_bucket.py
@@ -1,8 +1,9 @@
-"""Places at one limited upstream, given out one after the other. Pure decisions.
+"""Token bucket of the places at one rate-limited upstream, without I/O.
 
-A token bucket: places come up at the limit's rate, and a few that nobody wanted are
-kept. A higher tier goes first: where one of its requests was turned away, the next
-place waits for it for a moment. Each tier that asks gets a place now and then.
+A place is the right to send one request to a rate-limited upstream. Places
+accrue at the rate of the limit, and a few unused ones are kept. Higher tiers
+take precedence: after a refusal, the next place is reserved for the higher tier
+for a short time. Each tier that asks gets a place at a minimum rate.
 """
 
 import dataclasses
@@ -10,32 +11,34 @@
 from lagoonrun_core import types
 
 FLOOR_SECONDS = 10.0
-"""Time after which a tier that asks gets the next place, whoever else wants it."""
+"""Time after which a tier that asks gets the next place regardless of
+others."""
 
 _BURST_SECONDS = 1.0
-"""Places of so much time are kept while nobody wants them."""
+"""Capacity of the bucket, as the time in which it fills at the limit's rate."""
 
 _MIN_BURST = 2.0
-"""Places that are kept in any case: one that waits for a higher tier, one for all."""
+"""Minimum capacity: one place reserved for a higher tier and one for any
+tier."""
 
 _RETRY_GRACE_SECONDS = 0.5
-"""Time that a caller that was turned away takes to come back, beyond the wait that it
-was told."""
+"""Time that a refused caller takes to retry, beyond the wait that it was given.
+The reservation of its place ends then."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Granted:
-    """One request may be sent."""
+    """A place was acquired: one request may be sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """No place is left now.
+    """No place is available.
 
     Parameters
     ----------
     wait_seconds
-        Time until the next one may come up.
+        Minimum time until the next place.
     """
 
     wait_seconds: float
@@ -45,16 +48,16 @@
 
 
 class PlaceBucket:
-    """Gives out the places of one limit.
+    """Allocates the places of one rate limit.
 
     Parameters
     ----------
     per_second
-        Places that come up in a second; above 0.
+        Places that accrue per second, above 0.
     now
-        Reading of the clock.
+        Monotonic time.
     level
-        Places that are left at the beginning, up to 1.
+        Initial number of places, up to 1.
     """
 
     def __init__(
@@ -67,12 +70,12 @@
         self._floor_due_at_by_tier: dict[types.Tier, float] = {}
 
     def set_rate(self, per_second: float, *, now: float) -> None:
-        """Replace the rate from now on."""
+        """Change the rate from `now` on."""
         self._refill(now)
         self._per_second = per_second
 
     def acquire(self, tier: types.Tier, *, now: float) -> PlaceDecision:
-        """Take a place for a request of a tier, if one is left for it."""
+        """Acquire a place for a request of a tier, if one is available."""
         self._refill(now)
         self._floor_due_at_by_tier.setdefault(tier, now + FLOOR_SECONDS)
         if self._level >= self._required_level(tier, now):
@@ -93,7 +96,10 @@
         self._refilled_at = now
 
     def _required_level(self, tier: types.Tier, now: float) -> float:
-        """Return the level from which a tier may take a place."""
+        """Return the level at which a tier may acquire a place.
+
+        It is one place more while one is reserved for another tier.
+        """
         if self._is_floor_due(tier, now):
             return 1.0
         others = (
--- a/packages/router/src/lagoonrun_router/place_buckets.py
+++ b/packages/router/src/lagoonrun_router/place_buckets.py
@@ -1,4 +1,7 @@
-"""Give out the places at limited upstreams, as the entry VM whose duty that is."""
+"""Places at all rate-limited upstreams, as allocated by one entry VM.
+
+A place is the right to send one request to a rate-limited upstream.
+"""
 
 import random
 
@@ -6,18 +9,18 @@
 from lagoonrun_router import place_bucket, running_requests, upstream_limits
 
 _MAX_BUCKETS = 1024
-"""Buckets that are kept; the one that was asked least lately yields."""
+"""Maximum number of buckets; the least recently used one is evicted."""
 
 
 class PlaceBuckets:
-    """Has a bucket for each limited upstream that is asked for.
+    """Keeps a token bucket for each rate-limited upstream.
 
     Parameters
     ----------
     limits
-        Limits that upstreams have named.
+        Rate limits that upstreams have announced.
     rng
-        Source of the first levels; None where buckets begin empty.
+        Source of random initial levels; None for buckets that begin empty.
     """
 
     def __init__(
@@ -40,12 +43,12 @@
         share: float,
         now: float,
     ) -> place_bucket.PlaceDecision:
-        """Take a place for a request of a tier.
+        """Acquire a place for a request of a tier.
 
         Parameters
         ----------
-        part
-            Part of the limit that is given out here, above 0.
+        share
+            Share of the limit that is allocated here, above 0.
         """
         limit = self._limits.limit_of(instance)
         if limit is None:
@@ -55,7 +58,7 @@
         return bucket.acquire(tier, now=now)
 
     def clear(self) -> None:
-        """Begin anew: what was left over is not to be used any more."""
+        """Drop all buckets, so that no accumulated place is used."""
         self._bucket_by_instance.clear()
 
     def _updated_bucket(
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -1,8 +1,10 @@
-"""Which entry VM gives out the places at an upstream, and how it is reached.
+"""Which entry VM allocates the places at an upstream, and how to reach it.
 
-The relay of the upstream's failure domain does: it is heard by the other relays and
-hears who is lost. An entry VM asks the relay of its own domain, which knows the
-others; that one passes the question on, and the answer comes back directly.
+A place is the right to send one request to a rate-limited upstream. The entry
+VM that allocates places (the giver) is the relay of the upstream's failure
+domain: it exchanges datagrams with the other relays and notices lost entry VMs.
+An entry VM sends its request to the relay of its own domain, which forwards it
+to the giver; the answer is sent back directly.
 """
 
 from collections.abc import Callable
@@ -14,30 +16,31 @@
 from lagoonrun_router import limit_shares, peer_table, reach, settings
 
 _SILENT_SECONDS = 1.0
-"""Silence after which a failure domain is not asked, and has its own part."""
+"""Silence after which a failure domain counts as cut off and has its own
+share."""
 
 
 class Relays(Protocol):
     """The relays of the failure domains."""
 
     def relays_on_duty(self, *, now: float) -> tuple[types.EntryVmId, ...]:
-        """Return the relays of the own failure domain, in their order."""
+        """Return the relays of the own domain, in order of precedence."""
 
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return the relay of another domain that was heard lately."""
+        """Return the relay of another domain, if it was heard from recently."""
 
 
 class PlaceRouting:
-    """Answers where to ask, and which part of a limit falls to this entry VM.
+    """Finds the giver of an upstream's places and counts the fleet for shares.
 
     Parameters
     ----------
     entry_vm, domain
-        This entry VM.
+        This entry VM and its failure domain.
     table, domains, relays
-        The other entry VMs, whether they are heard, and who relays.
+        The other entry VMs, reachability of the domains, and the relays.
     """
 
     def __init__(
@@ -56,25 +59,25 @@
         self._relays = relays
 
     def own_relay(self, *, now: float) -> settings.Address | None:
-        """Return whom to ask; None for this entry VM itself."""
+        """Return the relay of the own domain; None if it is this entry VM."""
         on_duty = self._relays.relays_on_duty(now=now)
         if not on_duty or on_duty[0] == self._entry_vm:
             return None
         return self._table.address_of(on_duty[0])
 
     def is_giver_for(self, upstream_domain: types.FailureDomain) -> bool:
-        """Return whether the own domain gives out the places there."""
+        """Return whether the own domain allocates the places of a domain."""
         return self._giver_domain(upstream_domain) == self._domain
 
     def giver(
         self, upstream_domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return the relay that gives out places; None where it is silent."""
+        """Return the relay that allocates places; None if it is unreachable."""
         giver_domain = self._giver_domain(upstream_domain)
         return self._relays.relay_of(giver_domain, now=now)
 
     def fleet_counts(self, *, now: float) -> limit_shares.FleetCounts:
-        """Return the fleet as it is heard here."""
+        """Return the numbers of known and of reachable entry VMs."""
         near_known = self._table.neighbour_budget_sharers(now=now) + 1
         near = len(self._table.neighbours()) + 1
         silent = near_known - near
@@ -89,7 +92,7 @@
     def _giver_domain(
         self, upstream_domain: types.FailureDomain
     ) -> types.FailureDomain:
-        """Return the upstream's domain, or another where no entry VM is there."""
+        """Return the upstream's domain; a substitute if it has no entry VM."""
         others = self._table.remote_cores_by_domain().keys()
         if upstream_domain == self._domain or upstream_domain in others:
             return upstream_domain
@@ -101,7 +104,7 @@
 def _rendezvous_hash(
     upstream_domain: types.FailureDomain,
 ) -> Callable[[types.FailureDomain], int]:
-    """Return the order of domains for the upstreams of another one."""
+    """Return the key by which domains substitute for one without entry VMs."""
 
     def hash_of(domain: types.FailureDomain) -> int:
         named = f"{upstream_domain}/{domain}"
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -1,9 +1,11 @@
-"""Places for requests at upstreams that have named a limit.
-
-A limit is for all entry VMs together. Shares for each would be of no use: a small part
-of a small limit is less than one request at a time, and the entry VM at which the
-callers are would have no more than the idle ones. So each request takes a place of
-whoever gives them out for that upstream; who can't ask has a part of its own.
+"""Places at rate-limited upstreams: requesting, forwarding and allocating them.
+
+A place is the right to send one request to a rate-limited upstream. A limit
+applies to all entry VMs together. Static shares don't work: a small share of a
+small limit is less than one request at a time, and an entry VM with all the
+callers would get no more than idle ones. So each request acquires a place from
+the entry VM that allocates places for that upstream (the giver); an entry VM
+that can't reach it uses a share of its own.
 """
 
 import asyncio
@@ -30,35 +32,36 @@
 )
 
 _ANSWER_SECONDS = 0.1
-"""Longest wait for a place: a dozen round trips. The request goes elsewhere then."""
+"""Maximum wait for the answer to a place request: a dozen round trips."""
 
 _FALLBACK_SECONDS = 1.0
-"""Time in which nobody is asked again after an answer did not come: until then the
-next relay is known."""
+"""Time for which the own share is used after a missing answer; a new relay has
+taken over by its end."""
 
 _MAX_CLOSED_SECONDS = 1.0
-"""Longest time without another question after a place was refused."""
+"""Maximum time without another place request after a refusal."""
 
 _MIN_CLOSED_SECONDS = 0.02
-"""Shortest time of the same: a few round trips."""
+"""Minimum time without another place request after a refusal: a few round
+trips."""
 
 _NUMBER_BITS = 48
 
 _MAX_TIER = 16
-"""Tiers that are told apart; those below count as the last."""
+"""Lowest tier that is distinguished; those below count as this one."""
 
 
 class Giver(enum.Enum):
-    """Who decided on a place."""
+    """Which entry VM allocated or refused a place."""
 
     FLEET = "fleet"
-    """The entry VM that gives them out for all."""
+    """The giver of the whole fleet."""
 
     DOMAIN = "domain"
-    """The relay of a failure domain that can't ask that one."""
+    """The relay of a failure domain that can't reach the giver."""
 
     SELF = "self"
-    """An entry VM that can't ask its relay."""
+    """An entry VM that can't reach its relay."""
 
 
 _SHARE_BY_GIVER = {
@@ -75,22 +78,22 @@
 
 
 class Places:
-    """Asks for places, passes questions on, and gives places out.
+    """Requests places, forwards the requests of others, and allocates places.
 
     Parameters
     ----------
     configured
         Settings of the process.
     limits
-        Limits that upstreams have named.
+        Rate limits that upstreams have announced.
     routing
-        Where to ask.
+        Finds the giver.
     send
         Sends a message to each address.
     counters
-        Receives the number of places.
+        Metrics; counts places.
     clock, rng
-        Sources of time and of choices.
+        Sources of time and of randomness.
     """
 
     def __init__(
@@ -113,13 +116,14 @@
         self._buckets_by_giver = {
             Giver.FLEET: place_buckets.PlaceBuckets(limits=limits),
             Giver.DOMAIN: place_buckets.PlaceBuckets(limits=limits),
-            # Levels by chance: were all buckets of a fleet empty at first, the
-            # small parts of many entry VMs would come up together much later.
+            # Random initial levels: if all buckets of a fleet began empty, the
+            # small shares of many entry VMs would become available together,
+            # much later.
             Giver.SELF: place_buckets.PlaceBuckets(limits=limits, rng=rng),
         }
         self._own_share_used_at = float("-inf")
         self._fallback_until = float("-inf")
-        # By chance: an answer to the process before must not be taken for one.
+        # Random, so that an answer to the previous process is not accepted.
         self._number = rng.getrandbits(_NUMBER_BITS)
         self._waiting_by_number: dict[
             int, asyncio.Future[router_messages.PlaceAnswer]
@@ -128,7 +132,7 @@
             running_requests.UpstreamInstance, _Closure
         ] = {}
 
-    # As the entry VM that has a request.
+    # Requesting places.
 
     def is_limited(self, upstream: upstreams.Registration) -> bool:
         """Return whether a request needs a place at an upstream."""
@@ -138,7 +142,7 @@
     def closed_seconds(
         self, upstream: upstreams.Registration, tier: types.Tier, *, now: float
     ) -> float:
-        """Return for how long no place is to be had there; 0 where one may be."""
+        """Return how long no place can be acquired; 0 if one may be."""
         instance = running_requests.instance_of(upstream)
         closure = self._closure_by_instance.get(instance)
         if closure is None or now >= closure.until or tier < closure.tier:
@@ -146,7 +150,7 @@
         return closure.until - now if self._limits.limit_of(instance) else 0.0
 
     def has_closed(self, *, now: float) -> bool:
-        """Return whether any upstream has refused a place a moment ago."""
+        """Return whether any upstream is closed after a refusal."""
         for instance, closure in tuple(self._closure_by_instance.items()):
             if now >= closure.until:
                 del self._closure_by_instance[instance]
@@ -159,7 +163,7 @@
         *,
         request_id: types.RequestId,
     ) -> place_bucket.PlaceDecision:
-        """Take a place at an upstream, where it has named a limit."""
+        """Acquire a place at an upstream, if it has announced a limit."""
         instance = running_requests.instance_of(upstream)
         limit = self._limits.limit_of(instance)
         if limit is None:
@@ -197,7 +201,7 @@
         until = now + max(_MIN_CLOSED_SECONDS, seconds)
         closure = self._closure_by_instance.get(instance)
         if closure is not None and now < closure.until and closure.tier < tier:
-            # What a higher tier can't have, a lower one can't have either.
+            # A place that a higher tier can't get, a lower one can't either.
             until = min(until, closure.until)
             tier = closure.tier
         self._closure_by_instance[instance] = _Closure(tier=tier, until=until)
@@ -250,7 +254,7 @@
     async def _request_place(
         self, request: router_messages.PlaceRequest, address: settings.Address
     ) -> router_messages.PlaceAnswer | None:
-        """Return the answer; None where none comes in time."""
+        """Return the answer; None if it does not arrive in time."""
         answer_future = asyncio.get_running_loop().create_future()
         self._waiting_by_number[request.number] = answer_future
         try:
@@ -269,16 +273,16 @@
         finally:
             del self._waiting_by_number[request.number]
 
-    # What peers send.
+    # Messages of peers.
 
     def receive_answer(self, answer: router_messages.PlaceAnswer) -> None:
-        """Take in what was decided on a question of this entry VM."""
+        """Receive the answer to a place request of this entry VM."""
         waiting = self._waiting_by_number.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
     def receive_question(self, request: router_messages.PlaceRequest) -> None:
-        """Answer a question, or pass it on as the relay of who asks."""
+        """Answer a place request, or forward it as the relay of its sender."""
         now = self._clock.monotonic()
         self._limits.apply_report(
             limit_news.statement_of(request.limit, now=now),
@@ -294,8 +298,8 @@
             self._answer(request, Giver.FLEET, decision)
             return
         if request.domain != self._configured.domain:
-            # Its sender takes another domain for the giver than this one does;
-            # no answer makes it use its own part.
+            # The sender assumes another giver than this entry VM does. Without
+            # an answer it uses its own share.
             return
         giver = self._routing.giver(request.upstream_domain, now=now)
         if giver is not None:
@@ -321,7 +325,7 @@
         address = settings.Address(host=request.host, port=request.port)
         self._send(answer, (address,))
 
-    # Giving.
+    # Allocating places.
 
     def _allocate(
         self,
@@ -330,7 +334,7 @@
         tier: types.Tier,
         now: float,
     ) -> place_bucket.PlaceDecision:
-        """Decide on a place here, for the fleet or a part of it."""
+        """Allocate or refuse a place here, for the fleet or a share of it."""
         if giver is Giver.SELF:
             self._reset_unused_own_share(now)
         fleet_counts = self._routing.fleet_counts(now=now)
@@ -339,7 +343,7 @@
         )
 
     def _reset_unused_own_share(self, now: float) -> None:
-        """Save nothing up while others give the places out."""
+        """Drop places that accrued while another entry VM allocated them."""
         if now - self._own_share_used_at > place_bucket.FLOOR_SECONDS:
             self._buckets_by_giver[Giver.SELF].clear()
         self._own_share_used_at = now
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -1,9 +1,9 @@
-"""Limits that upstreams have named, as far as this entry VM knows.
+"""Rate limits that upstreams have announced, as far as this entry VM knows.
 
-An upstream in need names in its answers how many requests a second it takes, and
-leaves that out when it needs it no more. Answers overtake each other, and entry VMs
-tell each other what they were told; so each statement is dated, and an older one
-never replaces a newer one.
+An overloaded upstream announces in its answers how many requests per second it
+accepts, and omits that once it no longer needs a limit. Answers overtake each
+other, and entry VMs report limits to each other; so each statement has a
+timestamp, and an older one never replaces a newer one.
 """
 
 import dataclasses
@@ -13,38 +13,39 @@
 from lagoonrun_router import running_requests, upstream_notice
 
 MIN_PER_SECOND = 0.1
-"""Smallest limit that is taken at its word. Only an answer can end a limit, so an
-upstream that takes nothing at all would never be asked again."""
+"""Minimum effective limit. Only an answer can end a limit, so an upstream with
+a limit of zero would never get a request again."""
 
 UNLIMITED_PER_SECOND = 1000.0
-"""Limit from which an upstream counts as unlimited: far above what one serves."""
+"""Limit from which an upstream counts as unlimited: far above what one
+serves."""
 
 _OWN_ANSWER = "answer"
 
 _REPORTED_DECIMALS = 3
-"""Digits of a limit that messages keep: with more, what an answer says would always
-differ from what a peer has told of it."""
+"""Decimals of a limit, as many as messages keep. With more, the limit in an
+answer would always differ from the one that a peer reports."""
 
 _MAX_TRANSIT_SECONDS = 0.05
-"""Longest usual time of a message: statements that are nearer to each other can't be
-told which is newer, and the one that is known stays."""
+"""Usual maximum transit time of a message. Statements closer in time can't be
+ordered, and the known one is kept."""
 
-_MOST_LIMITS = 1024
-"""Upstreams of which statements are remembered; the oldest statements yield."""
+_MAX_LIMITS = 1024
+"""Maximum number of upstreams with a statement; the oldest one is evicted."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LimitStatement:
-    """What an upstream has said of its limit, the newest that is known.
+    """The newest known statement of an upstream about its rate limit.
 
     Parameters
     ----------
     at
-        Which start of the upstream; one that starts again owes nothing of this.
+        Instance of the upstream; a restarted upstream has no limit.
     requests_per_second
-        For all entry VMs together; None where it names no limit any more.
+        Limit for all entry VMs together; None if the upstream has ended it.
     heard_at
-        Reading of the clock when the answer that said so arrived.
+        Monotonic time at which the answer with the statement arrived.
     """
 
     at: running_requests.UpstreamInstance
@@ -54,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Entry:
-    """A statement, since when it says what it says, and whether heard here."""
+    """A statement, the time of its last change, and whether it is own."""
 
     statement: LimitStatement
     changed_at: float
@@ -72,19 +73,19 @@
     def limit_of(
         self, instance: running_requests.UpstreamInstance
     ) -> float | None:
-        """Return the requests a second that an upstream takes; None for any."""
+        """Return an upstream's limit in requests per second, if it has one."""
         known = self._entry_by_instance.get(instance)
         return known.statement.requests_per_second if known else None
 
     def statement_of(
         self, instance: running_requests.UpstreamInstance
     ) -> LimitStatement | None:
-        """Return what an upstream has said last; None for nothing."""
+        """Return the newest statement of an upstream, if there is one."""
         known = self._entry_by_instance.get(instance)
         return known.statement if known else None
 
     def in_force(self) -> tuple[LimitStatement, ...]:
-        """Return the statements that name a limit."""
+        """Return the statements that set a limit."""
         return tuple(
             one.statement
             for one in self._entry_by_instance.values()
@@ -92,7 +93,7 @@
         )
 
     def own_changes(self, *, since: float) -> tuple[LimitStatement, ...]:
-        """Return what answers to this entry VM have changed since then."""
+        """Return statements received here that changed since then."""
         return tuple(
             one.statement
             for one in self._entry_by_instance.values()
@@ -107,17 +108,16 @@
         sent_at: float,
         now: float,
     ) -> LimitStatement | None:
-        """Take in an answer to a request of this entry VM.
+        """Apply an answer to a request of this entry VM.
 
-        Returns the statement where it changes what is known. An answer may be
-        older than it seems by the time since its request was sent: one that
-        would begin or end a limit counts only where the request was sent after
-        the newest statement was heard.
+        Returns the statement if it changes the limit. The content of an answer
+        may be as old as its request: an answer that would set or end a limit
+        is ignored if its request was sent before the newest statement arrived.
 
         Parameters
         ----------
         sent_at
-            Reading of the clock when the request was written.
+            Monotonic time at which the request was written.
         """
         per_second = _bounded(notice.requests_per_second)
         known = self.statement_of(instance)
@@ -140,7 +140,7 @@
     def apply_report(
         self, statement: LimitStatement, *, source: str, now: float
     ) -> LimitStatement | None:
-        """Take in what a peer was told; return it where that is news."""
+        """Apply a peer's report; return the statement if it is a change."""
         bounded = dataclasses.replace(
             statement,
             requests_per_second=_bounded(statement.requests_per_second),
@@ -148,7 +148,7 @@
         known = self.statement_of(statement.at)
         if known is not None and (
             bounded.requests_per_second == known.requests_per_second
-            # The age of a statement leaves the time on the way out.
+            # The reported age does not include the transit time.
             or bounded.heard_at <= known.heard_at + _MAX_TRANSIT_SECONDS
         ):
             return None
@@ -157,7 +157,7 @@
     def forget_instance(
         self, instance: running_requests.UpstreamInstance
     ) -> None:
-        """Forget what an upstream said before it started again."""
+        """Drop the statement of the previous instance of an upstream."""
         self._entry_by_instance.pop(instance, None)
 
     def _apply(
@@ -171,7 +171,7 @@
             changed_at=now if changed or known is None else known.changed_at,
             own=source == _OWN_ANSWER,
         )
-        while len(self._entry_by_instance) > _MOST_LIMITS:
+        while len(self._entry_by_instance) > _MAX_LIMITS:
             del self._entry_by_instance[next(iter(self._entry_by_instance))]
         if not changed:
             return None
--- a/packages/router/tests/test_limited_upstreams.py
+++ b/packages/router/tests/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""An upstream that names a limit for all entry VMs together, over real sockets."""
+"""An upstream that announces a limit for all entry VMs, over real sockets."""
 
 import asyncio
 import collections
@@ -11,49 +11,50 @@
 
 LIMIT = 1.0
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
-"""Time from which an entry VM that was told has to keep to a limit."""
+GRACE_SECONDS = 0.5
+"""Time after which an entry VM must keep to a limit that it has received."""
 
 ENTRY_VMS = 3
 UPSTREAMS = 3
 
 
 class LimitedUpstream:
-    """Answers at once, and may name a limit.
+    """Answers at once, and may announce a limit.
 
     Attributes
     ----------
     limit
-        What its answers name; None for nothing.
+        Limit announced in its answers; None for no limit.
     counted
-        Times of the requests from entry VMs that had been told for a while.
+        Times of requests from entry VMs that received the limit earlier than
+        `GRACE_SECONDS` before.
     """
 
     def __init__(self):
         self.limit = None
         self.counted = []
         self.arrivals = 0
-        self._told_at_by_vm = {}
+        self._informed_at_by_vm = {}
 
     async def answer(self, exchange):
         """Answer one request."""
         now = time.monotonic()
         self.arrivals += 1
         vm = exchange.head.headers.get("Sent-To")
-        if now - self._told_at_by_vm.get(vm, now) >= TOLD_SECONDS:
+        if now - self._informed_at_by_vm.get(vm, now) >= GRACE_SECONDS:
             self.counted.append(now)
-        more = {}
+        extra_headers = {}
         if self.limit is not None:
-            self._told_at_by_vm.setdefault(vm, now)
-            more["Limit"] = str(self.limit)
+            self._informed_at_by_vm.setdefault(vm, now)
+            extra_headers["Limit"] = str(self.limit)
         else:
-            self._told_at_by_vm.clear()
+            self._informed_at_by_vm.clear()
         await exchange.respond(
-            status=200, headers=marked(exchange, **more), body=b"whole"
+            status=200, headers=marked(exchange, **extra_headers), body=b"whole"
         )
 
-    def most_in_a_window(self):
-        """Return the most counted requests in any window."""
+    def max_in_a_window(self):
+        """Return the maximum number of counted requests in any window."""
         return max(
             (
                 sum(at <= one < at + WINDOW_SECONDS for one in self.counted)
@@ -64,7 +65,7 @@
 
 
 async def fleet(world_of, limited, route=None, *, domains=("north",) * 3):
-    """Return entry VMs that know each other and a pool with one limited."""
+    """Return connected entry VMs and a pool with one limited upstream."""
     worlds = [
         await world_of(name=f"vm-{number}", domain=domain)
         for number, domain in enumerate(domains)
@@ -77,16 +78,16 @@
         await world.ready()
         for number in range(UPSTREAMS):
             await wait_for(lambda w=world, n=number: w.knows(f"u-{n}"))
-        near = domains.count(world.settings.domain) - 1
-        await wait_for(lambda w=world, n=near: w.router.peer_count >= n)
+        neighbours = domains.count(world.settings.domain) - 1
+        await wait_for(lambda w=world, n=neighbours: w.router.peer_count >= n)
     return worlds
 
 
 async def send(worlds, *, seconds, per_second):
-    """Send requests to all entry VMs in turn; return how many got each status."""
+    """Send requests to all entry VMs in turn; return the number by status."""
     statuses = collections.Counter()
-    asking = []
-    began = time.monotonic()
+    tasks = []
+    started_at = time.monotonic()
     number = 0
 
     async def ask(vm, id):
@@ -95,29 +96,29 @@
         )
         statuses[got.status] += 1
 
-    while time.monotonic() - began < seconds:
-        asking.append(
+    while time.monotonic() - started_at < seconds:
+        tasks.append(
             asyncio.create_task(ask(number % len(worlds), f"r-{number}"))
         )
         number += 1
         await asyncio.sleep(1.0 / per_second)
-    await asyncio.gather(*asking)
+    await asyncio.gather(*tasks)
     return statuses
 
 
 async def test_limit_holds_for_all_entry_vms_together(world_of):
-    """Guards against an upstream in need that gets as much as before."""
+    """Guards against a limit that does not reduce an upstream's requests."""
     limited = LimitedUpstream()
     worlds = await fleet(world_of, limited)
     limited.limit = LIMIT
     statuses = await send(worlds, seconds=6.0, per_second=40)
     allowed = 1.5 * LIMIT * WINDOW_SECONDS + 5
-    assert limited.most_in_a_window() <= allowed
+    assert limited.max_in_a_window() <= allowed
     assert set(statuses) == {200}
 
 
 async def test_limit_holds_across_failure_domains(world_of):
-    """Guards against domains that each use the whole limit."""
+    """Guards against failure domains that each use the whole limit."""
     limited = LimitedUpstream()
     worlds = await fleet(
         world_of, limited, domains=("north", "north", "south", "south")
@@ -125,13 +126,13 @@
     limited.limit = LIMIT
     statuses = await send(worlds, seconds=6.0, per_second=40)
     allowed = 1.5 * LIMIT * WINDOW_SECONDS + 5
-    assert limited.most_in_a_window() <= allowed
+    assert limited.max_in_a_window() <= allowed
     assert limited.arrivals >= 0.5 * LIMIT * 6.0
     assert set(statuses) == {200}
 
 
-async def test_other_entry_vms_hear_of_a_limit_without_being_told_it(world_of):
-    """Guards against each entry VM learning of a limit by a request of its own."""
+async def test_limit_is_reported_to_other_entry_vms(world_of):
+    """Guards against entry VMs that learn of a limit only by own requests."""
     limited = LimitedUpstream()
     worlds = await fleet(world_of, limited, domains=("north", "north", "south"))
     limited.limit = LIMIT
@@ -141,8 +142,8 @@
         await wait_for(lambda w=world: limits_known(w))
 
 
-async def test_end_of_a_limit_is_found_out_and_told(world_of):
-    """Guards against an upstream that stays limited when it needs it no more."""
+async def test_end_of_a_limit_is_detected_and_reported(world_of):
+    """Guards against a limit that outlasts the upstream's overload."""
     limited = LimitedUpstream()
     worlds = await fleet(world_of, limited)
     limited.limit = 5.0
@@ -157,8 +158,8 @@
     assert limited.arrivals - before >= 60 / UPSTREAMS / 2
 
 
-async def test_pool_that_is_limited_as_a_whole_refuses_at_once(world_of):
-    """Guards against callers that wait for a place until they give up."""
+async def test_pool_without_unlimited_upstreams_rejects_at_once(world_of):
+    """Guards against callers that wait for a place until they disconnect."""
     limited = LimitedUpstream()
     world = await world_of()
     await world.declare(make_route(), revision=2)
@@ -166,9 +167,9 @@
     await world.ready()
     limited.limit = 0.2
     await ask(world)
-    began = time.monotonic()
+    started_at = time.monotonic()
     refused = await ask(world)
-    assert time.monotonic() - began < 0.5
+    assert time.monotonic() - started_at < 0.5
     assert refused.status == 503
     assert refused.headers["lagoonrun-outcome"] == "not-run"
     assert refused.headers["lagoonrun-reason"] == "upstreams-limited"
@@ -176,8 +177,8 @@
     assert limited.arrivals == 1
 
 
-async def test_second_send_takes_a_place_as_well(world_of):
-    """Guards against retries that pass by the limit."""
+async def test_retry_acquires_a_place_as_well(world_of):
+    """Guards against retries that bypass the limit."""
     limited = LimitedUpstream()
     world = await world_of()
     route = make_route(idempotent=True, maximum_attempts=3)
@@ -192,8 +193,8 @@
     assert {one.status for one in answers} <= {200, 500, 503}
 
 
-async def test_upstream_that_starts_again_owes_nothing(world_of):
-    """Guards against a limit that outlives the process that named it."""
+async def test_restarted_upstream_has_no_limit(world_of):
+    """Guards against a limit that outlives the process that announced it."""
     limited = LimitedUpstream()
     world = await world_of()
     await world.declare(make_route(), revision=2)
@@ -212,11 +213,11 @@
 
 
 async def ask(world):
-    """Send a request with an id of its own, which decides where it goes."""
+    """Send a request with a new id, which affects its placement."""
     id = f"one-{next(_NUMBERS)}"
     return await world.ask("/lookups/1", id=id, headers=("Sent-To: 0",))
 
 
 def limits_known(world):
-    """Return whether an entry VM knows of a limit."""
+    """Return whether an entry VM knows of any limit."""
     return bool(world.router.exchange.notices.limits.in_force())
--- a/packages/router/tests/test_place_bucket.py
+++ b/packages/router/tests/test_place_bucket.py
@@ -1,4 +1,4 @@
-"""Places of one limit: never more than come up, the higher tier first."""
+"""The token bucket of one limit: its rate, and precedence of higher tiers."""
 
 import hypothesis
 import pytest
@@ -18,25 +18,25 @@
     return isinstance(bucket.acquire(tier, now=now), place_bucket.Granted)
 
 
-def test_places_come_up_at_the_rate():
+def test_places_accrue_at_the_rate():
     bucket = bucket_of(2.0)
-    taken = [
+    granted_at = [
         now
         for now in (NOW + step / 100 for step in range(1000))
         if granted(bucket, 1, now)
     ]
-    assert 19 <= len(taken) <= 20
+    assert 19 <= len(granted_at) <= 20
 
 
-def test_refusal_tells_when_the_next_place_comes_up():
+def test_refusal_has_the_time_until_the_next_place():
     bucket = bucket_of(0.5)
     refused = bucket.acquire(1, now=NOW)
     assert refused == place_bucket.Refused(wait_seconds=2.0)
     assert granted(bucket, 1, NOW + 2.0)
 
 
-def test_higher_tier_has_the_next_place():
-    """Guards against lower tiers that take the places of higher ones."""
+def test_next_place_is_reserved_for_the_higher_tier():
+    """Guards against lower tiers that acquire the places of higher ones."""
     bucket = bucket_of(1.0)
     assert not granted(bucket, 1, NOW + 0.5)
     assert not granted(bucket, 3, NOW + 1.0)
@@ -44,14 +44,14 @@
     assert granted(bucket, 3, NOW + 2.2)
 
 
-def test_place_is_not_kept_for_a_caller_that_does_not_come_back():
+def test_reservation_ends_if_the_caller_does_not_retry():
     bucket = bucket_of(1.0)
     assert not granted(bucket, 1, NOW + 0.5)
     assert granted(bucket, 3, NOW + 1.6)
 
 
 def test_every_tier_is_served_while_a_higher_one_takes_all():
-    """Guards against a class that is never served at limited upstreams."""
+    """Guards against a tier that never gets a place at a limited upstream."""
     bucket = bucket_of(1.0)
     lower = 0
     for step in range(3000):
@@ -76,24 +76,26 @@
         max_size=200,
     ),
 )
-def test_no_window_has_more_than_come_up_and_were_kept(per_second, asked):
+def test_no_window_exceeds_the_rate_and_the_burst(per_second, requests):
     bucket = bucket_of(per_second)
     now = NOW
-    taken = []
-    for pause, tier in asked:
+    granted_at = []
+    for pause, tier in requests:
         now += pause
         if granted(bucket, tier, now):
-            taken.append(now)
-    most = per_second * WINDOW_SECONDS + max(2.0, per_second)
-    for begin in taken:
+            granted_at.append(now)
+    max_granted = per_second * WINDOW_SECONDS + max(2.0, per_second)
+    for begin in granted_at:
         end = begin + WINDOW_SECONDS
-        assert sum(begin <= one <= end for one in taken) <= most + 1e-6
+        assert (
+            sum(begin <= one <= end for one in granted_at) <= max_granted + 1e-6
+        )
 
 
 @pytest.mark.parametrize("per_second", [0.1, 1.4, 30.0])
 def test_most_of_the_limit_is_used(per_second):
     bucket = bucket_of(per_second)
-    taken = sum(
+    granted_at = sum(
         granted(bucket, 1, NOW + step / 200) for step in range(200 * 60)
     )
-    assert taken >= 0.95 * per_second * 60 - 1
+    assert granted_at >= 0.95 * per_second * 60 - 1
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Places at a limited upstream in fleets of several sizes, without a network."""
+"""Places at a rate-limited upstream in several fleets, without a network."""
 
 import dataclasses
 import random
@@ -24,21 +24,21 @@
 WINDOW_SECONDS = 4.0
 STEP_SECONDS = 0.02
 UPSTREAM = make_registration("u-1", domain="domain-0", start=3)
-AT = running_requests.instance_of(UPSTREAM)
+INSTANCE = running_requests.instance_of(UPSTREAM)
 
 
 @dataclasses.dataclass
 class Fleet:
-    """Entry VMs whose messages arrive at once, unless something is cut.
+    """Entry VMs whose messages arrive at once, except across partitions.
 
     Attributes
     ----------
     silent
-        Failure domains that others hear nothing of.
+        Failure domains that are cut off from the others.
     lost
-        Names of entry VMs that neither hear nor are heard.
-    deaf_seconds
-        Whether nobody has noticed yet what is silent or lost.
+        Names of entry VMs that neither send nor receive.
+    detected
+        Whether the entry VMs have detected what is silent or lost.
     """
 
     clock: clocks.ManualClock
@@ -47,7 +47,7 @@
     vms: list = dataclasses.field(default_factory=list)
     silent: set = dataclasses.field(default_factory=set)
     lost: set = dataclasses.field(default_factory=set)
-    noticed: bool = True
+    detected: bool = True
     sent: int = 0
 
     def start(self):
@@ -55,32 +55,32 @@
         self.vms = [Vm(self, number) for number in range(self.size)]
         return self
 
-    def near(self, domain):
+    def neighbours(self, domain):
         """Return the entry VMs of a failure domain."""
         return [one for one in self.vms if one.domain == domain]
 
     def relay(self, domain):
-        """Return who relays there, as far as it was noticed."""
-        living = [
+        """Return the relay of a domain, lost ones until that is detected."""
+        remaining = [
             one
-            for one in self.near(domain)
-            if one.name not in self.lost or not self.noticed
+            for one in self.neighbours(domain)
+            if one.name not in self.lost or not self.detected
         ]
-        return living[0]
+        return remaining[0]
 
-    def hears(self, one, other):
-        """Return whether a message gets from one to the other."""
+    def reaches(self, one, other):
+        """Return whether a message from one reaches the other."""
         if {one.name, other.name} & self.lost:
             return one is other
         if one.domain == other.domain:
             return True
         return not self.silent & {one.domain, other.domain}
 
-    def tell(self, per_second, *, age=0.0):
-        """Have all hear of a limit."""
+    def announce_limit(self, per_second, *, age=0.0):
+        """Apply an answer with a limit at all entry VMs."""
         for one in self.vms:
             one.limits.apply_answer(
-                AT,
+                INSTANCE,
                 upstream_notice.UpstreamNotice(requests_per_second=per_second),
                 sent_at=self.clock.monotonic() - age,
                 now=self.clock.monotonic() - age,
@@ -88,7 +88,7 @@
 
 
 class Vm:
-    """One entry VM, with its view of the fleet as its routing."""
+    """One entry VM, which implements the routing of its own `Places`."""
 
     def __init__(self, fleet, number):
         self._fleet = fleet
@@ -114,7 +114,7 @@
             other = next(
                 one for one in self._fleet.vms if one.address == address
             )
-            if not self._fleet.hears(self, other):
+            if not self._fleet.reaches(self, other):
                 continue
             if isinstance(message, places.router_messages.PlaceRequest):
                 other.places.receive_question(message)
@@ -122,31 +122,31 @@
                 other.places.receive_answer(message)
 
     def own_relay(self, *, now):
-        """Return whom to ask."""
+        """Return the address of the relay; None for the relay itself."""
         relay = self._fleet.relay(self.domain)
         return None if relay is self else relay.address
 
     def is_giver_for(self, upstream_domain):
-        """Return whether the own domain is the upstream's."""
+        """Return whether the upstream is in the own domain."""
         return upstream_domain == self.domain
 
     def giver(self, upstream_domain, *, now):
-        """Return the relay there, unless it is silent."""
+        """Return the relay of a domain, unless it is silent."""
         silent = self._fleet.silent & {upstream_domain, self.domain}
-        if silent and self._fleet.noticed:
+        if silent and self._fleet.detected:
             return None
         return self._fleet.relay(upstream_domain).address
 
     def fleet_counts(self, *, now):
-        """Return the fleet as it is heard."""
+        """Return the fleet as it is known and reachable."""
         fleet = self._fleet
-        heard = [one for one in fleet.vms if fleet.hears(self, one)]
-        if not fleet.noticed:
-            heard = fleet.vms
+        reachable = [one for one in fleet.vms if fleet.reaches(self, one)]
+        if not fleet.detected:
+            reachable = fleet.vms
         return limit_shares.FleetCounts(
             known=len(fleet.vms),
-            near=sum(one.domain == self.domain for one in heard),
-            silent=len(fleet.vms) - len(heard),
+            near=sum(one.domain == self.domain for one in reachable),
+            silent=len(fleet.vms) - len(reachable),
         )
 
 
@@ -164,14 +164,14 @@
 
 @pytest.fixture(autouse=True)
 def short_answers(monkeypatch):
-    """Do not wait long for answers that will not come."""
+    """Shorten the wait for missing answers."""
     monkeypatch.setattr(places, "_ANSWER_SECONDS", 0.001)
 
 
 async def granted_in(fleet, askers, *, seconds, per_second, seed=1):
-    """Return the times of granted places while some entry VMs ask at random."""
+    """Return the times of places granted to random entry VMs."""
     rng = random.Random(seed)
-    taken = []
+    granted_at = []
     end = fleet.clock.monotonic() + seconds
     while fleet.clock.monotonic() < end:
         fleet.clock.advance(STEP_SECONDS)
@@ -181,17 +181,17 @@
         vm = rng.choice(askers)
         if vm.places.closed_seconds(UPSTREAM, 1, now=now):
             continue
-        verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
-        if isinstance(verdict, place_bucket.Granted):
-            taken.append(now)
-    return taken
+        decision = await vm.places.acquire(UPSTREAM, 1, request_id="r")
+        if isinstance(decision, place_bucket.Granted):
+            granted_at.append(now)
+    return granted_at
 
 
-def most_in_a_window(taken):
-    """Return the most places in any window."""
+def max_in_a_window(granted_at):
+    """Return the maximum number of places granted in any window."""
     return max(
-        sum(begin <= one < begin + WINDOW_SECONDS for one in taken)
-        for begin in taken
+        sum(begin <= one < begin + WINDOW_SECONDS for one in granted_at)
+        for begin in granted_at
     )
 
 
@@ -204,96 +204,104 @@
 async def test_limit_is_kept_and_used_in_fleets_of_any_size(
     clock, domains, size, where
 ):
-    """Guards against shares too small to use, and shares that add up to more."""
+    """Guards against shares too small to use or larger than the limit."""
     fleet = Fleet(clock=clock, domains=domains, size=size).start()
-    fleet.tell(LIMIT)
+    fleet.announce_limit(LIMIT)
     askers = fleet.vms if where == "all" else fleet.vms[-1:]
-    taken = await granted_in(fleet, askers, seconds=40.0, per_second=8.0)
-    assert most_in_a_window(taken) <= ALLOWED
-    assert len(taken) >= 0.75 * LIMIT * 40.0
+    granted_at = await granted_in(fleet, askers, seconds=40.0, per_second=8.0)
+    assert max_in_a_window(granted_at) <= ALLOWED
+    assert len(granted_at) >= 0.75 * LIMIT * 40.0
 
 
 @pytest.mark.parametrize(("domains", "size"), SIZES)
-async def test_sides_of_a_cut_have_no_more_together(clock, domains, size):
-    """Guards against a cut that gives each side the whole limit."""
+async def test_sides_of_a_partition_together_keep_the_limit(
+    clock, domains, size
+):
+    """Guards against a partition that gives each side the whole limit."""
     fleet = Fleet(clock=clock, domains=domains, size=size).start()
-    fleet.tell(LIMIT)
+    fleet.announce_limit(LIMIT)
     fleet.silent = {"domain-1"}
-    fleet.noticed = False
-    taken = await granted_in(fleet, fleet.vms, seconds=1.0, per_second=8.0)
-    fleet.noticed = True
-    taken += await granted_in(fleet, fleet.vms, seconds=30.0, per_second=8.0)
-    assert most_in_a_window(taken) <= ALLOWED
-    assert len(taken) >= 0.5 * LIMIT * 30.0
+    fleet.detected = False
+    granted_at = await granted_in(fleet, fleet.vms, seconds=1.0, per_second=8.0)
+    fleet.detected = True
+    granted_at += await granted_in(
+        fleet, fleet.vms, seconds=30.0, per_second=8.0
+    )
+    assert max_in_a_window(granted_at) <= ALLOWED
+    assert len(granted_at) >= 0.5 * LIMIT * 30.0
 
 
 @pytest.mark.parametrize(("domains", "size"), SIZES)
-async def test_loss_of_the_giver_neither_stops_nor_opens_the_upstream(
+async def test_limit_is_kept_and_used_after_the_loss_of_the_giver(
     clock, domains, size
 ):
-    """Guards against a limit that nobody keeps, or that nobody may use."""
+    """Guards against a limit that is exceeded or unused without its giver."""
     fleet = Fleet(clock=clock, domains=domains, size=size).start()
-    fleet.tell(LIMIT)
-    taken = await granted_in(fleet, fleet.vms, seconds=5.0, per_second=8.0)
+    fleet.announce_limit(LIMIT)
+    granted_at = await granted_in(fleet, fleet.vms, seconds=5.0, per_second=8.0)
     lost = fleet.relay("domain-0")
     fleet.lost = {lost.name}
-    living = [one for one in fleet.vms if one is not lost]
-    fleet.noticed = False
-    taken += await granted_in(fleet, living, seconds=1.0, per_second=8.0)
-    fleet.noticed = True
-    after = await granted_in(fleet, living, seconds=20.0, per_second=8.0)
-    assert most_in_a_window(taken + after) <= ALLOWED
+    remaining = [one for one in fleet.vms if one is not lost]
+    fleet.detected = False
+    granted_at += await granted_in(
+        fleet, remaining, seconds=1.0, per_second=8.0
+    )
+    fleet.detected = True
+    after = await granted_in(fleet, remaining, seconds=20.0, per_second=8.0)
+    assert max_in_a_window(granted_at + after) <= ALLOWED
     assert len(after) >= 0.6 * LIMIT * 20.0
 
 
 async def test_entry_vm_that_joins_asks_as_the_others_do(clock):
     fleet = Fleet(clock=clock, domains=3, size=7).start()
-    fleet.tell(LIMIT)
-    taken = await granted_in(fleet, fleet.vms, seconds=8.0, per_second=8.0)
+    fleet.announce_limit(LIMIT)
+    granted_at = await granted_in(fleet, fleet.vms, seconds=8.0, per_second=8.0)
     fleet.vms.append(Vm(fleet, 7))
-    fleet.tell(LIMIT)
-    taken += await granted_in(fleet, fleet.vms, seconds=8.0, per_second=8.0)
-    assert most_in_a_window(taken) <= ALLOWED
+    fleet.announce_limit(LIMIT)
+    granted_at += await granted_in(
+        fleet, fleet.vms, seconds=8.0, per_second=8.0
+    )
+    assert max_in_a_window(granted_at) <= ALLOWED
 
 
-async def test_refused_request_does_not_ask_again_until_a_place_comes_up(clock):
-    """Guards against a storm of questions while a whole pool is limited."""
+async def test_refused_request_does_not_ask_again_until_the_next_place(clock):
+    """Guards against repeated place requests while a whole pool is limited."""
     fleet = Fleet(clock=clock, domains=3, size=7).start()
-    fleet.tell(0.5)
+    fleet.announce_limit(0.5)
     vm = fleet.vms[4]
-    verdict = await vm.places.acquire(UPSTREAM, 2, request_id="r")
-    assert isinstance(verdict, place_bucket.Refused)
+    decision = await vm.places.acquire(UPSTREAM, 2, request_id="r")
+    assert isinstance(decision, place_bucket.Refused)
     now = clock.monotonic()
     assert vm.places.closed_seconds(UPSTREAM, 2, now=now) > 0.0
     assert vm.places.closed_seconds(UPSTREAM, 3, now=now) > 0.0
     assert vm.places.closed_seconds(UPSTREAM, 1, now=now) == 0.0
-    fleet.tell(None, age=-0.1)
+    fleet.announce_limit(None, age=-0.1)
     assert vm.places.closed_seconds(UPSTREAM, 2, now=now) == 0.0
 
 
-async def test_question_brings_the_news_of_the_limit(clock):
-    """Guards against a giver that has not heard of the limit yet."""
+async def test_place_request_reports_the_limit_to_the_giver(clock):
+    """Guards against a giver that does not know of the limit yet."""
     fleet = Fleet(clock=clock, domains=3, size=7).start()
     vm = fleet.vms[4]
     vm.limits.apply_answer(
-        AT,
+        INSTANCE,
         upstream_notice.UpstreamNotice(requests_per_second=LIMIT),
         sent_at=clock.monotonic(),
         now=clock.monotonic(),
     )
-    verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
-    assert isinstance(verdict, place_bucket.Refused)
-    assert fleet.relay("domain-0").limits.limit_of(AT) == LIMIT
+    decision = await vm.places.acquire(UPSTREAM, 1, request_id="r")
+    assert isinstance(decision, place_bucket.Refused)
+    assert fleet.relay("domain-0").limits.limit_of(INSTANCE) == LIMIT
 
 
 async def test_limit_that_ended_needs_no_place(clock):
     fleet = Fleet(clock=clock, domains=3, size=7).start()
-    fleet.tell(LIMIT)
+    fleet.announce_limit(LIMIT)
     clock.advance(1.0)
-    fleet.tell(None)
+    fleet.announce_limit(None)
     for vm in fleet.vms:
-        verdict = await vm.places.acquire(UPSTREAM, 1, request_id="r")
-        assert isinstance(verdict, place_bucket.Granted)
+        decision = await vm.places.acquire(UPSTREAM, 1, request_id="r")
+        assert isinstance(decision, place_bucket.Granted)
     assert fleet.sent == 0
 
 
@@ -301,25 +309,25 @@
     strategies.lists(strategies.integers(1, 40), min_size=1, max_size=6),
     strategies.data(),
 )
-def test_parts_of_all_sides_are_one_at_most(sizes, data):
-    """Each failure domain is heard by that of the upstream or not, as drawn."""
+def test_shares_of_all_sides_add_up_to_one_at_most(sizes, data):
+    """Each domain is reachable from the upstream's domain or not, as drawn."""
     known = sum(sizes)
-    heard = [True] + [data.draw(strategies.booleans()) for _ in sizes[1:]]
-    lost_near = data.draw(strategies.integers(0, sizes[0] - 1))
-    silent = lost_near + sum(
-        size for size, one in zip(sizes, heard, strict=True) if not one
+    reachable = [True] + [data.draw(strategies.booleans()) for _ in sizes[1:]]
+    lost_neighbours = data.draw(strategies.integers(0, sizes[0] - 1))
+    silent = lost_neighbours + sum(
+        size for size, one in zip(sizes, reachable, strict=True) if not one
     )
     total = limit_shares.giver_share(
         limit_shares.FleetCounts(known=known, near=sizes[0], silent=silent)
     )
-    for size, one in zip(sizes, heard, strict=True):
+    for size, one in zip(sizes, reachable, strict=True):
         if not one:
             total += limit_shares.domain_share(
                 limit_shares.FleetCounts(
                     known=known, near=size, silent=known - size
                 )
             )
-    total += lost_near * limit_shares.single_share(
+    total += lost_neighbours * limit_shares.single_share(
         limit_shares.FleetCounts(known=known, near=1, silent=known - 1)
     )
     assert total <= 1.0 + 1e-9
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -1,4 +1,4 @@
-"""What is believed of the limits that upstreams name in their answers."""
+"""Known limits, from answers of upstreams and reports of peers."""
 
 import pytest
 
@@ -9,7 +9,7 @@
     upstream_notice,
 )
 
-AT = running_requests.UpstreamInstance(upstream="u-1", start=7)
+INSTANCE = running_requests.UpstreamInstance(upstream="u-1", start=7)
 NOW = 1000.0
 NO_NOTICE = upstream_notice.NO_NOTICE
 
@@ -19,64 +19,64 @@
     return upstream_limits.UpstreamLimits()
 
 
-def answer(limits, per_second, *, at=AT, sent_at=None, now=NOW):
+def apply_answer(limits, per_second, *, at=INSTANCE, sent_at=None, now=NOW):
     notice = upstream_notice.UpstreamNotice(requests_per_second=per_second)
     return limits.apply_answer(
         at, notice, sent_at=now if sent_at is None else sent_at, now=now
     )
 
 
-def told(limits, per_second, *, heard_at, now=NOW):
+def apply_report(limits, per_second, *, heard_at, now=NOW):
     statement = upstream_limits.LimitStatement(
-        at=AT, requests_per_second=per_second, heard_at=heard_at
+        at=INSTANCE, requests_per_second=per_second, heard_at=heard_at
     )
     return limits.apply_report(statement, source="vm-2", now=now)
 
 
 def test_limit_holds_until_an_answer_names_none(limits):
-    assert answer(limits, 1.5)
-    assert limits.limit_of(AT) == 1.5
-    assert answer(limits, 2.0, now=NOW + 1)
-    assert limits.limit_of(AT) == 2.0
-    assert answer(limits, None, now=NOW + 2).requests_per_second is None
-    assert limits.limit_of(AT) is None
+    assert apply_answer(limits, 1.5)
+    assert limits.limit_of(INSTANCE) == 1.5
+    assert apply_answer(limits, 2.0, now=NOW + 1)
+    assert limits.limit_of(INSTANCE) == 2.0
+    assert apply_answer(limits, None, now=NOW + 2).requests_per_second is None
+    assert limits.limit_of(INSTANCE) is None
 
 
 def test_answer_to_an_older_request_does_not_end_a_limit(limits):
-    """Guards against a limit lost to an answer made before it was named."""
-    answer(limits, 1.5)
-    assert not answer(limits, None, sent_at=NOW - 1, now=NOW + 1)
-    assert limits.limit_of(AT) == 1.5
+    """Guards against a limit ended by an answer older than it."""
+    apply_answer(limits, 1.5)
+    assert not apply_answer(limits, None, sent_at=NOW - 1, now=NOW + 1)
+    assert limits.limit_of(INSTANCE) == 1.5
 
 
 def test_answer_to_an_older_request_does_not_bring_a_limit_back(limits):
-    """Guards against a limit that a late answer begins again."""
-    answer(limits, 1.5)
-    answer(limits, None, now=NOW + 1)
-    assert not answer(limits, 1.5, sent_at=NOW + 0.5, now=NOW + 2)
-    assert limits.limit_of(AT) is None
+    """Guards against a limit that a late answer restores."""
+    apply_answer(limits, 1.5)
+    apply_answer(limits, None, now=NOW + 1)
+    assert not apply_answer(limits, 1.5, sent_at=NOW + 0.5, now=NOW + 2)
+    assert limits.limit_of(INSTANCE) is None
 
 
-def test_other_start_of_an_upstream_owes_nothing(limits):
-    """Guards against a limit that outlives the process that named it."""
-    answer(limits, 1.5)
+def test_other_instance_of_an_upstream_has_no_limit(limits):
+    """Guards against a limit that outlives the process that announced it."""
+    apply_answer(limits, 1.5)
     other = running_requests.UpstreamInstance(upstream="u-1", start=8)
     assert limits.limit_of(other) is None
-    limits.forget_instance(AT)
-    assert limits.limit_of(AT) is None
+    limits.forget_instance(INSTANCE)
+    assert limits.limit_of(INSTANCE) is None
 
 
 def test_newer_statement_of_a_peer_counts_and_an_older_one_does_not(limits):
-    answer(limits, 1.5)
-    assert not told(limits, None, heard_at=NOW - 0.1)
-    assert told(limits, None, heard_at=NOW + 0.2)
-    assert limits.limit_of(AT) is None
-    assert not told(limits, 3.0, heard_at=NOW)
-    assert limits.limit_of(AT) is None
+    apply_answer(limits, 1.5)
+    assert not apply_report(limits, None, heard_at=NOW - 0.1)
+    assert apply_report(limits, None, heard_at=NOW + 0.2)
+    assert limits.limit_of(INSTANCE) is None
+    assert not apply_report(limits, 3.0, heard_at=NOW)
+    assert limits.limit_of(INSTANCE) is None
 
 
 @pytest.mark.parametrize(
-    ("named", "taken"),
+    ("announced", "effective"),
     [
         (0.0, upstream_limits.MIN_PER_SECOND),
         (0.01, upstream_limits.MIN_PER_SECOND),
@@ -86,30 +86,30 @@
         (1e14, None),
     ],
 )
-def test_strange_limits_have_defined_effects(limits, named, taken):
-    """Guards against an upstream that talks itself out of work for ever."""
-    answer(limits, named)
-    assert limits.limit_of(AT) == taken
+def test_extreme_limits_are_bounded(limits, announced, effective):
+    """Guards against an upstream idle for ever after a limit of zero."""
+    apply_answer(limits, announced)
+    assert limits.limit_of(INSTANCE) == effective
 
 
-def test_what_is_remembered_is_bounded(limits, monkeypatch):
-    monkeypatch.setattr(upstream_limits, "_MOST_LIMITS", 4)
+def test_number_of_statements_is_bounded(limits, monkeypatch):
+    monkeypatch.setattr(upstream_limits, "_MAX_LIMITS", 4)
     for number in range(10):
         at = running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
-        answer(limits, 1.0, at=at)
+        apply_answer(limits, 1.0, at=at)
     known = {one.at.upstream for one in limits.in_force()}
     assert known == {"u-6", "u-7", "u-8", "u-9"}
 
 
 def test_answers_without_a_limit_are_not_remembered(limits):
-    assert not answer(limits, None)
-    assert limits.statement_of(AT) is None
+    assert not apply_answer(limits, None)
+    assert limits.statement_of(INSTANCE) is None
 
 
-def test_limit_with_many_digits_is_the_same_when_a_peer_tells_it(limits):
-    """Guards against news with each answer of an upstream."""
-    made = answer(limits, 1.23456789)
+def test_limit_with_many_digits_equals_its_report(limits):
+    """Guards against a change reported with each answer of an upstream."""
+    made = apply_answer(limits, 1.23456789)
     message = limit_news.told(made, now=NOW + 1)
     again = limit_news.statement_of(message, now=NOW + 1)
-    assert again.requests_per_second == limits.limit_of(AT)
-    assert not answer(limits, 1.23456789, now=NOW + 2)
+    assert again.requests_per_second == limits.limit_of(INSTANCE)
+    assert not apply_answer(limits, 1.23456789, now=NOW + 2)
