--- a/packages/router/src/lagoonrun_router/block_record.py
+++ b/packages/router/src/lagoonrun_router/block_record.py
@@ -1,6 +1,6 @@
-"""What the store keeps of a blocked request, as compact JSON.
+"""Encode a blocked request as compact JSON for the store.
 
-It outlives all entry VMs, which may end at the same time.
+The record outlives all entry VMs, which may stop at the same time.
 """
 
 import json
@@ -22,12 +22,12 @@
 def decode(
     request: types.RequestDigest, value: bytes, *, now: float
 ) -> tuple[crash_evidence.CrashRecord, ...]:
-    """Return the records of a block, as if its crashes were seen now.
+    """Return the records of a block, with its crashes dated `now`.
 
     Raises
     ------
     LagoonrunError
-        When the value is not such a record.
+        If the value is not a valid record.
     """
     try:
         table = json.loads(value)
@@ -48,5 +48,5 @@
         raise errors.LagoonrunError(
             step=errors.Step.CONFIGURATION,
             peer=request,
-            detail=f"no record of a blocked request: {error!r}",
+            detail=f"invalid record of a blocked request: {error!r}",
         ) from error
--- a/packages/router/src/lagoonrun_router/block_writer.py
+++ b/packages/router/src/lagoonrun_router/block_writer.py
@@ -1,7 +1,7 @@
-"""Keep blocked requests in the store.
+"""Persist blocks of crashing requests in the store.
 
-A stop of the whole fleet, or of all entry VMs that have heard of the crashes, would
-else let them run again.
+Otherwise a stop of the whole fleet, or of all entry VMs that know of the
+crashes, would let the requests run again.
 """
 
 import asyncio
@@ -12,24 +12,24 @@
 from lagoonrun_router import block_record, crash_evidence
 
 _PAUSE_SECONDS = 0.5
-"""Time between two tries while the store is away: well below the time that entry
-VMs have to know of a block after its return."""
+"""Mean time between two attempts while the store is unavailable: well below the
+time within which entry VMs must know of a block once it is available again."""
 
 _MAX_PENDING = 64
-"""Blocks and lifted blocks that wait for the store; the oldest yield."""
+"""Maximum number of pending writes and removals; the oldest are dropped."""
 
 
 class BlockWriter:
     """Writes and removes the keys of blocked requests.
 
-    The keys go away by a lease when their crashes say nothing any more.
+    A lease removes each key when its crashes expire.
 
     Parameters
     ----------
     store
         The platform's store.
     prefix
-        Keys of blocked requests begin so.
+        Prefix of the keys of blocked requests.
     rng
         Source of the jitter.
     """
@@ -53,7 +53,7 @@
         )
 
     async def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         self._task.start()
 
     async def close(self) -> None:
@@ -61,11 +61,11 @@
         await self._task.close()
 
     def write(self, block: crash_evidence.Block) -> None:
-        """Have a block written as soon as the store takes it."""
+        """Queue a block to be written once the store is available."""
         self._enqueue(block.request, block)
 
     def remove(self, request: types.RequestDigest) -> None:
-        """Have a block removed as soon as the store takes it."""
+        """Queue a block to be removed once the store is available."""
         self._enqueue(request, None)
 
     def _enqueue(
@@ -93,7 +93,7 @@
     async def _write(
         self, request: types.RequestDigest, block: crash_evidence.Block | None
     ) -> bool:
-        """Return whether the store has taken it; written twice it says the same."""
+        """Write or remove a block (idempotent); return whether it succeeded."""
         key = self._prefix + request
         if block is None:
             result = await self._store.transact(comparisons=(), deletes=[key])
--- a/packages/router/src/lagoonrun_router/crash_evidence.py
+++ b/packages/router/src/lagoonrun_router/crash_evidence.py
@@ -1,11 +1,13 @@
-"""Which requests end the upstreams that run them. Pure decisions.
-
-All requests that ran at an upstream when it crashed are suspects, and one of them
-at most is the cause. What tells it apart is that it ends each upstream that begins
-to run it: it is never answered, it is there again when the next one ends, and its
-caller has nothing of its answer by then. So a request is blocked by the number of
-its crashes since it was answered last; one does not count where the answer had
-begun, or where another suspect has had more. A few more crashes count in any case.
+"""Which requests crash the upstreams that run them, decided without I/O.
+
+All requests that ran at an upstream when it crashed are suspects, of which one
+at most is the cause. The cause differs from the others in that it crashes each
+upstream that begins to run it: it is never answered, it runs again at the next
+upstream that crashes, and its caller has received nothing of its answer by
+then. So a request is blocked by the number of its crashes since it was last
+answered. A crash does not count if the answer had begun, or if another suspect
+of it has had more crashes. From a higher number of crashes on, all of them
+count.
 """
 
 import dataclasses
@@ -15,39 +17,42 @@
 from lagoonrun_router import running_requests
 
 CRASHES_TO_BLOCK = 3
-"""Upstreams that end under a request before it is sent no more. Each crash cuts all
-that runs beside it, and a request may be there by chance once or twice."""
+"""Crashes after which a request is blocked. Each crash breaks all requests
+running there, and a request may be among them by coincidence once or twice."""
 
 CRASHES_TO_BLOCK_ANY = 4
-"""Crashes from which all count: a request that ends upstreams after its answer has
-begun, or two that always come together, would else go on for ever."""
+"""Crashes from which all of them count. Otherwise a request that crashes
+upstreams after its answer has begun, or two that always run together, would
+never be blocked."""
 
 BLOCK_SECONDS = 300.0
-"""Time from the newest crash to the next trial: what callers are told to wait. An
-upstream that was mended in the meantime serves the request again; one more crash
-blocks it for as long."""
+"""Duration of a block from the newest crash on, which is also the Retry-After
+of its callers. A repaired upstream then serves the request again; one more
+crash blocks it for as long."""
 
 EXPIRY_SECONDS = 600.0
-"""Age from which a crash says nothing any more."""
+"""Age at which a crash expires."""
 
 MAX_RECORDS = 2048
-"""Records that are kept, some hundred bytes each: half a megabyte."""
+"""Maximum number of records; at a few hundred bytes each, half a megabyte."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CrashRecord:
-    """A request ran at an upstream when that crashed.
+    """A request that ran at an upstream when it crashed.
 
     Parameters
     ----------
+    at
+        Instance of the upstream.
     route
         Route of the request, for operators.
     seen_at
-        Reading of the clock at the crash, as far as it is known here.
+        Monotonic time of the crash, as known here.
     silent
-        Whether its caller had nothing of its answer.
+        Whether the caller had received nothing of the answer.
     void
-        Whether the request was answered, or its block lifted, since.
+        Whether the request was answered or unblocked since.
     """
 
     request: types.RequestDigest
@@ -60,14 +65,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Block:
-    """A request that is not sent any more.
+    """A request that is not sent to any upstream.
 
     Parameters
     ----------
     crashes
-        Upstreams that ended under it, the newest last.
+        Upstream instances that it crashed, the newest last.
     until
-        Reading of the clock from which it may be tried again.
+        Monotonic time from which it may be sent again.
     """
 
     request: types.RequestDigest
@@ -77,11 +82,11 @@
 
 
 class CrashEvidence:
-    """Crashes by request, of all entry VMs as far as they are known here.
+    """Crash records by request, of all entry VMs as far as they are known here.
 
-    Records of one crash are the same wherever they come from, and a void one
-    stays void, so that all entry VMs that have heard the same, in whatever order
-    and however often, judge the same.
+    Merging is idempotent and commutative, and a void record stays void. So all
+    entry VMs that have received the same records, in any order and any number
+    of times, block the same requests.
     """
 
     def __init__(self) -> None:
@@ -89,17 +94,17 @@
             types.RequestDigest,
             dict[running_requests.UpstreamInstance, CrashRecord],
         ] = {}
-        self._suspects_by_upstream: dict[
+        self._suspects_by_instance: dict[
             running_requests.UpstreamInstance, set[types.RequestDigest]
         ] = {}
         self._size = 0
 
-    # What is asked.
+    # Queries.
 
     def block_of(
         self, request: types.RequestDigest, *, now: float
     ) -> Block | None:
-        """Return why a request must not be sent; None where it may."""
+        """Return the block of a request; None if it may be sent."""
         crashes = self._crashes_of(request, now)
         if len(crashes) < CRASHES_TO_BLOCK:
             return None
@@ -119,7 +124,7 @@
         )
 
     def blocks(self, *, now: float) -> tuple[Block, ...]:
-        """Return all requests that must not be sent."""
+        """Return all blocks."""
         found = (
             self.block_of(request, now=now)
             for request in self._records_by_request
@@ -127,24 +132,24 @@
         return tuple(one for one in found if one is not None)
 
     def is_suspect(self, request: types.RequestDigest) -> bool:
-        """Return whether anything is held against a request."""
+        """Return whether a request has records that are not void."""
         records = self._records_by_request.get(request, {})
         return any(not one.void for one in records.values())
 
     @property
     def size(self) -> int:
-        """Number of records that are kept."""
+        """Number of records."""
         return self._size
 
     def records(
         self, *, since: float = float("-inf")
     ) -> tuple[CrashRecord, ...]:
-        """Return the records of the most suspect requests first.
+        """Return the records, those of requests with the most crashes first.
 
         Parameters
         ----------
         since
-            Reading of the clock from which crashes are wanted.
+            Monotonic time of the oldest crash to return.
         """
         wanted = [
             records
@@ -159,10 +164,10 @@
             if one.seen_at >= since
         )
 
-    # What is told.
+    # Updates.
 
     def take(self, record: CrashRecord, *, now: float) -> bool:
-        """Take in a record; return whether it says anything new."""
+        """Merge a record; return whether it is new or has become void."""
         if now - record.seen_at >= EXPIRY_SECONDS:
             return False
         records = self._records_by_request.setdefault(record.request, {})
@@ -170,14 +175,14 @@
         if known is None:
             records[record.at] = record
             self._size += 1
-            suspects = self._suspects_by_upstream.setdefault(record.at, set())
+            suspects = self._suspects_by_instance.setdefault(record.at, set())
             suspects.add(record.request)
             self._evict()
             return True
         merged = dataclasses.replace(
             known,
             seen_at=min(known.seen_at, record.seen_at),
-            # Of several copies that ran there, each may be the cause.
+            # If several copies of the request ran there, any may be the cause.
             silent=known.silent or record.silent,
             void=known.void or record.void,
         )
@@ -185,7 +190,7 @@
         return merged.void is not known.void
 
     def clear(self, request: types.RequestDigest) -> tuple[CrashRecord, ...]:
-        """Hold nothing against a request any more; return what changed."""
+        """Mark all records of a request as void; return the changed ones."""
         records = self._records_by_request.get(request, {})
         changed = [
             dataclasses.replace(one, void=True)
@@ -197,7 +202,7 @@
         return tuple(changed)
 
     def forget_old(self, *, now: float) -> None:
-        """Drop the records that say nothing any more."""
+        """Drop expired records."""
         self._drop(
             one
             for records in tuple(self._records_by_request.values())
@@ -205,12 +210,12 @@
             if now - one.seen_at >= EXPIRY_SECONDS
         )
 
-    # Parts.
+    # Helpers.
 
     def _crashes_of(
         self, request: types.RequestDigest, now: float
     ) -> list[CrashRecord]:
-        """Return what is held against a request, the oldest first."""
+        """Return the valid records of a request, the oldest first."""
         records = self._records_by_request.get(request)
         if not records:
             return []
@@ -224,13 +229,15 @@
     def _is_counted(self, crash: CrashRecord, now: float) -> bool:
         """Return whether no other suspect explains a crash as well.
 
-        Requests that ran beside the cause break with it, come again and may
-        meet it again; none of them has been there as often, or as silent.
+        Requests that ran at the same time as the cause are broken by the crash,
+        sent again, and may run at the same time as the cause again. None of
+        them has had as many crashes, or as many before the first byte of its
+        answer.
         """
         own = self._suspicion(crash.request, now)
         return crash.silent and all(
             self._suspicion(other, now) < own
-            for other in self._suspects_by_upstream[crash.at]
+            for other in self._suspects_by_instance[crash.at]
             if other != crash.request
         )
 
@@ -243,7 +250,7 @@
         )
 
     def _evict(self) -> None:
-        """Drop the quarter of the requests that are the least suspect."""
+        """Drop the quarter of the requests with the fewest crashes."""
         if self._size <= MAX_RECORDS:
             return
         ascending = sorted(
@@ -261,10 +268,10 @@
             del records[one.at]
             if not records:
                 del self._records_by_request[one.request]
-            suspects = self._suspects_by_upstream[one.at]
+            suspects = self._suspects_by_instance[one.at]
             suspects.discard(one.request)
             if not suspects:
-                del self._suspects_by_upstream[one.at]
+                del self._suspects_by_instance[one.at]
             self._size -= 1
 
 
@@ -283,7 +290,7 @@
 def _retention_rank(
     records: dict[running_requests.UpstreamInstance, CrashRecord],
 ) -> _RetentionRank:
-    """Return how much it would cost to forget the records of a request."""
+    """Return the order in which requests are kept when records are evicted."""
     return _RetentionRank(
         crashes=sum(not one.void for one in records.values()),
         newest_at=max(one.seen_at for one in records.values()),
--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -1,4 +1,4 @@
-"""Assemble what keeps requests that end upstreams away from the upstreams."""
+"""Assemble the protection of upstreams from requests that crash them."""
 
 import random
 
@@ -14,25 +14,25 @@
 
 
 class CrashGuard:
-    """Notices crashes, decides by them, and keeps what was decided.
+    """Detects crashes, blocks their causes, and persists the blocks.
 
     Parameters
     ----------
     directory
         The upstreams.
     counters
-        Receives the number of crashes.
+        Metrics; counts crashes.
     store, prefix
-        Where blocks are kept, and how their keys begin.
+        Store of the blocks, and the prefix of their keys.
     clock, rng
         Sources of time and of jitter.
 
     Attributes
     ----------
     watch
-        Follows all runs of this entry VM.
+        Tracks the in-flight requests of this entry VM and detects crashes.
     crashing
-        The requests that end upstreams.
+        Requests that crash upstreams.
     """
 
     def __init__(
@@ -56,15 +56,15 @@
         )
 
     async def start(self) -> None:
-        """Begin to write blocks."""
+        """Start writing blocks."""
         await self._block_writer.start()
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Stop all tasks."""
         await self.watch.close()
         await self._block_writer.close()
 
     def run_housekeeping(self) -> None:
-        """Forget what is old and write what waits; called once a second."""
+        """Drop expired records and write due blocks; called once a second."""
         self.watch.forget_old()
         self.crashing.tick()
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -1,9 +1,10 @@
-"""Tell the other entry VMs which requests ran at crashed upstreams.
+"""Exchange crash records with the other entry VMs.
 
-A crash is told to the whole fleet at once, by way of the relays of the other
-failure domains. Datagrams get lost, and a failure domain may be cut off meanwhile:
-so each entry VM repeats what it knows to a peer of its own domain and one of
-another, several times a second while it is news, and now and then later.
+A crash is broadcast to the whole fleet at once, through the relays of the other
+failure domains. Datagrams get lost, and a failure domain may be cut off at the
+time. So each entry VM repeats its records to a peer of its own domain and to
+one of another domain: several times per second while they are new, less often
+later.
 """
 
 from collections.abc import Iterable
@@ -18,40 +19,40 @@
 )
 
 NEWS_SECONDS = 5.0
-"""Age up to which a record is repeated often: longer than entry VMs may take to
-know of it."""
+"""Age up to which a record is repeated often: longer than the time within which
+all entry VMs must know of it."""
 
 _NEWS_TICKS = 5
-"""Beats between two repetitions of news: a quarter of a second."""
+"""Ticks between two repetitions of new records: a quarter of a second."""
 
 _OLD_TICKS = 20
-"""The same of what is older: a second. It reaches those that were cut off within
-the seconds that they have to know of it."""
+"""Ticks between two repetitions of older records: one second. Entry VMs that
+were cut off receive them within the seconds in which they must know of them."""
 
 _MAX_RECORDS_PER_MESSAGE = 24
-"""Records in a message: two kilobytes."""
+"""Maximum number of records in a message: two kilobytes."""
 
 
 class KnownRecords(Protocol):
-    """Gives the records of crashes that this entry VM knows."""
+    """Returns the crash records known to this entry VM."""
 
     def __call__(
         self, *, since: float = float("-inf")
     ) -> tuple[crash_evidence.CrashRecord, ...]:
-        """Return those of crashes since then, the weightiest first."""
+        """Return those of crashes since then, see `CrashEvidence.records`."""
 
 
 class CrashNewsExchange:
-    """Sends, repeats and hands on records of crashes.
+    """Broadcasts, repeats and forwards crash records.
 
     Parameters
     ----------
     entry_vm, domain
-        This entry VM.
+        This entry VM and its failure domain.
     spreader
-        Sends messages.
+        Sends messages to the other entry VMs.
     records
-        What is known of crashes.
+        Returns the known crash records.
     """
 
     def __init__(
@@ -72,20 +73,20 @@
     def broadcast(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, now: float
     ) -> None:
-        """Tell the whole fleet what this entry VM has just learned itself."""
+        """Send records of this entry VM to the whole fleet."""
         for news in self._messages(records, now):
             self._spreader.broadcast(news)
 
     def forward(
         self,
-        told: router_messages.CrashNews,
+        received: router_messages.CrashNews,
         new: tuple[crash_evidence.CrashRecord, ...],
         *,
         now: float,
     ) -> None:
-        """Hand on, as the relay, what was new from another failure domain."""
+        """Forward, as the relay, new records of another failure domain."""
         for news in self._messages(new, now):
-            self._spreader.forward(news, origin=told.domain)
+            self._spreader.forward(news, origin=received.domain)
 
     @property
     def is_relay(self) -> bool:
@@ -93,22 +94,26 @@
         return self._spreader.is_relay
 
     def tick(self, *, now: float) -> None:
-        """Repeat what others may not have heard, every few calls."""
+        """Repeat records that others may not have received, every few calls."""
         self._ticks += 1
         if self._ticks % _NEWS_TICKS:
             return
-        told = self._records(since=now - NEWS_SECONDS)
-        if not told and self._ticks % _OLD_TICKS == 0:
-            told = self._next_batch(self._records())
-        if not told:
+        repeated = self._records(since=now - NEWS_SECONDS)
+        if not repeated and self._ticks % _OLD_TICKS == 0:
+            repeated = self._next_batch(self._records())
+        if not repeated:
             return
-        for news in self._messages(told[:_MAX_RECORDS_PER_MESSAGE], now):
+        for news in self._messages(repeated[:_MAX_RECORDS_PER_MESSAGE], now):
             self._spreader.send_to_sample(news)
 
     def _next_batch(
         self, records: tuple[crash_evidence.CrashRecord, ...]
     ) -> tuple[crash_evidence.CrashRecord, ...]:
-        """Return the next part of all records, the weightiest in each."""
+        """Return the next batch of all records.
+
+        Half of each batch are the first records, of the requests with the most
+        crashes; the other half cycles through the rest.
+        """
         half = _MAX_RECORDS_PER_MESSAGE // 2
         top, others = records[:half], records[half:]
         if self._next_index >= len(others):
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -1,11 +1,11 @@
-"""Notice that an upstream has crashed, and what ran there when it did.
-
-An upstream that breaks off a request may have crashed, or only that connection
-was reset, cut or closed by a fault. The listener tells them apart: that of a
-process that is gone refuses connections, that of a living one takes them, and
-behind a cut nothing answers. So a broken request is followed by one connection
-attempt. An upstream that was about to leave ends as planned, and has not
-crashed.
+"""Detect crashes of upstreams, and the requests that ran there.
+
+A broken connection may be due to a crash of the upstream, or the connection
+alone was reset, cut or closed by a fault. A probe connection distinguishes
+them: the port of a process that has exited refuses connections, a running
+process accepts them, and behind a network partition nothing answers. So a
+broken request is followed by one probe. An upstream that was leaving has
+stopped as planned and has not crashed.
 """
 
 import asyncio
@@ -24,34 +24,34 @@
 )
 
 _PROBE_TIMEOUT_SECONDS = 0.4
-"""Longest wait for a connection, as for those of requests: a hundred round
+"""Timeout of a probe, the connection timeout of requests: a hundred round
 trips."""
 
 _MAX_REMEMBERED_CRASHES = 256
-"""Crashes that are not looked into again; more than end within the seconds in
-which their requests break."""
+"""Maximum number of crashed instances that are not probed again; more than can
+crash in the seconds in which their requests break."""
 
 
 class CrashListener(Protocol):
-    """Receives each crash that this entry VM has noticed."""
+    """Receives each crash that this entry VM detects."""
 
     def __call__(
         self,
         instance: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
-        """Take in which requests of this entry VM ran there; maybe none."""
+        """Receive the requests of this entry VM that ran there, if any."""
 
 
 class AnswerListener(Protocol):
-    """Receives each request that an upstream has answered to the end."""
+    """Receives each request that an upstream has answered completely."""
 
     def __call__(self, request: types.RequestDigest) -> None:
-        """Take in that a request can be run."""
+        """Receive the digest of an answered request."""
 
 
 class _ProbeResult(enum.Enum):
-    """What a connection attempt tells of an upstream."""
+    """Result of a probe connection."""
 
     REFUSES = "refuses"
     TAKES = "takes"
@@ -59,14 +59,14 @@
 
 
 class CrashWatch:
-    """Follows all runs of this entry VM and looks into those that break.
+    """Tracks requests of this entry VM and probes after broken ones.
 
     Parameters
     ----------
     directory
         The upstreams.
     counters
-        Receives the number of crashes.
+        Metrics; counts crashes.
     clock
         Source of time.
     """
@@ -82,7 +82,7 @@
         self._metrics = counters
         self._clock = clock
         self._running = running_requests.RunningRequests()
-        self._probes_by_upstream: dict[
+        self._probes_by_instance: dict[
             running_requests.UpstreamInstance, asyncio.Task[None]
         ] = {}
         self._crashed: dict[running_requests.UpstreamInstance, None] = {}
@@ -90,18 +90,18 @@
         self.on_answer: AnswerListener | None = None
 
     async def close(self) -> None:
-        """End the connection attempts under way."""
-        probes = tuple(self._probes_by_upstream.values())
+        """Cancel the running probes."""
+        probes = tuple(self._probes_by_instance.values())
         for probe in probes:
             probe.cancel()
         await asyncio.gather(*probes, return_exceptions=True)
 
     @property
     def probed_instances(self) -> frozenset[running_requests.UpstreamInstance]:
-        """Upstreams to which a connection is being tried."""
-        return frozenset(self._probes_by_upstream)
+        """Upstream instances that are being probed."""
+        return frozenset(self._probes_by_instance)
 
-    # What the sends tell.
+    # Requests of this entry VM.
 
     def begin(
         self,
@@ -110,7 +110,7 @@
         route: str,
         upstream: upstreams.Registration,
     ) -> running_requests.Run:
-        """Note that a request is about to be written to an upstream."""
+        """Record that a request is about to be written to an upstream."""
         return self._running.begin(
             digest, route=route, at=running_requests.instance_of(upstream)
         )
@@ -121,12 +121,12 @@
         result: attempt_result.Result | None,
         upstream: upstreams.Registration,
     ) -> None:
-        """Note what became of a request that was written.
+        """Record the result of a request that was written.
 
         Parameters
         ----------
         result
-            None where the caller left.
+            Result of the attempt; None if the caller disconnected.
         """
         end = _run_end_of(result)
         self._running.end(run, end, now=self._clock.monotonic())
@@ -137,34 +137,34 @@
             self._start_probe(run.at, upstream)
 
     def forget_old(self) -> None:
-        """Forget runs that ended too long ago to be of interest."""
+        """Drop runs that ended too long ago to be suspects."""
         self._running.forget_old(now=self._clock.monotonic())
 
-    # What others tell.
+    # Crashes detected by others.
 
     def suspects_at(
         self, instance: running_requests.UpstreamInstance
     ) -> frozenset[running_requests.SuspectRequest]:
         """Return the requests of this entry VM that ran at a crashed upstream.
 
-        Another entry VM has noticed the crash; here callers may have left
-        before.
+        For crashes detected by another entry VM: here no request may have
+        broken, because callers disconnected before.
         """
         return self._running.suspects_at(instance, now=self._clock.monotonic())
 
-    # Parts.
+    # Helpers.
 
     def _start_probe(
         self,
         instance: running_requests.UpstreamInstance,
         upstream: upstreams.Registration,
     ) -> None:
-        # All that ran there is looked at together, whichever breaks first.
+        # One probe per instance, whichever of its requests breaks first.
         if (
-            instance not in self._probes_by_upstream
+            instance not in self._probes_by_instance
             and instance not in self._crashed
         ):
-            self._probes_by_upstream[instance] = asyncio.create_task(
+            self._probes_by_instance[instance] = asyncio.create_task(
                 self._probe(instance, upstream)
             )
 
@@ -176,7 +176,7 @@
         try:
             result = await _connect(upstream.host, upstream.port)
         finally:
-            del self._probes_by_upstream[instance]
+            del self._probes_by_instance[instance]
         if result is _ProbeResult.REFUSES:
             self._record_crash(instance, upstream)
 
@@ -221,7 +221,7 @@
 
 
 async def _connect(host: str, port: int) -> _ProbeResult:
-    """Return whether anybody listens at an address."""
+    """Return how an address responds to a connection."""
     try:
         async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(host, port)
@@ -232,6 +232,6 @@
         return _ProbeResult.SILENT
     writer.close()
     with contextlib.suppress(OSError):
-        # The other side may reset what it has just taken.
+        # The peer may reset the connection that it has just accepted.
         await writer.wait_closed()
     return _ProbeResult.TAKES
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -1,9 +1,10 @@
-"""Keep requests that end upstreams away from the upstreams.
+"""Protect upstreams from requests that crash them.
 
-A request that crashes each runner that begins to run it comes again, by its caller
-or by whoever retries for it, at any entry VM. Each copy would cost another runner
-with all that it runs. So entry VMs hold against a request the upstreams that ended
-while they ran it, tell each other, and refuse it after a few.
+A request that crashes each runner that begins to run it is sent again, by its
+caller or a retry, to any entry VM. Each copy would crash another runner with
+all requests that it runs. So entry VMs record the crashes of upstreams by the
+requests that ran there, exchange these records, and block a request after a few
+crashes.
 """
 
 import logging
@@ -23,20 +24,21 @@
 )
 
 _OWN_WRITE_DELAY_SECONDS = 0.25
-"""Time from a crash until a block is written to the store: by then the other entry
-VMs have told what else ran there."""
+"""Delay from a crash to writing a block to the store; by then the other entry
+VMs have reported what else ran there."""
 
 _REPORTED_WRITE_DELAY_SECONDS = 1.5
-"""The same for a relay that was only told of it, if nobody has written it: whoever
-saw the crash may have ended right after."""
+"""Delay after which a relay writes a reported block that is not in the store
+yet: the entry VM that detected the crash may have stopped right after it."""
 
 _CRASHES_TO_BROADCAST = 2
-"""Crashes from which it is told at once that a request was answered. With one, as
-all that ran beside the cause have, it is of no use to others."""
+"""Crashes from which an answer to a request is broadcast at once. One crash is
+not enough: all requests that ran beside the cause have one, and others don't
+need it."""
 
 
 class CrashAnnouncer(Protocol):
-    """Tells the other entry VMs."""
+    """Sends crash records to the other entry VMs."""
 
     @property
     def is_relay(self) -> bool:
@@ -45,26 +47,26 @@
     def broadcast(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, now: float
     ) -> None:
-        """Tell the whole fleet."""
+        """Send records to the whole fleet."""
 
     def forward(
         self,
-        reported: router_messages.CrashNews,
+        received: router_messages.CrashNews,
         new: tuple[crash_evidence.CrashRecord, ...],
         *,
         now: float,
     ) -> None:
-        """Hand on what was new in a message."""
+        """Forward the new records of a received message."""
 
 
 class CrashingRequests:
-    """Takes in crashes, decides, and has the decision spread and kept.
+    """Collects crash records, and blocks the requests that cause crashes.
 
     Parameters
     ----------
     watch
-        Notices crashes at this entry VM.
-    keeper
+        Detects crashes at this entry VM.
+    block_writer
         Writes blocks to the store.
     clock
         Source of time.
@@ -88,36 +90,36 @@
         self._stored: set[types.RequestDigest] = set()
         self._write_at_by_request: dict[types.RequestDigest, float] = {}
         self.news: CrashAnnouncer | None = None
-        """Set once the exchange with the peers is there."""
+        """Set once the exchange with the peers exists."""
 
-    # What is asked.
+    # Queries.
 
     def block_of(
         self, request: types.RequestDigest
     ) -> crash_evidence.Block | None:
-        """Return why a request must not be sent; None where it may."""
+        """Return the block of a request; None if it may be sent."""
         return self._evidence.block_of(request, now=self._clock.monotonic())
 
     def blocks(self) -> tuple[crash_evidence.Block, ...]:
-        """Return all requests that must not be sent."""
+        """Return all blocks."""
         return self._evidence.blocks(now=self._clock.monotonic())
 
     def records(
         self, *, since: float = float("-inf")
     ) -> tuple[crash_evidence.CrashRecord, ...]:
-        """Return the records of crashes since then; see `CrashEvidence`."""
+        """Return records of crashes since then, see `CrashEvidence.records`."""
         return self._evidence.records(since=since)
 
-    # What this entry VM notices.
+    # Events at this entry VM.
 
     def record_crash(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         requests: frozenset[running_requests.SuspectRequest],
     ) -> None:
-        """Hold a crash against the requests that ran there."""
+        """Record a crash for the requests that ran there."""
         now = self._clock.monotonic()
-        new = self._merge(_records(at, requests, seen_at=now), now)
+        new = self._merge(_records(instance, requests, seen_at=now), now)
         self._broadcast(new, now)
         for one in self._update_blocked(new, source="own"):
             self._write_at_by_request[one.request] = (
@@ -125,7 +127,7 @@
             )
 
     def record_answer(self, request: types.RequestDigest) -> None:
-        """Hold nothing against a request that an upstream has run."""
+        """Clear the records of a request that an upstream has answered."""
         now = self._clock.monotonic()
         self._answered.note(request, now=now)
         cleared = self._clear(request, reason="answered")
@@ -133,15 +135,15 @@
             self._broadcast(cleared, now)
 
     def lift(self, request: types.RequestDigest) -> bool:
-        """Let a request run again; return whether anything was held against it."""
+        """Unblock a request; return whether it had crash records."""
         cleared = self._clear(request, reason="lifted")
         self._broadcast(cleared, self._clock.monotonic())
         return bool(cleared)
 
-    # What peers and the store tell.
+    # Updates from peers and the store.
 
     def receive_news(self, news: router_messages.CrashNews) -> None:
-        """Take in what a peer knows of crashes."""
+        """Receive a peer's crash records."""
         now = self._clock.monotonic()
         reported = crash_news.records_of(news, now=now)
         new = self._merge(reported, now)
@@ -157,7 +159,7 @@
                 )
 
     def apply_stored(self, request: types.RequestDigest, value: bytes) -> None:
-        """Take in a block that the store keeps."""
+        """Apply a block that is in the store."""
         now = self._clock.monotonic()
         try:
             records = block_record.decode(request, value, now=now)
@@ -174,16 +176,16 @@
         self._update_blocked(self._merge(records, now), source="store")
 
     def apply_removed(self, request: types.RequestDigest) -> None:
-        """Take in that the store keeps a block no more.
+        """Apply the removal of a block from the store.
 
-        Its lease has run out, or somebody lifted it.
+        Its lease has expired, or it was lifted.
         """
         if request in self._stored:
             self._stored.discard(request)
             self._clear(request, reason="removed from the store")
 
     def on_store_restored(self) -> None:
-        """Have the relays write again what the store may have lost."""
+        """Schedule a relay's rewrite of blocks that the store may lack."""
         now = self._clock.monotonic()
         lost, self._stored = self._stored, set()
         if self.news is None or not self.news.is_relay:
@@ -195,18 +197,18 @@
                 )
 
     def tick(self) -> None:
-        """Write what nobody has written, and forget what is old."""
+        """Write due blocks, drop expired records and end expired blocks."""
         now = self._clock.monotonic()
         self._evidence.forget_old(now=now)
-        for request, at in tuple(self._write_at_by_request.items()):
-            if now >= at:
+        for request, due_at in tuple(self._write_at_by_request.items()):
+            if now >= due_at:
                 del self._write_at_by_request[request]
                 self._write_block(request)
         for request in tuple(self._blocked):
             if self.block_of(request) is None:
                 self._record_unblocked(request, reason="time has passed")
 
-    # Parts.
+    # Helpers.
 
     def _merge(
         self, records: tuple[crash_evidence.CrashRecord, ...], now: float
@@ -218,18 +220,21 @@
     def _own_records(
         self, reported: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> tuple[crash_evidence.CrashRecord, ...]:
-        """Return what ran here at upstreams that others saw crash.
+        """Return new records of own requests for crashes others detected.
 
-        Callers may have left here right before, so that nothing was broken.
+        Their callers may have disconnected right before the crash, so that this
+        entry VM saw no broken request.
         """
-        news = {
+        recent = {
             one.at
             for one in reported
             if now - one.seen_at < running_requests.SUSPECT_SECONDS
         }
         found: list[crash_evidence.CrashRecord] = []
-        for at in news:
-            records = _records(at, self._watch.suspects_at(at), seen_at=now)
+        for instance in recent:
+            records = _records(
+                instance, self._watch.suspects_at(instance), seen_at=now
+            )
             found.extend(self._merge(records, now))
         return tuple(found)
 
@@ -251,7 +256,7 @@
     def _update_blocked(
         self, records: tuple[crash_evidence.CrashRecord, ...], *, source: str
     ) -> tuple[crash_evidence.Block, ...]:
-        """Return what is blocked of what was just told; log what changed."""
+        """Update and log the blocks for new records; return the blocks."""
         blocks = []
         for request in {one.request for one in records}:
             self._clear_if_answered(request)
@@ -266,10 +271,10 @@
         return tuple(blocks)
 
     def _clear_if_answered(self, request: types.RequestDigest) -> None:
-        """Clear a request that would be blocked and was answered here lately.
+        """Clear a request that would be blocked but was answered here recently.
 
-        Many callers may send the same request at the same time, and several
-        upstreams end for another reason before the next answer comes.
+        Many callers may send the same request at the same time while several
+        upstreams crash for another reason before the next answer arrives.
         """
         now = self._clock.monotonic()
         if self.block_of(request) and self._answered.has(request, now=now):
@@ -305,7 +310,7 @@
 
 
 def _records(
-    at: running_requests.UpstreamInstance,
+    instance: running_requests.UpstreamInstance,
     requests: frozenset[running_requests.SuspectRequest],
     *,
     seen_at: float,
@@ -313,7 +318,7 @@
     return tuple(
         crash_evidence.CrashRecord(
             request=one.digest,
-            at=at,
+            at=instance,
             route=one.route,
             seen_at=seen_at,
             silent=one.silent,
--- a/packages/router/tests/test_block_writer.py
+++ b/packages/router/tests/test_block_writer.py
@@ -1,4 +1,4 @@
-"""Blocks reach the store, whatever it is doing, and end by themselves."""
+"""Blocks are written to an available store and expire with their lease."""
 
 import random
 
@@ -51,17 +51,15 @@
     return (await store.get(PREFIX + "one")).found
 
 
-async def test_block_is_kept_until_its_crashes_say_nothing_more(
-    writer, store, clock
-):
+async def test_block_is_stored_until_its_crashes_expire(writer, store, clock):
     before = store.revision
     writer.write(BLOCK)
     await wait_for(lambda: store.revision > before)
-    kept = await stored(store)
-    records = block_record.decode("one", kept.value, now=5.0)
+    stored_value = await stored(store)
+    records = block_record.decode("one", stored_value.value, now=5.0)
     assert tuple(one.at for one in records) == BLOCK.crashes
     clock.advance(crash_evidence.EXPIRY_SECONDS + 1.0)
-    # A lease ends when a call sees it expired.
+    # The memory store removes an expired lease during its next call.
     await store.grant_lease(ttl_seconds=1.0)
     assert await stored(store) is None
 
@@ -77,7 +75,7 @@
     assert await stored(store) is not None
 
 
-async def test_answer_that_is_lost_has_it_written_again(writer, store):
+async def test_block_is_written_again_after_a_lost_reply(writer, store):
     store.lost_replies = 1
     before = store.revision
     writer.write(BLOCK)
--- a/packages/router/tests/test_crash_evidence.py
+++ b/packages/router/tests/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Which requests are blocked for the upstreams that ended under them."""
+"""Which requests are blocked after crashes of upstreams."""
 
 import dataclasses
 
@@ -23,14 +23,14 @@
     return crash_evidence.CrashEvidence()
 
 
-def started(upstream, start=1):
+def make_instance(upstream, start=1):
     return running_requests.UpstreamInstance(upstream=upstream, start=start)
 
 
 def record(request, upstream, *, seen_at=NOW, **more):
     return crash_evidence.CrashRecord(
         request=request,
-        at=started(upstream),
+        at=make_instance(upstream),
         route="lookups",
         seen_at=seen_at,
         **more,
@@ -48,7 +48,10 @@
 
 
 def test_third_crash_blocks(evidence):
-    """A request ended ten upstreams, since nothing related its copies."""
+    """Guards against a request that crashed ten upstreams.
+
+    Nothing related its copies to each other.
+    """
     for number in range(crash_evidence.CRASHES_TO_BLOCK):
         assert not blocked(evidence, GUILTY)
         crash(evidence, f"u-{number}", GUILTY, at=NOW + number)
@@ -67,18 +70,18 @@
     for start in range(3):
         evidence.take(
             dataclasses.replace(
-                record(GUILTY, "u-1"), at=started("u-1", start)
+                record(GUILTY, "u-1"), at=make_instance("u-1", start)
             ),
             now=NOW,
         )
     assert blocked(evidence, GUILTY)
 
 
-def test_request_beside_the_cause_is_not_blocked(evidence):
-    """A stream breaks with its upstream, and its caller sends it again.
+def test_request_that_runs_with_the_cause_is_not_blocked(evidence):
+    """Guards against blocking a request that ran with the cause at each crash.
 
-    It meets the request that ends upstreams each time. The cause was there at
-    one more crash, and explains them all.
+    Its caller sends it again after each crash. The cause has one more crash and
+    explains all of them.
     """
     for number in range(3):
         crash(evidence, f"u-{number}", GUILTY, BESIDE)
@@ -88,15 +91,15 @@
 
 
 def test_request_whose_answers_had_begun_is_not_blocked_at_first(evidence):
-    """A stream beside the cause; the cause is another request each time.
+    """Guards against blocking a stream that ran with three different causes.
 
-    The engine had run it for a while, so it did not end by beginning to.
+    Its answer had begun, so the crash was not caused by starting to run it.
     """
     for number in range(3):
         crash(evidence, f"u-{number}", f"cause-{number}")
         crash(evidence, f"u-{number}", BESIDE, silent=False)
     assert not blocked(evidence, BESIDE)
-    # One that ends upstreams late in its answer is not sent for ever.
+    # A request that crashes upstreams late in its answer is blocked eventually.
     crash(evidence, "u-3", BESIDE, silent=False)
     assert blocked(evidence, BESIDE)
 
@@ -110,7 +113,7 @@
 
 
 def test_two_that_were_always_together_wait_for_one_more_crash(evidence):
-    """At three crashes each, one of them is innocent, and nobody knows which."""
+    """With three crashes each, it is unknown which of them is innocent."""
     for number in range(3):
         crash(evidence, f"u-{number}", GUILTY, BESIDE)
     assert not blocked(evidence, GUILTY)
@@ -120,8 +123,8 @@
     assert blocked(evidence, BESIDE)
 
 
-def test_many_upstreams_that_end_at_once_block_nothing(evidence):
-    """A quarter of a pool crashes; all that ran there comes again."""
+def test_simultaneous_crashes_of_many_upstreams_block_nothing(evidence):
+    """A quarter of a pool crashes, and all requests there are resent."""
     requests = [f"r-{number}" for number in range(60)]
     for number, request in enumerate(requests):
         crash(evidence, f"u-{number % 6}", request)
@@ -136,13 +139,13 @@
     assert len(evidence.clear(GUILTY)) == 3
     assert not blocked(evidence, GUILTY)
     assert not evidence.is_suspect(GUILTY)
-    # What is told again later stays void.
+    # A record that is reported again stays void.
     crash(evidence, "u-1", GUILTY)
     assert not evidence.is_suspect(GUILTY)
 
 
 def test_block_ends_and_one_more_crash_renews_it(evidence):
-    """A mended upstream serves the request again; one that isn't crashes."""
+    """A repaired upstream serves the request again; any other crashes."""
     for number in range(3):
         crash(evidence, f"u-{number}", GUILTY)
     later = NOW + crash_evidence.BLOCK_SECONDS
@@ -156,14 +159,14 @@
     later = NOW + crash_evidence.EXPIRY_SECONDS
     evidence.forget_old(now=later)
     assert evidence.records() == ()
-    # Peers that have not forgotten yet don't bring them back.
+    # Reports of peers that still have the record don't restore it.
     assert not evidence.take(record(GUILTY, "u-1"), now=later)
 
 
-def test_flood_of_suspects_keeps_the_weightiest(evidence):
-    """Crashes of a large pool leave thousands of suspects, once each.
+def test_eviction_keeps_requests_with_the_most_crashes(evidence):
+    """Crashes of a large pool leave thousands of suspects with one crash each.
 
-    What is kept stays bounded, and a request that is blocked stays blocked.
+    The number of records stays bounded, and a blocked request stays blocked.
     """
     for number in range(3):
         crash(evidence, f"u-{number}", GUILTY)
@@ -186,7 +189,7 @@
 
 
 class Exchange(RuleBasedStateMachine):
-    """Crashes seen at any entry VM, news lost, late, repeated and in any order."""
+    """Crashes at any entry VM; reports are lost, repeated and reordered."""
 
     VMS = 3
 
@@ -195,7 +198,7 @@
         """Start all entry VMs, without any crash."""
         self.vms = [crash_evidence.CrashEvidence() for _ in range(self.VMS)]
         self.upstreams = 0
-        self.told = []
+        self.reports = []
         self.now = NOW
 
     @rule(
@@ -206,7 +209,7 @@
         silent=st.booleans(),
     )
     def crash(self, vm, requests, silent):
-        """Have an upstream end under some requests."""
+        """Crash an upstream that runs some requests."""
         self.upstreams += 1
         self.now += 0.1
         for request in requests:
@@ -217,29 +220,31 @@
                 silent=silent,
             )
             assert self.vms[vm].take(one, now=self.now)
-            self.told.append(one)
+            self.reports.append(one)
 
     @rule(vm=st.integers(0, VMS - 1), request=st.sampled_from(("a", "b", "c")))
     def answer(self, vm, request):
         """Have an upstream answer a request at one entry VM."""
         cleared = self.vms[vm].clear(request)
         assert not self.vms[vm].is_suspect(request)
-        self.told.extend(cleared)
+        self.reports.extend(cleared)
 
     @rule(data=st.data())
-    def hear(self, data):
-        """Have an entry VM hear some of what was told, now or before."""
-        if not self.told:
+    def receive(self, data):
+        """Have an entry VM receive some of the reports, in any order."""
+        if not self.reports:
             return
         vm = data.draw(st.sampled_from(self.vms))
-        for one in data.draw(st.lists(st.sampled_from(self.told), max_size=6)):
+        for one in data.draw(
+            st.lists(st.sampled_from(self.reports), max_size=6)
+        ):
             vm.take(one, now=self.now)
 
     @rule()
-    def all_hear_all(self):
-        """Exchange everything: all judge the same, and judge right."""
+    def exchange_all(self):
+        """Exchange all reports: all entry VMs then block the same requests."""
         for vm in self.vms:
-            for one in self.told:
+            for one in self.reports:
                 vm.take(one, now=self.now)
         blocks = [vm.blocks(now=self.now) for vm in self.vms]
         assert all(
@@ -249,23 +254,23 @@
         self._check_against_counts({one.request for one in blocks[0]})
 
     def _check_against_counts(self, blocked):
-        """Check with plain counts of what was told."""
-        void = {(one.request, one.at) for one in self.told if one.void}
-        held = {(one.request, one.at) for one in self.told} - void
+        """Check the blocks against plain counts of the reports."""
+        void = {(one.request, one.at) for one in self.reports if one.void}
+        valid = {(one.request, one.at) for one in self.reports} - void
         counts = {
-            request: sum(one == request for one, _ in held)
+            request: sum(one == request for one, _ in valid)
             for request in ("a", "b", "c")
         }
         for request in blocked:
             assert counts[request] >= crash_evidence.CRASHES_TO_BLOCK
         for request, count in counts.items():
-            # Whatever ran beside it, so many crashes are enough.
+            # This many crashes block a request whatever ran at the same time.
             if count >= crash_evidence.CRASHES_TO_BLOCK_ANY:
                 assert request in blocked
 
     @invariant()
     def no_block_without_crashes(self):
-        """Check that no entry VM blocks by less than it has heard."""
+        """Check that each block has enough distinct crashes."""
         for vm in self.vms:
             for block in vm.blocks(now=self.now):
                 assert len(block.crashes) >= crash_evidence.CRASHES_TO_BLOCK
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -1,10 +1,11 @@
-"""Requests that end upstreams, among many that run beside them.
-
-Pattern: every second a copy of one of a few such requests comes; what runs at the
-same upstream breaks with it, and its callers send it again until it is answered,
-more stubbornly than most do. Compared with a naive version, which counts crashes
-and nothing else. Grounds: in a recorded day a quarter of the broken streams had
-nothing of their answer yet; a pool of five, as small ones are.
+"""Requests that crash upstreams, among many that run at the same time.
+
+The simulated load: every second a copy of one of a few such requests arrives.
+Requests at the same upstream break with it, and their callers resend them until
+they are answered, more persistently than most callers do. The result is
+compared with a naive version that only counts crashes. The shares are those of
+a recorded day, on which a quarter of the broken streams had no part of their
+answer yet; pools of five upstreams are the usual small ones.
 """
 
 import collections
@@ -17,9 +18,9 @@
 
 SECONDS = 40
 SEEDS = 60
-MOST_BESIDE = 5
+MAX_CONCURRENT = 5
 SILENT_SHARE = 0.25
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 """Copies that may still reach an upstream after the third crash."""
 
 
@@ -35,7 +36,7 @@
         self._count_by_request[record.request] += 1
 
     def clear(self, request):
-        """Forget the crashes of a request."""
+        """Reset the count of a request."""
         self._count_by_request.pop(request, None)
 
     def block_of(self, request, *, now):
@@ -47,14 +48,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Outcome:
-    """What became of all requests of some days."""
+    """Crashes and rejections of one simulation."""
 
     crashes_by_cause: collections.Counter
-    turned_away: int = 0
+    rejected: int = 0
 
 
-class Day:
-    """One seeded day of a pool."""
+class Simulation:
+    """A seeded simulation of a pool."""
 
     def __init__(self, evidence, *, seed, causes, pool):
         self._evidence = evidence
@@ -63,42 +64,42 @@
         self._pool = pool
         self._upstreams = 0
         self._requests = 0
-        self._again = []
+        self._resent = []
         self.outcome = Outcome(crashes_by_cause=collections.Counter())
 
-    def play(self):
-        """Return what happened."""
+    def run(self):
+        """Run the simulation and return its outcome."""
         for second in range(SECONDS):
             self._second(float(second))
         return self.outcome
 
     def _second(self, now):
-        running_by_place = [self._new_ones() for _ in range(self._pool)]
-        self._admit_again(running_by_place, now)
+        running_by_upstream = [self._new_requests() for _ in range(self._pool)]
+        self._resend(running_by_upstream, now)
         cause = f"cause-{self._rng.randrange(self._causes)}"
-        place = None
+        crashed_upstream = None
         if self._evidence.block_of(cause, now=now) is None:
-            place = self._rng.randrange(self._pool)
+            crashed_upstream = self._rng.randrange(self._pool)
             self.outcome.crashes_by_cause[cause] += 1
-        for number, running in enumerate(running_by_place):
-            if number == place:
+        for number, running in enumerate(running_by_upstream):
+            if number == crashed_upstream:
                 self._crash(cause, running, now)
                 continue
             for request in running:
                 self._evidence.clear(request)
 
-    def _new_ones(self):
-        count = self._rng.randrange(MOST_BESIDE + 1)
+    def _new_requests(self):
+        count = self._rng.randrange(MAX_CONCURRENT + 1)
         self._requests += count
         return [f"r-{self._requests - n}" for n in range(count)]
 
-    def _admit_again(self, running_by_place, now):
-        for request in self._again:
+    def _resend(self, running_by_upstream, now):
+        for request in self._resent:
             if self._evidence.block_of(request, now=now) is None:
-                self._rng.choice(running_by_place).append(request)
+                self._rng.choice(running_by_upstream).append(request)
             else:
-                self.outcome.turned_away += 1
-        self._again = []
+                self.outcome.rejected += 1
+        self._resent = []
 
     def _crash(self, cause, running, now):
         self._upstreams += 1
@@ -111,28 +112,28 @@
                 request=request, at=at, route="r", seen_at=now, silent=silent
             )
             self._evidence.take(record, now=now)
-        self._again = running
+        self._resent = running
 
 
-def play_all(make_evidence, *, causes, pool):
+def run_all(make_evidence, *, causes, pool):
     return [
-        Day(make_evidence(), seed=seed, causes=causes, pool=pool).play()
+        Simulation(make_evidence(), seed=seed, causes=causes, pool=pool).run()
         for seed in range(SEEDS)
     ]
 
 
 @pytest.mark.parametrize("pool", [2, 5])
 @pytest.mark.parametrize("causes", [1, 3, 8])
-def test_fewer_are_turned_away_and_no_cause_runs_on(causes, pool):
-    played = play_all(crash_evidence.CrashEvidence, causes=causes, pool=pool)
-    naive = play_all(NaiveEvidence, causes=causes, pool=pool)
-    for outcome in played:
-        most = max(outcome.crashes_by_cause.values())
-        assert most <= crash_evidence.CRASHES_TO_BLOCK + MOST_RETRIES
-    turned_away = sum(one.turned_away for one in played)
-    assert turned_away < sum(one.turned_away for one in naive)
-
-
-def test_one_cause_in_a_pool_of_five_turns_nobody_else_away():
-    played = play_all(crash_evidence.CrashEvidence, causes=1, pool=5)
-    assert sum(one.turned_away for one in played) == 0
+def test_fewer_are_rejected_and_every_cause_is_blocked(causes, pool):
+    outcomes = run_all(crash_evidence.CrashEvidence, causes=causes, pool=pool)
+    naive_outcomes = run_all(NaiveEvidence, causes=causes, pool=pool)
+    for outcome in outcomes:
+        max_crashes = max(outcome.crashes_by_cause.values())
+        assert max_crashes <= crash_evidence.CRASHES_TO_BLOCK + MAX_RETRIES
+    rejected = sum(one.rejected for one in outcomes)
+    assert rejected < sum(one.rejected for one in naive_outcomes)
+
+
+def test_one_cause_in_a_pool_of_five_rejects_no_other_request():
+    outcomes = run_all(crash_evidence.CrashEvidence, causes=1, pool=5)
+    assert sum(one.rejected for one in outcomes) == 0
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -1,4 +1,4 @@
-"""Crashes become known to all entry VMs, though datagrams are lost."""
+"""Crash records reach all entry VMs although datagrams are lost."""
 
 import random
 
@@ -15,14 +15,16 @@
 )
 
 NOW = 1000.0
-NEAR = {f"vm-{n}": settings.Address(host="10.1.0.1", port=n) for n in (2, 3, 4)}
-FAR = settings.Address(host="10.2.0.1", port=9)
+NEIGHBOURS = {
+    f"vm-{n}": settings.Address(host="10.1.0.1", port=n) for n in (2, 3, 4)
+}
+REMOTE = settings.Address(host="10.2.0.1", port=9)
 RELAY = settings.Address(host="10.2.0.1", port=8)
 TICKS_PER_SECOND = 20
 
 
-class Fleet:
-    """Who the relays are."""
+class FakeFleet:
+    """Relays of a fleet, as set by the test."""
 
     def __init__(self):
         self.leading = False
@@ -32,7 +34,7 @@
         return (RELAY,)
 
     def is_relay(self):
-        """Return what the test says."""
+        """Return the value set by the test."""
         return self.leading
 
 
@@ -48,7 +50,7 @@
 
 @pytest.fixture
 def fleet():
-    return Fleet()
+    return FakeFleet()
 
 
 @pytest.fixture
@@ -64,9 +66,9 @@
 @pytest.fixture
 def news(fleet, evidence, sent):
     table = peer_table.PeerTable(entry_vm="vm-1", domain="north")
-    for name, address in NEAR.items():
+    for name, address in NEIGHBOURS.items():
         table.add(name, address, "north")
-    table.add("far-1", FAR, "south")
+    table.add("far-1", REMOTE, "south")
     return crash_news.CrashNewsExchange(
         entry_vm="vm-1",
         domain="north",
@@ -81,38 +83,43 @@
     )
 
 
-def test_crash_is_told_to_neighbours_and_other_domains_at_once(news, sent):
+def test_crash_is_sent_to_neighbours_and_other_domains_at_once(news, sent):
     news.broadcast((record(1),), now=NOW + 0.5)
-    assert {one for _, to in sent for one in to} == {*NEAR.values(), RELAY}
+    assert {one for _, to in sent for one in to} == {
+        *NEIGHBOURS.values(),
+        RELAY,
+    }
     message = router_codec.decode(router_codec.encode(sent[0][0]))
-    (told,) = crash_news.records_of(message, now=NOW + 2.5)
-    assert told == record(1, seen_at=NOW + 2.0)
+    (decoded,) = crash_news.records_of(message, now=NOW + 2.5)
+    assert decoded == record(1, seen_at=NOW + 2.0)
 
 
-def test_news_is_repeated_to_one_near_and_one_far(news, evidence, sent):
-    """The first datagrams are lost; the next reach all within a second or two."""
+def test_new_records_are_repeated_to_a_neighbour_and_a_remote_entry_vm(
+    news, evidence, sent
+):
+    """If the first datagrams are lost, repetitions reach all in two seconds."""
     evidence.take(record(1), now=NOW)
     for _ in range(3 * TICKS_PER_SECOND):
         news.tick(now=NOW + 1.0)
     reached = {one for _, to in sent for one in to}
-    assert reached == {*NEAR.values(), FAR}
+    assert reached == {*NEIGHBOURS.values(), REMOTE}
     assert all(len(to) == 2 for _, to in sent)
     assert len(sent) <= 4 * 3
 
 
-def test_old_records_are_repeated_seldom_and_all(news, evidence, sent):
-    """A failure domain that was cut off hears of what came meanwhile."""
+def test_all_old_records_are_repeated_at_a_low_rate(news, evidence, sent):
+    """A failure domain that was cut off receives the crashes it has missed."""
     old = NOW - crash_news.NEWS_SECONDS - 1.0
     for number in range(100):
         evidence.take(record(number, seen_at=old), now=NOW)
     for _ in range(12 * TICKS_PER_SECOND):
         news.tick(now=NOW)
-    told = {one.request for message, _ in sent for one in message.runs}
-    assert len(told) == 100
+    repeated = {one.request for message, _ in sent for one in message.runs}
+    assert len(repeated) == 100
     assert len(sent) <= 12
 
 
-def test_flood_of_news_is_told_in_part(news, evidence, sent):
+def test_many_new_records_are_sent_in_limited_messages(news, evidence, sent):
     for number in range(1000):
         evidence.take(record(number), now=NOW)
     for _ in range(TICKS_PER_SECOND):
@@ -121,13 +128,13 @@
     assert all(len(router_codec.encode(one)) < 4096 for one, _ in sent)
 
 
-def test_nothing_is_said_without_a_crash(news, sent):
+def test_nothing_is_sent_without_a_crash(news, sent):
     for _ in range(10 * TICKS_PER_SECOND):
         news.tick(now=NOW)
     assert sent == []
 
 
-def test_relay_hands_on_what_is_new_from_another_domain(news, fleet, sent):
+def test_relay_forwards_new_records_of_another_domain(news, fleet, sent):
     news.broadcast((record(1),), now=NOW)
     message = sent[0][0]
     far = type(message)(entry_vm="far-1", domain="south", runs=message.runs)
@@ -139,4 +146,4 @@
     news.forward(message, (record(1),), now=NOW)
     assert sent == []
     news.forward(far, (record(1),), now=NOW)
-    assert [to for _, to in sent] == [tuple(NEAR.values())]
+    assert [to for _, to in sent] == [tuple(NEIGHBOURS.values())]
--- a/packages/router/tests/test_crash_watch.py
+++ b/packages/router/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Whether a broken request means that its upstream has crashed."""
+"""Detection of crashed upstreams after broken requests."""
 
 import asyncio
 
@@ -54,19 +54,21 @@
     )
     made.seen = []
     made.answered = []
-    made.on_crash = lambda at, requests: made.seen.append((at, requests))
+    made.on_crash = lambda instance, requests: made.seen.append(
+        (instance, requests)
+    )
     made.on_answer = made.answered.append
     yield made
     await made.close()
 
 
 def begin(watch, digest, registration):
-    """Begin a run of a request."""
+    """Record the start of a request at the upstream."""
     return watch.begin(digest, route="lookups", upstream=registration)
 
 
 async def settled(watch):
-    """Wait until no upstream is looked into."""
+    """Wait until no upstream is being probed."""
     await wait_for(lambda: not watch.probed_instances)
 
 
@@ -83,15 +85,17 @@
     watch.end(one, BROKEN, registration)
     watch.end(two, BROKEN, registration)
     await settled(watch)
-    ((at, requests),) = watch.seen
-    assert (at.upstream, at.start) == ("u-1", 5)
+    ((instance, requests),) = watch.seen
+    assert (instance.upstream, instance.start) == ("u-1", 5)
     silent_by_digest = {one.digest: one.silent for one in requests}
     assert silent_by_digest == {"one": True, "two": False, "left": True}
     assert watch.answered == ["done"]
 
 
-async def test_upstream_that_takes_connections_lives(watch, registration):
-    """A fault resets connections; nothing has crashed, nobody is suspect."""
+async def test_upstream_that_accepts_connections_has_not_crashed(
+    watch, registration
+):
+    """A fault resets connections: there is no crash and no suspect."""
     server = await asyncio.start_server(
         lambda reader, writer: writer.close(),
         registration.host,
@@ -103,12 +107,13 @@
     assert watch.seen == []
 
 
-async def test_upstream_that_is_leaving_ends_as_planned(
+async def test_upstream_that_is_leaving_stops_as_planned(
     watch, directory, registration
 ):
-    """An upstream that is reclaimed or replaced ends with what it still runs.
+    """Guards against counting a planned stop as a crash.
 
-    Its callers come again, and the next may be reclaimed as well.
+    An upstream that is reclaimed or replaced stops with running requests. Their
+    callers resend them, and the next upstream may be reclaimed as well.
     """
     run = begin(watch, "one", registration)
     directory.mark_leaving("u-1", start=5, source="store")
@@ -118,7 +123,7 @@
 
 
 @pytest.mark.parametrize("result", [FAILED, None])
-async def test_answered_failure_or_caller_that_left_is_not_looked_into(
+async def test_failed_answer_or_disconnected_caller_is_not_probed(
     watch, registration, result
 ):
     watch.end(begin(watch, "one", registration), result, registration)
--- a/packages/router/tests/test_crashing_requests.py
+++ b/packages/router/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends the upstreams that run it, over real sockets.
+"""A request that crashes the upstreams that run it, over real sockets.
 
 Entry VMs, upstreams and callers run on loopback; the store is in memory.
 """
@@ -14,7 +14,7 @@
 
 BAD = b"prompt that the engine can't bear"
 LONG = b"prompt whose answer takes longer than anybody waits"
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 """Copies that may still reach an upstream after the third crash."""
 
 CRASHES_BEFORE = 3
@@ -33,16 +33,16 @@
 
 
 class CrashingPool:
-    """Upstreams that end when they run `BAD`, each replaced by a new one.
+    """Upstreams that crash when they run `BAD`, each replaced by a new one.
 
     Attributes
     ----------
     crashed
-        Ids of the upstreams that have ended so.
-    mended
-        Whether new ones bear it.
+        Ids of the crashed upstreams.
+    repaired
+        Whether new ones run `BAD` without a crash.
     events_before
-        Whether they send a part of the answer before they end.
+        Whether they send a part of the answer before they crash.
     """
 
     def __init__(self, worlds, *, size):
@@ -51,18 +51,18 @@
         self._numbers = itertools.count(1)
         self._started_by_id = {}
         self.crashed = []
-        self.mended = False
+        self.repaired = False
         self.events_before = False
 
     def running(self, body):
-        """Return how many requests with a body arrived at living upstreams."""
+        """Return the number of requests with a body at running upstreams."""
         return sum(
             one.bodies.count(body) for one in self._started_by_id.values()
         )
 
     @property
     def living(self):
-        """Ids of the upstreams that have not ended."""
+        """Ids of the upstreams that have not crashed."""
         return set(self._started_by_id)
 
     async def start(self):
@@ -75,7 +75,7 @@
 
         async def answer(exchange):
             body = self._started_by_id[id].bodies[-1]
-            if body == BAD and not self.mended:
+            if body == BAD and not self.repaired:
                 await self._begin(exchange)
                 await self._crash(id)
             elif body == LONG:
@@ -89,7 +89,7 @@
             await wait_for(lambda world=world: world.knows(id))
 
     async def _begin(self, exchange):
-        """Send the first events of an answer, where the test wants some."""
+        """Send the first events of an answer, if the test wants some."""
         if self.events_before:
             headers = marked(exchange, Content_Type="text/event-stream")
             head = messages.ResponseHead(status=200, headers=headers)
@@ -97,7 +97,7 @@
             await exchange.send(b"id: 1\ndata: x\n\n")
 
     async def _crash(self, id):
-        """End at once, and have the store learn of it as of a dead process."""
+        """Close an upstream at once, without removing it from the store."""
         self.crashed.append(id)
         # Not awaited: the listener waits for this handler.
         closing = asyncio.create_task(self._started_by_id[id].close())
@@ -105,7 +105,7 @@
         self._world.closing.append(closing)
 
     async def replace_crashed(self):
-        """Start an upstream with a new id for each one that has ended."""
+        """Start an upstream with a new id for each crashed one."""
         for id in self.crashed:
             if self._started_by_id.pop(id, None) is not None:
                 key = f"{self._world.layout.upstreams_prefix}{id}"
@@ -129,21 +129,24 @@
     pool = CrashingPool(worlds, size=POOL_SIZE)
     await pool.start()
     for world in worlds:
-        near = domains.count(world.settings.domain) - 1
+        neighbours = domains.count(world.settings.domain) - 1
         await world.ready()
         await wait_for(
-            lambda world=world, near=near: world.router.peer_count >= near
+            lambda world=world, neighbours=neighbours: (
+                world.router.peer_count >= neighbours
+            )
         )
     return worlds, pool
 
 
-async def send_until_refused_everywhere(worlds, pool, *, most):
-    """Send copies in turn until each entry VM refuses one, or `most` times.
+async def send_until_refused_everywhere(worlds, pool, *, max_requests):
+    """Send copies in turn until each entry VM refuses one.
 
-    Returns the refusals by the number of the entry VM.
+    At most `max_requests` are sent. Returns the refusals by the number of the
+    entry VM.
     """
     refusal_by_vm = {}
-    for number in range(most):
+    for number in range(max_requests):
         vm = number % len(worlds)
         got = await worlds[vm].ask(
             "/lookups/1", method="POST", id=f"r-{number}", body=BAD
@@ -156,19 +159,20 @@
     return refusal_by_vm
 
 
-async def test_request_under_which_three_upstreams_ended_is_refused(world_of):
-    """A caller's request ends each upstream that begins to run it.
+async def test_request_that_crashed_three_upstreams_is_rejected(world_of):
+    """Guards against a request that crashes each upstream that runs it.
 
-    It comes again, with another id each time, at any entry VM; ten upstreams
-    ended within as many seconds, and with each the answers of up to five other
-    callers. Nothing related one copy to the next: what was known of a crash was
-    held against the upstream, which was gone, and the one that had just started
-    was the emptiest. The logs of a recorded day, once they had the digest of a
-    request, showed the same one at each crash.
+    It is resent with a new id each time, to any entry VM. Ten upstreams crashed
+    within ten seconds, each with the answers of up to five other callers. A
+    crash was recorded against the upstream, which no longer existed, and its
+    idle replacement got the next copy. The request digest, once it was logged,
+    showed the same request at each crash of a recorded day.
     """
     worlds, pool = await fleet(world_of, make_stream_route())
-    refusal_by_vm = await send_until_refused_everywhere(worlds, pool, most=12)
-    assert len(pool.crashed) <= CRASHES_BEFORE + MOST_RETRIES
+    refusal_by_vm = await send_until_refused_everywhere(
+        worlds, pool, max_requests=12
+    )
+    assert len(pool.crashed) <= CRASHES_BEFORE + MAX_RETRIES
     assert len(refusal_by_vm) == len(worlds)
     for refusal in refusal_by_vm.values():
         assert refusal.status == 503
@@ -176,37 +180,40 @@
         assert float(refusal.headers["retry-after"]) > 0
 
 
-async def test_repeatable_request_ends_no_further_upstreams(world_of):
-    """The same with a request that an entry VM itself sends a second time."""
+async def test_idempotent_request_crashes_no_further_upstreams(world_of):
+    """The same for a request that the entry VM itself retries."""
     route = make_route(idempotent=True, maximum_attempts=3)
     worlds, pool = await fleet(world_of, route)
-    await send_until_refused_everywhere(worlds, pool, most=12)
-    assert len(pool.crashed) <= CRASHES_BEFORE + MOST_RETRIES
+    await send_until_refused_everywhere(worlds, pool, max_requests=12)
+    assert len(pool.crashed) <= CRASHES_BEFORE + MAX_RETRIES
 
 
-async def test_resumed_stream_ends_no_further_upstreams(world_of):
-    """A stream breaks after its first event, and goes on at another upstream.
+async def test_resumed_stream_crashes_no_further_upstreams(world_of):
+    """The same for a stream that is resumed at another upstream.
 
-    Its request ends that one as well, within the same request of the caller.
+    It breaks after its first event and crashes the second upstream as well,
+    within one request of the caller.
     """
     route = make_stream_route(resumable=True, maximum_attempts=3)
     worlds, pool = await fleet(world_of, route)
     pool.events_before = True
-    await send_until_refused_everywhere(worlds, pool, most=12)
-    assert len(pool.crashed) <= CRASHES_BEFORE + MOST_RETRIES
+    await send_until_refused_everywhere(worlds, pool, max_requests=12)
+    assert len(pool.crashed) <= CRASHES_BEFORE + MAX_RETRIES
     for world in worlds:
         assert world.router.crashing.block_of(digest_of(BAD))
 
 
 async def block_everywhere(worlds, pool):
-    """Have the fleet block `BAD`, and the store keep that."""
-    refusals = await send_until_refused_everywhere(worlds, pool, most=12)
+    """Make the fleet block `BAD`, and wait until the store has the block."""
+    refusals = await send_until_refused_everywhere(
+        worlds, pool, max_requests=12
+    )
     assert len(refusals) == len(worlds)
     await wait_for_stored(worlds[0], [digest_of(BAD)])
 
 
 async def wait_for_stored(world, requests):
-    """Wait until the store keeps the blocks of just these requests."""
+    """Wait until the store has the blocks of exactly these requests."""
     prefix = world.layout.blocked_requests_prefix
     wanted = tuple(f"{prefix}{one}" for one in requests)
     while await world.keys(prefix) != wanted:
@@ -220,10 +227,9 @@
 
 
 async def test_block_outlives_all_entry_vms(world_of):
-    """All processes of the fleet are killed at the same time.
+    """Guards against blocks lost when the whole fleet is killed at once.
 
-    What they knew of crashes is gone with them; the request comes again, and
-    would end three more upstreams.
+    The request would then crash three more upstreams.
     """
     worlds, pool = await fleet(world_of, make_stream_route())
     await block_everywhere(worlds, pool)
@@ -239,21 +245,21 @@
 
 
 async def test_block_outlives_the_entry_vm_that_saw_the_crashes(world_of):
-    """One entry VM sent all copies, and is killed right after the third crash."""
+    """The entry VM that sent all copies is killed after the third crash."""
     worlds, pool = await fleet(world_of, make_stream_route())
     for number in range(CRASHES_BEFORE):
         assert (await ask(worlds[0], id=f"r-{number}")).status == 502
         await pool.replace_crashed()
     await worlds[0].router.close()
-    await send_until_refused_everywhere(worlds[1:], pool, most=12)
-    assert len(pool.crashed) <= CRASHES_BEFORE + MOST_RETRIES
+    await send_until_refused_everywhere(worlds[1:], pool, max_requests=12)
+    assert len(pool.crashed) <= CRASHES_BEFORE + MAX_RETRIES
     for world in worlds[1:]:
         got = await ask(world)
         assert got.headers["lagoonrun-reason"] == REASON
 
 
 async def test_block_reaches_a_large_fleet(world_of):
-    """Neighbours tell a relay only, and most leave the store to others to read."""
+    """Neighbours report only to a relay, and most don't read the store."""
     domains = ("north",) * 14 + ("south",) * 2
     worlds, pool = await fleet(world_of, make_stream_route(), domains=domains)
     for number in range(CRASHES_BEFORE):
@@ -270,32 +276,32 @@
     assert len(pool.crashed) == CRASHES_BEFORE
 
 
-async def test_requests_beside_the_cause_are_served_when_they_come_again(
+async def test_requests_that_ran_with_the_cause_are_served_when_resent(
     world_of,
 ):
-    """A crash cuts all that its upstream runs; their callers send them again."""
+    """A crash breaks all requests there, and their callers resend them."""
     worlds, pool = await fleet(world_of, make_stream_route())
-    beside = [f"other prompt {number}".encode() for number in range(6)]
+    concurrent = [f"other prompt {number}".encode() for number in range(6)]
     for number in range(CRASHES_BEFORE):
-        cut = [
+        broken = [
             asyncio.create_task(ask(world, LONG, id=f"long-{number}-{n}"))
             for n, world in enumerate(worlds)
         ]
         await wait_for(lambda: pool.running(LONG) == len(worlds))
         await ask(worlds[number], id=f"bad-{number}")
         await pool.replace_crashed()
-        for one in cut:
+        for one in broken:
             one.cancel()
-        await asyncio.gather(*cut, return_exceptions=True)
+        await asyncio.gather(*broken, return_exceptions=True)
     await block_everywhere(worlds, pool)
     for world in worlds:
-        for body in beside:
+        for body in concurrent:
             assert (await ask(world, body)).status == 200
         assert world.router.crashing.block_of(digest_of(LONG)) is None
 
 
-async def test_nothing_is_held_against_upstreams_that_crashed(world_of):
-    """Their new starts get work at once, as many as were there before."""
+async def test_replacements_of_crashed_upstreams_have_no_failures(world_of):
+    """Their replacements are usable at once and have no recorded failures."""
     worlds, pool = await fleet(world_of, make_stream_route())
     await block_everywhere(worlds, pool)
     for world in worlds:
@@ -310,10 +316,10 @@
 
 
 async def test_lifted_request_runs_again(world_of):
-    """The operator has mended the engine and does not wait for the block to end."""
+    """An operator has repaired the engine and unblocks the request."""
     worlds, pool = await fleet(world_of, make_stream_route())
     await block_everywhere(worlds, pool)
-    pool.mended = True
+    pool.repaired = True
     assert worlds[1].router.crashing.lift(digest_of(BAD))
     assert (await ask(worlds[1])).status == 200
     for world in worlds:
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -1,4 +1,4 @@
-"""What an entry VM does with crashes it sees and hears of, without a network."""
+"""Handling of own and reported crashes by an entry VM, without a network."""
 
 import pytest
 
@@ -17,47 +17,47 @@
 LONG_SECONDS = 10.0
 
 
-class Watch:
-    """What ran at crashed upstreams."""
+class FakeWatch:
+    """Suspects of crashed upstreams, as set by the test."""
 
     def __init__(self):
-        self.ran_by_upstream = {}
+        self.suspects_by_instance = {}
 
-    def suspects_at(self, at):
-        """Return what the test put there."""
-        return self.ran_by_upstream.get(at, frozenset())
+    def suspects_at(self, instance):
+        """Return the suspects set by the test."""
+        return self.suspects_by_instance.get(instance, frozenset())
 
 
-class BlockWriter:
-    """Keeps what it was asked for."""
+class FakeBlockWriter:
+    """Records writes and removals."""
 
     def __init__(self):
         self.written = []
         self.removed = []
 
     def write(self, block):
-        """Note a block."""
+        """Record a written block."""
         self.written.append(block.request)
 
     def remove(self, request):
-        """Note a removal."""
+        """Record a removal."""
         self.removed.append(request)
 
 
-class News:
-    """What was told to the fleet."""
+class FakeAnnouncer:
+    """Records what is sent to the fleet."""
 
     def __init__(self):
         self.is_relay = False
-        self.told = []
+        self.sent = []
 
     def broadcast(self, records, *, now):
-        """Note records."""
+        """Record broadcast records."""
         del now
-        self.told.extend(records)
+        self.sent.extend(records)
 
-    def forward(self, told, new, *, now):
-        """Hand on nothing."""
+    def forward(self, received, new, *, now):
+        """Forward nothing."""
 
 
 @pytest.fixture
@@ -67,33 +67,33 @@
 
 @pytest.fixture
 def watch():
-    return Watch()
+    return FakeWatch()
 
 
 @pytest.fixture
 def block_writer():
-    return BlockWriter()
+    return FakeBlockWriter()
 
 
 @pytest.fixture
-def news():
-    return News()
+def announcer():
+    return FakeAnnouncer()
 
 
 @pytest.fixture
-def crashing(watch, block_writer, clock, news):
+def crashing(watch, block_writer, clock, announcer):
     made = crashing_requests.CrashingRequests(
         watch=watch, block_writer=block_writer, clock=clock
     )
-    made.news = news
+    made.news = announcer
     return made
 
 
-def started(number):
+def make_instance(number):
     return running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
 
 
-def told(*runs, age_milliseconds=0, void=False):
+def message_of(*runs, age_milliseconds=0, void=False):
     return router_messages.CrashNews(
         entry_vm="vm-2",
         domain="north",
@@ -111,21 +111,21 @@
     )
 
 
-def crash_thrice(crashing):
+def crash_three_times(crashing):
     for number in range(3):
-        crashing.record_crash(started(number), frozenset({ONE}))
+        crashing.record_crash(make_instance(number), frozenset({ONE}))
 
 
 def blocked(crashing):
     return [one.request for one in crashing.blocks()]
 
 
-def test_own_crashes_are_told_and_the_block_is_kept(
-    crashing, news, block_writer, clock
+def test_own_crashes_are_broadcast_and_the_block_is_written(
+    crashing, announcer, block_writer, clock
 ):
-    crash_thrice(crashing)
+    crash_three_times(crashing)
     assert blocked(crashing) == ["one"]
-    assert len(news.told) == 3
+    assert len(announcer.sent) == 3
     crashing.tick()
     assert block_writer.written == []
     clock.advance(1.0)
@@ -135,28 +135,31 @@
 
 
 def test_crashes_at_several_entry_vms_add_up(crashing):
-    crashing.record_crash(started(0), frozenset({ONE}))
-    crashing.receive_news(told(("one", 1), ("one", 2)))
+    crashing.record_crash(make_instance(0), frozenset({ONE}))
+    crashing.receive_news(message_of(("one", 1), ("one", 2)))
     assert blocked(crashing) == ["one"]
 
 
 @pytest.mark.parametrize("is_relay", [True, False])
-def test_only_relays_keep_what_they_were_told(
-    crashing, news, block_writer, clock, is_relay
+def test_only_relays_write_reported_blocks(
+    crashing, announcer, block_writer, clock, is_relay
 ):
-    """Whoever saw the crash may have ended; all others at once would storm."""
-    news.is_relay = is_relay
-    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
+    """The entry VM that saw the crash may have stopped, so a relay writes.
+
+    If all others did, they would overload the store.
+    """
+    announcer.is_relay = is_relay
+    crashing.receive_news(message_of(("one", 0), ("one", 1), ("one", 2)))
     clock.advance(LONG_SECONDS)
     crashing.tick()
     assert block_writer.written == (["one"] if is_relay else [])
 
 
-def test_relay_does_not_keep_what_the_store_has(
-    crashing, news, block_writer, clock
+def test_relay_does_not_write_a_stored_block(
+    crashing, announcer, block_writer, clock
 ):
-    news.is_relay = True
-    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
+    announcer.is_relay = True
+    crashing.receive_news(message_of(("one", 0), ("one", 1), ("one", 2)))
     (block,) = crashing.blocks()
     crashing.apply_stored("one", block_record.encode(block))
     clock.advance(LONG_SECONDS)
@@ -165,73 +168,73 @@
 
 
 def test_request_whose_caller_left_right_before_the_crash_ran_there(
-    crashing, watch, news
+    crashing, watch, announcer
 ):
-    """The upstream may have gone on with it; another entry VM saw the crash."""
-    watch.ran_by_upstream[started(0)] = frozenset({TWO})
-    crashing.receive_news(told(("one", 0)))
+    """The upstream may still have run it; another entry VM saw the crash."""
+    watch.suspects_by_instance[make_instance(0)] = frozenset({TWO})
+    crashing.receive_news(message_of(("one", 0)))
     assert {one.request for one in crashing.records()} == {"one", "two"}
-    assert [one.request for one in news.told] == ["two"]
+    assert [one.request for one in announcer.sent] == ["two"]
 
 
-def test_old_news_says_nothing_of_what_runs_here(crashing, watch):
-    watch.ran_by_upstream[started(0)] = frozenset({TWO})
-    crashing.receive_news(told(("one", 0), age_milliseconds=60_000))
+def test_old_reports_make_no_request_here_suspect(crashing, watch):
+    watch.suspects_by_instance[make_instance(0)] = frozenset({TWO})
+    crashing.receive_news(message_of(("one", 0), age_milliseconds=60_000))
     assert {one.request for one in crashing.records()} == {"one"}
 
 
-def test_answer_unblocks_everywhere(crashing, news, block_writer):
-    crash_thrice(crashing)
+def test_answer_unblocks_everywhere(crashing, announcer, block_writer):
+    crash_three_times(crashing)
     (block,) = crashing.blocks()
     crashing.apply_stored("one", block_record.encode(block))
-    news.told.clear()
+    announcer.sent.clear()
     crashing.record_answer("one")
     assert blocked(crashing) == []
-    assert [one.void for one in news.told] == [True] * 3
+    assert [one.void for one in announcer.sent] == [True] * 3
     assert block_writer.removed == ["one"]
 
 
-def test_answer_of_a_request_beside_one_crash_is_not_told(crashing, news):
-    crashing.record_crash(started(0), frozenset({ONE, TWO}))
-    news.told.clear()
+def test_answer_after_a_single_crash_is_not_broadcast(crashing, announcer):
+    crashing.record_crash(make_instance(0), frozenset({ONE, TWO}))
+    announcer.sent.clear()
     crashing.record_answer("two")
     crashing.record_answer("never-suspect")
-    assert news.told == []
+    assert announcer.sent == []
 
 
 def test_request_that_was_answered_lately_is_not_blocked_here_or_elsewhere(
-    crashing, news, clock
+    crashing, announcer, clock
 ):
-    """Many callers send the same lookup; several upstreams end within a second."""
+    """Many callers send the same lookup, and several upstreams crash."""
     crashing.record_answer("one")
     clock.advance(1.0)
-    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(message_of(("one", 0), ("one", 1), ("one", 2)))
     assert blocked(crashing) == []
-    assert [one.void for one in news.told] == [True] * 3
+    assert [one.void for one in announcer.sent] == [True] * 3
 
 
 def test_request_that_was_answered_long_ago_is_blocked(crashing, clock):
-    """A new version of an engine ends by what the one before could bear."""
+    """A new engine version may crash on a request that the old one served."""
     crashing.record_answer("one")
     clock.advance(recent_answers.ANSWERED_SECONDS)
-    crash_thrice(crashing)
+    crash_three_times(crashing)
     assert blocked(crashing) == ["one"]
 
 
-def test_lifted_block_is_void_for_peers_that_tell_it_again(crashing):
-    crash_thrice(crashing)
+def test_lifted_block_stays_void_when_peers_report_it_again(crashing):
+    crash_three_times(crashing)
     assert crashing.lift("one")
     assert not crashing.lift("one")
-    crashing.receive_news(told(("one", 0), ("one", 1), ("one", 2)))
+    crashing.receive_news(message_of(("one", 0), ("one", 1), ("one", 2)))
     assert blocked(crashing) == []
 
 
-def test_stored_block_is_in_force_at_an_entry_vm_that_starts(crashing):
+def test_stored_block_applies_at_an_entry_vm_that_starts(crashing):
     crashing.apply_stored("one", _stored_block())
     assert blocked(crashing) == ["one"]
 
 
-def test_block_that_the_store_drops_has_ended(crashing):
+def test_block_removed_from_the_store_ends(crashing):
     crashing.apply_stored("one", _stored_block())
     crashing.apply_removed("one")
     assert blocked(crashing) == []
@@ -239,9 +242,9 @@
 
 @pytest.mark.parametrize("is_relay", [True, False])
 def test_relay_writes_a_block_again_that_a_restored_store_may_lack(
-    crashing, news, block_writer, clock, is_relay
+    crashing, announcer, block_writer, clock, is_relay
 ):
-    news.is_relay = is_relay
+    announcer.is_relay = is_relay
     crashing.apply_stored("one", _stored_block())
     crashing.on_store_restored()
     clock.advance(LONG_SECONDS)
@@ -251,9 +254,9 @@
 
 
 def test_block_that_a_restored_store_has_is_not_written_again(
-    crashing, news, block_writer, clock
+    crashing, announcer, block_writer, clock
 ):
-    news.is_relay = True
+    announcer.is_relay = True
     crashing.apply_stored("one", _stored_block())
     crashing.on_store_restored()
     crashing.apply_stored("one", _stored_block())
@@ -262,8 +265,8 @@
     assert block_writer.written == []
 
 
-def test_block_of_ones_own_does_not_end_by_a_key_that_was_not_seen(crashing):
-    crash_thrice(crashing)
+def test_own_block_does_not_end_by_the_removal_of_an_unseen_key(crashing):
+    crash_three_times(crashing)
     crashing.apply_removed("one")
     assert blocked(crashing) == ["one"]
 
@@ -274,15 +277,15 @@
     assert blocked(crashing) == []
 
 
-def test_block_ends_with_time_and_one_crash_renews_and_keeps_it(
+def test_block_expires_and_one_crash_renews_and_writes_it(
     crashing, block_writer, clock
 ):
-    crash_thrice(crashing)
+    crash_three_times(crashing)
     clock.advance(crash_evidence.BLOCK_SECONDS)
     crashing.tick()
     assert blocked(crashing) == []
     block_writer.written.clear()
-    crashing.record_crash(started(3), frozenset({ONE}))
+    crashing.record_crash(make_instance(3), frozenset({ONE}))
     clock.advance(1.0)
     crashing.tick()
     assert blocked(crashing) == ["one"]
@@ -293,7 +296,10 @@
     evidence = crash_evidence.CrashEvidence()
     for number in range(3):
         record = crash_evidence.CrashRecord(
-            request="one", at=started(number), route="lookups", seen_at=0.0
+            request="one",
+            at=make_instance(number),
+            route="lookups",
+            seen_at=0.0,
         )
         evidence.take(record, now=0.0)
     return block_record.encode(evidence.block_of("one", now=0.0))
