--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -178,7 +178,7 @@
         self._record_pressure()
         return await self._end_refused(
             reason=_REASON_BY_CLOSED[refusal.closed[0].reason],
-            detail="all upstreams of the pool are rate limited or in a back-off",
+            detail="all upstreams of the pool are rate limited or asked for rest",
             retry_after_seconds=self._retry_after_closed(refusal.closed),
             closed=refusal.closed[:_MAX_LOGGED_UPSTREAMS],
         )
@@ -215,7 +215,7 @@
         """
         return await self._end_refused(
             reason=outcomes.Reason.CRASHED_UPSTREAMS,
-            detail=f"{len(block.crashes)} upstreams crashed while they ran it",
+            detail=f"{len(block.crashes)} upstreams ended while they ran it",
             retry_after_seconds=block.until
             - self._components.clock.monotonic(),
             crashes=block.crashes,
--- a/packages/router/src/lagoonrun_router/ingress.py
+++ b/packages/router/src/lagoonrun_router/ingress.py
@@ -225,7 +225,7 @@
             outcome=outcomes.Outcome.NOT_RUN,
             reason=outcomes.Reason.UNCONFIGURED,
             retry_after_seconds=_UNCONFIGURED_RETRY_SECONDS,
-            detail="no declarations are active yet",
+            detail="no declarations are in force yet",
         )
         logs.emit(
             events.LogEvent.REQUEST_REFUSED,
--- a/packages/router/src/lagoonrun_router/upstream_attempt.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -202,7 +202,7 @@
             return attempt_result.Lost(
                 ran=outcomes.Outcome.UNKNOWN,
                 reason=outcomes.Reason.UPSTREAM_PROTOCOL,
-                detail=f"status {head.status} without the upstream's signature",
+                detail=f"status {head.status} without the upstream's mark",
                 upstream=upstream,
             )
         if self._call.streamed and head.status < _LOWEST_ERROR_STATUS:
