--- a/packages/daemon/src/lagoonrun_daemon/placement.py
+++ b/packages/daemon/src/lagoonrun_daemon/placement.py
@@ -49,7 +49,7 @@
             duty=tenure.duty_of_domain(configured.domain),
             entry_vm=configured.entry_vm,
             clock=clock,
-            random=rng,
+            rng=rng,
             order_timeout_seconds=configured.order_timeout_seconds,
             ttl_seconds=configured.order_lease_seconds,
             margin_seconds=margin_seconds,
--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -115,7 +115,7 @@
             duty=DUTY,
             entry_vm=entry_vm,
             clock=clock,
-            random=rng,
+            rng=rng,
             order_timeout_seconds=platform_calls.CALL_SECONDS,
             ttl_seconds=LEASE_SECONDS,
             margin_seconds=MARGIN_SECONDS,
--- a/packages/orders/src/lagoonrun_orders/leadership.py
+++ b/packages/orders/src/lagoonrun_orders/leadership.py
@@ -37,7 +37,7 @@
     ----------
     duty
         Task that only one entry VM may perform at a time.
-    random
+    rng
         Source of jitter and nonces; must differ between processes.
     order_timeout_seconds
         Time limit of an order sent by this process.
@@ -70,7 +70,7 @@
         duty: types.DutyName,
         entry_vm: types.EntryVmId,
         clock: clock_module.Clock,
-        random: random.Random,
+        rng: random.Random,
         order_timeout_seconds: float,
         ttl_seconds: float = DEFAULT_TTL_SECONDS,
         margin_seconds: float = DEFAULT_MARGIN_SECONDS,
@@ -84,7 +84,7 @@
         self._duty = duty
         self._entry_vm = entry_vm
         self._clock = clock
-        self._random = random
+        self._random = rng
         self._order_timeout_seconds = order_timeout_seconds
         self._ttl_seconds = ttl_seconds
         self._margin_seconds = margin_seconds
@@ -100,7 +100,7 @@
             store=self._store,
             key=self._holder_key,
             is_own=self._is_own,
-            random=random,
+            random=rng,
             sleep=sleep,
         )
         self._last: store_module.KeyValue | None = None
--- a/packages/orders/tests/test_fencing.py
+++ b/packages/orders/tests/test_fencing.py
@@ -264,7 +264,7 @@
             duty=tenure_module.duty_of_domain(DOMAIN),
             entry_vm=types.EntryVmId(f"vm-{vm}"),
             clock=self.clock,
-            random=random.Random(self.numbers),
+            rng=random.Random(self.numbers),
             order_timeout_seconds=ORDER_SECONDS,
             ttl_seconds=TTL_SECONDS,
             sleep=sleep,
--- a/packages/orders/tests/test_leadership.py
+++ b/packages/orders/tests/test_leadership.py
@@ -65,7 +65,7 @@
             duty=DUTY,
             entry_vm=types.EntryVmId(f"vm-{number}"),
             clock=clock,
-            random=random.Random(number),
+            rng=random.Random(number),
             order_timeout_seconds=ORDER_SECONDS,
             ttl_seconds=TTL_SECONDS,
             margin_seconds=MARGIN_SECONDS,
