--- a/packages/daemon/src/lagoonrun_daemon/loads.py
+++ b/packages/daemon/src/lagoonrun_daemon/loads.py
@@ -96,7 +96,7 @@
             async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
                 text = await self._fetch(upstream)
                 if text is not None:
-                    self.take(upstream.id, text)
+                    self.apply_report(upstream.id, text)
 
     async def _fetch(self, upstream: model.Upstream) -> str | None:
         request = http_upstream.UpstreamRequest(
@@ -116,7 +116,7 @@
             return None
         return body.decode(errors="replace")
 
-    def take(self, upstream: types.UpstreamId, text: str) -> None:
+    def apply_report(self, upstream: types.UpstreamId, text: str) -> None:
         """Take in the text of one report; ignore one that is no report."""
         values: dict[str, float] = {}
         models: list[str] = []
--- a/packages/standins/src/lagoonrun_standins/bench_capacity.py
+++ b/packages/standins/src/lagoonrun_standins/bench_capacity.py
@@ -259,7 +259,7 @@
     return {
         "bytes": len(text),
         "us_parse": _microseconds(
-            lambda: reader.take(upstream, text.decode()), _REPEATS
+            lambda: reader.apply_report(upstream, text.decode()), _REPEATS
         ),
         "reads_per_second_and_runner": 1 / loads.REPORT_PERIOD_SECONDS,
     }
