--- a/packages/core/src/lagoonrun_core/standing_task.py
+++ b/packages/core/src/lagoonrun_core/standing_task.py
@@ -11,7 +11,7 @@
 """Pause after a fault, so that a lasting one costs neither a core nor a log."""
 
 
-class StandingTask:
+class SupervisedTask:
     """Runs a function until it is closed, and again after a fault.
 
     A task that ends by an unforeseen error would otherwise end in silence:
--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -149,7 +149,7 @@
         )
         self._reports_usage = platform_calls.Duty.USAGE in configured.duties
         self._orders_runners = platform_calls.Duty.RUNNERS in configured.duties
-        self._task = standing_task.StandingTask(
+        self._task = standing_task.SupervisedTask(
             name="duties", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/block_writer.py
+++ b/packages/router/src/lagoonrun_router/block_writer.py
@@ -48,7 +48,7 @@
             types.RequestDigest, crash_evidence.Block | None
         ] = {}
         self._wakeup = asyncio.Event()
-        self._task = standing_task.StandingTask(
+        self._task = standing_task.SupervisedTask(
             name="block-keeper", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -210,7 +210,7 @@
             clock=clock,
             rng=rng,
         )
-        self._timer = standing_task.StandingTask(
+        self._timer = standing_task.SupervisedTask(
             name="peers", function=self._run
         )
         self._fetcher = peer_fetch.PeerFetcher(
--- a/packages/router/src/lagoonrun_router/reader_selection.py
+++ b/packages/router/src/lagoonrun_router/reader_selection.py
@@ -114,7 +114,7 @@
             own_size=peer_table.rounded_cores(processor_cores),
             others=table,
         )
-        self._task = standing_task.StandingTask(
+        self._task = standing_task.SupervisedTask(
             name="store-duty", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -110,10 +110,10 @@
         self._stopping = False
         self._was_ready = False
         self._tasks = (
-            standing_task.StandingTask(
+            standing_task.SupervisedTask(
                 name="own-record", function=self._write_own_record
             ),
-            standing_task.StandingTask(
+            standing_task.SupervisedTask(
                 name="house-keeping", function=self._run_housekeeping
             ),
         )
--- a/packages/router/src/lagoonrun_router/settings_watch.py
+++ b/packages/router/src/lagoonrun_router/settings_watch.py
@@ -56,7 +56,7 @@
         self._load = load
         self._use = use
         self._stamp = _stamp_of(path)
-        self._task = standing_task.StandingTask(
+        self._task = standing_task.SupervisedTask(
             name="settings-watch", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -149,7 +149,7 @@
         self._failure = ""
         self._applying_changes = False
         self._pause_seconds = _FIRST_PAUSE_SECONDS
-        self._task = standing_task.StandingTask(
+        self._task = standing_task.SupervisedTask(
             name="store-follower", function=self._run
         )
         self._clock = clock
