--- a/packages/http/src/lagoonrun_http/server.py
+++ b/packages/http/src/lagoonrun_http/server.py
@@ -110,7 +110,7 @@
         """Bound the connections that are accepted from now on by `limits`."""
         self._limits = limits
 
-    def send_callers_away(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Answer on, with each answer the last one of its connection.
 
         New connections are still taken: a balancer goes on sending some
--- a/packages/http/tests/test_moving_callers.py
+++ b/packages/http/tests/test_moving_callers.py
@@ -53,7 +53,7 @@
     await made.start()
     kept = await asyncio.open_connection("127.0.0.1", made.port)
     assert b"connection: close" not in await ask(*kept)
-    made.send_callers_away()
+    made.disable_keep_alive()
     assert b"connection: close" in await ask(*kept)
     new = await asyncio.open_connection("127.0.0.1", made.port)
     assert b"connection: close" in await ask(*new)
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -353,7 +353,7 @@
             events.LogEvent.PROCESS_STOPPING,
             open_exchanges=self._caller_server.open_exchanges,
         )
-        self._caller_server.send_callers_away()
+        self._caller_server.disable_keep_alive()
         await asyncio.gather(
             asyncio.sleep(_ACCEPTING_SECONDS), self._release_duties()
         )
