--- a/packages/core/tests/test_standing_task.py
+++ b/packages/core/tests/test_standing_task.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from lagoonrun_core import standing_task
+from lagoonrun_core import supervised_task
 
 
 @pytest.fixture
 def quick(monkeypatch):
-    monkeypatch.setattr(standing_task, "RESTART_SECONDS", 0.01)
+    monkeypatch.setattr(supervised_task, "RESTART_SECONDS", 0.01)
 
 
 async def other_tasks_ended():
@@ -32,7 +32,7 @@
         second.set()
         await asyncio.Event().wait()
 
-    task = standing_task.SupervisedTask(name="reader", function=work)
+    task = supervised_task.SupervisedTask(name="reader", function=work)
     with caplog.at_level(logging.ERROR, logger="lagoonrun"):
         task.start()
         await asyncio.wait_for(second.wait(), 5)
@@ -49,7 +49,7 @@
     async def work():
         runs.append(1)
 
-    task = standing_task.SupervisedTask(name="once", function=work)
+    task = supervised_task.SupervisedTask(name="once", function=work)
     task.start()
     await other_tasks_ended()
     assert runs == [1]
@@ -63,7 +63,7 @@
         started.put_nowait(1)
         await asyncio.Event().wait()
 
-    task = standing_task.SupervisedTask(name="reader", function=work)
+    task = supervised_task.SupervisedTask(name="reader", function=work)
     task.start()
     await asyncio.wait_for(started.get(), 5)
     task.cancel()
--- a/packages/duties/src/lagoonrun_duties/duties.py
+++ b/packages/duties/src/lagoonrun_duties/duties.py
@@ -15,7 +15,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import standing_task, ticks, types
+from lagoonrun_core import supervised_task, ticks, types
 from lagoonrun_duties import (
     filtered_clock,
     platform_calls,
@@ -149,7 +149,7 @@
         )
         self._reports_usage = platform_calls.Duty.USAGE in configured.duties
         self._orders_runners = platform_calls.Duty.RUNNERS in configured.duties
-        self._task = standing_task.SupervisedTask(
+        self._task = supervised_task.SupervisedTask(
             name="duties", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/block_writer.py
+++ b/packages/router/src/lagoonrun_router/block_writer.py
@@ -7,7 +7,7 @@
 import asyncio
 import random
 
-from lagoonrun_core import standing_task, types
+from lagoonrun_core import supervised_task, types
 from lagoonrun_platform import store as store_module
 from lagoonrun_router import block_record, crash_evidence
 
@@ -48,7 +48,7 @@
             types.RequestDigest, crash_evidence.Block | None
         ] = {}
         self._wakeup = asyncio.Event()
-        self._task = standing_task.SupervisedTask(
+        self._task = supervised_task.SupervisedTask(
             name="block-keeper", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import errors, standing_task, ticks, types
+from lagoonrun_core import errors, supervised_task, ticks, types
 from lagoonrun_duties import usage_exchange
 from lagoonrun_protocol import router_messages
 from lagoonrun_router import (
@@ -210,7 +210,7 @@
             clock=clock,
             rng=rng,
         )
-        self._timer = standing_task.SupervisedTask(
+        self._timer = supervised_task.SupervisedTask(
             name="peers", function=self._run
         )
         self._fetcher = peer_fetch.PeerFetcher(
--- a/packages/router/src/lagoonrun_router/reader_selection.py
+++ b/packages/router/src/lagoonrun_router/reader_selection.py
@@ -19,7 +19,7 @@
 from typing import Protocol
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import events, logs, standing_task, ticks, types
+from lagoonrun_core import events, logs, supervised_task, ticks, types
 from lagoonrun_router import peer_table, reach, roster, store_follower
 
 READER_COUNT = 2
@@ -114,7 +114,7 @@
             own_size=peer_table.rounded_cores(processor_cores),
             others=table,
         )
-        self._task = standing_task.SupervisedTask(
+        self._task = supervised_task.SupervisedTask(
             name="store-duty", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import events, logs, standing_task, ticks, types
+from lagoonrun_core import events, logs, supervised_task, ticks, types
 from lagoonrun_duties import platform_calls, usage_exchange
 from lagoonrun_http import exchange as exchanges
 from lagoonrun_http import server as http_server
@@ -110,10 +110,10 @@
         self._stopping = False
         self._was_ready = False
         self._tasks = (
-            standing_task.SupervisedTask(
+            supervised_task.SupervisedTask(
                 name="own-record", function=self._write_own_record
             ),
-            standing_task.SupervisedTask(
+            supervised_task.SupervisedTask(
                 name="house-keeping", function=self._run_housekeeping
             ),
         )
--- a/packages/router/src/lagoonrun_router/settings_watch.py
+++ b/packages/router/src/lagoonrun_router/settings_watch.py
@@ -5,7 +5,7 @@
 import os
 from collections.abc import Callable
 
-from lagoonrun_core import events, logs, standing_task, ticks
+from lagoonrun_core import events, logs, supervised_task, ticks
 from lagoonrun_router import format_error, settings
 
 _POLL_SECONDS = 1.0
@@ -56,7 +56,7 @@
         self._load = load
         self._use = use
         self._stamp = _stamp_of(path)
-        self._task = standing_task.SupervisedTask(
+        self._task = supervised_task.SupervisedTask(
             name="settings-watch", function=self._run
         )
 
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -17,7 +17,7 @@
 from typing import Protocol
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import events, logs, standing_task
+from lagoonrun_core import events, logs, supervised_task
 from lagoonrun_platform import store as store_module
 
 _ALL_KEYS = ""
@@ -149,7 +149,7 @@
         self._failure = ""
         self._applying_changes = False
         self._pause_seconds = _FIRST_PAUSE_SECONDS
-        self._task = standing_task.SupervisedTask(
+        self._task = supervised_task.SupervisedTask(
             name="store-follower", function=self._run
         )
         self._clock = clock
--- a/packages/router/tests/test_reader_selection.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lagoonrun_core import clock as clocks
-from lagoonrun_core import standing_task
+from lagoonrun_core import supervised_task
 from lagoonrun_platform import store as store_module
 from lagoonrun_router import (
     peer_table,
@@ -447,7 +447,7 @@
 
     The follower must not end with it: no change would ever be seen again.
     """
-    monkeypatch.setattr(standing_task, "RESTART_SECONDS", 0.01)
+    monkeypatch.setattr(supervised_task, "RESTART_SECONDS", 0.01)
     reported = follower._listener.reported
     await wait_for(lambda: "listing" in reported)
 
