--- a/packages/http/src/lagoonrun_http/server.py
+++ b/packages/http/src/lagoonrun_http/server.py
@@ -106,7 +106,7 @@
         self._port = self._listening.getsockname()[1]
         self._sweep.start()
 
-    def use_limits(self, limits: limits.ServerLimits) -> None:
+    def set_limits(self, limits: limits.ServerLimits) -> None:
         """Bound the connections that are accepted from now on by `limits`."""
         self._limits = limits
 
--- a/packages/http/tests/test_moving_callers.py
+++ b/packages/http/tests/test_moving_callers.py
@@ -78,7 +78,7 @@
 async def test_limits_of_a_new_revision_bound_new_connections():
     made = make_server()
     await made.start()
-    made.use_limits(limits.ServerLimits(header_bytes=100))
+    made.set_limits(limits.ServerLimits(header_bytes=100))
     reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
     writer.write(b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 200 + b"\r\n\r\n")
     async with asyncio.timeout(WAIT_SECONDS):
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -414,7 +414,7 @@
         if self._duties is not None:
             self._duties.view.use(declared.pools_by_name.values())
         self.metrics.revision.set(declared.revision)
-        self._caller_server.use_limits(
+        self._caller_server.set_limits(
             http_endpoints.caller_limits(declared.caller_limits)
         )
 
