--- a/packages/cli/src/lagoonrun_cli/change_commands.py
+++ b/packages/cli/src/lagoonrun_cli/change_commands.py
@@ -29,7 +29,7 @@
     context: contexts.Context, invocation: command.Invocation
 ) -> reports.Report:
     declared = declaration_files.load(invocation.arguments)
-    if isinstance(declared, declarations.Faulty):
+    if isinstance(declared, declarations.InvalidDeclarations):
         return outcome_reports.report_faults(declared.faults)
     async with context.open_store() as store:
         base = await changes.find_base(
--- a/packages/cli/src/lagoonrun_cli/check_commands.py
+++ b/packages/cli/src/lagoonrun_cli/check_commands.py
@@ -21,7 +21,7 @@
     """Check files without asking anyone."""
     del context
     declared = declaration_files.load(invocation.arguments)
-    if isinstance(declared, declarations.Faulty):
+    if isinstance(declared, declarations.InvalidDeclarations):
         return outcome_reports.report_faults(declared.faults)
     counts = {
         "profiles": len(declared.draft.profiles_by_name),
@@ -44,7 +44,7 @@
 ) -> reports.Report:
     """Show what `apply` of the same files would change."""
     declared = declaration_files.load(invocation.arguments)
-    if isinstance(declared, declarations.Faulty):
+    if isinstance(declared, declarations.InvalidDeclarations):
         return outcome_reports.report_faults(declared.faults)
     async with context.open_store() as store:
         current = await store.get()
--- a/packages/cli/src/lagoonrun_cli/declaration_files.py
+++ b/packages/cli/src/lagoonrun_cli/declaration_files.py
@@ -33,7 +33,7 @@
     return f"# lagoonrun-base: {revision}"
 
 
-def load(paths: Sequence[str]) -> Declared | declarations.Faulty:
+def load(paths: Sequence[str]) -> Declared | declarations.InvalidDeclarations:
     """Return what the files at `paths` declare, or all their faults.
 
     Raises
@@ -43,7 +43,7 @@
     """
     files = [_read(pathlib.Path(path)) for path in paths]
     draft = declarations.parse_declarations(files)
-    if isinstance(draft, declarations.Faulty):
+    if isinstance(draft, declarations.InvalidDeclarations):
         return draft
     return Declared(draft=draft, base=_base_of(files))
 
--- a/packages/cli/src/lagoonrun_cli/profile_command.py
+++ b/packages/cli/src/lagoonrun_cli/profile_command.py
@@ -86,7 +86,7 @@
         name=_SOURCE, text=tomlkit.dumps(document)
     )
     edited = declarations.parse_declarations([file])
-    if isinstance(edited, declarations.Faulty):
+    if isinstance(edited, declarations.InvalidDeclarations):
         raise _EditedFaultyError(edited.faults)
     return edited
 
--- a/packages/cli/tests/test_tutorial.py
+++ b/packages/cli/tests/test_tutorial.py
@@ -16,7 +16,7 @@
 
 def test_declarations_are_valid():
     declared = declaration_files.load([str(_FILES / "declarations.toml")])
-    assert not isinstance(declared, declarations.Faulty)
+    assert not isinstance(declared, declarations.InvalidDeclarations)
     (house,) = declared.draft.organisations_by_id.values()
     digest = hashlib.sha256(b"tutorial-key").hexdigest()
     assert house.key_digests == (digest,)
--- a/packages/config/src/lagoonrun_config/declarations.py
+++ b/packages/config/src/lagoonrun_config/declarations.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Faulty:
+class InvalidDeclarations:
     """Declarations that cannot be used, with every fault found."""
 
     faults: tuple[faults.Fault, ...]
@@ -39,7 +39,7 @@
 
 def parse_declarations(
     files: Sequence[DeclarationFile],
-) -> draft_module.Draft | Faulty:
+) -> draft_module.Draft | InvalidDeclarations:
     """Return the checked draft that the files declare together.
 
     Parameters
@@ -60,7 +60,7 @@
             source = collector.source_of(fault.key)
             found.append(dataclasses.replace(fault, source=source))
     if found:
-        return Faulty(faults=tuple(found))
+        return InvalidDeclarations(faults=tuple(found))
     return draft
 
 
--- a/packages/config/tests/conftest.py
+++ b/packages/config/tests/conftest.py
@@ -69,7 +69,9 @@
 
 @pytest.fixture
 def parse():
-    def parse_texts(*texts: str) -> draft.Draft | declarations.Faulty:
+    def parse_texts(
+        *texts: str,
+    ) -> draft.Draft | declarations.InvalidDeclarations:
         return declarations.parse_declarations(
             [
                 declarations.DeclarationFile(name=f"{index}.toml", text=text)
--- a/packages/config/tests/test_declarations.py
+++ b/packages/config/tests/test_declarations.py
@@ -6,7 +6,7 @@
 
 
 def _keys(result) -> set[str]:
-    assert isinstance(result, declarations.Faulty)
+    assert isinstance(result, declarations.InvalidDeclarations)
     return {fault.key for fault in result.faults}
 
 
--- a/packages/config/tests/test_faults.py
+++ b/packages/config/tests/test_faults.py
@@ -82,7 +82,7 @@
 def _check(text):
     file = declarations.DeclarationFile(name="any.toml", text=text)
     result = declarations.parse_declarations([file])
-    if isinstance(result, declarations.Faulty):
+    if isinstance(result, declarations.InvalidDeclarations):
         assert result.faults
         assert all(fault.key and fault.valid for fault in result.faults)
         return
--- a/packages/daemon/tests/conftest.py
+++ b/packages/daemon/tests/conftest.py
@@ -170,7 +170,7 @@
     draft = declarations.parse_declarations(
         [declarations.DeclarationFile(name="test", text=text)]
     )
-    assert not isinstance(draft, declarations.Faulty), draft.faults
+    assert not isinstance(draft, declarations.InvalidDeclarations), draft.faults
     return draft
 
 
--- a/packages/daemon/tests/failures/conftest.py
+++ b/packages/daemon/tests/failures/conftest.py
@@ -111,7 +111,7 @@
     draft = declarations.parse_declarations(
         [declarations.DeclarationFile(name="test", text=text)]
     )
-    assert not isinstance(draft, declarations.Faulty), draft.faults
+    assert not isinstance(draft, declarations.InvalidDeclarations), draft.faults
     return draft
 
 
--- a/packages/daemon/tests/test_configuration.py
+++ b/packages/daemon/tests/test_configuration.py
@@ -39,7 +39,7 @@
 def content():
     file = declarations.DeclarationFile(name="test", text=_TEXT)
     draft = declarations.parse_declarations([file])
-    assert not isinstance(draft, declarations.Faulty)
+    assert not isinstance(draft, declarations.InvalidDeclarations)
     return draft
 
 
--- a/packages/standins/src/lagoonrun_standins/bench_configuration.py
+++ b/packages/standins/src/lagoonrun_standins/bench_configuration.py
@@ -181,7 +181,7 @@
 def _draft() -> draft_module.Draft:
     file = declarations.DeclarationFile(name="bench", text=_DECLARATIONS)
     draft = declarations.parse_declarations([file])
-    if isinstance(draft, declarations.Faulty):
+    if isinstance(draft, declarations.InvalidDeclarations):
         raise RuntimeError(f"the bench's declarations: {draft.faults}")
     return draft
 
--- a/packages/standins/src/lagoonrun_standins/bench_path.py
+++ b/packages/standins/src/lagoonrun_standins/bench_path.py
@@ -306,7 +306,7 @@
     draft = declarations.parse_declarations(
         [declarations.DeclarationFile(name="bench", text=text)]
     )
-    if isinstance(draft, declarations.Faulty):
+    if isinstance(draft, declarations.InvalidDeclarations):
         raise ValueError("\n".join(str(fault) for fault in draft.faults))
     return draft
 
--- a/packages/standins/src/lagoonrun_standins/demo.py
+++ b/packages/standins/src/lagoonrun_standins/demo.py
@@ -239,7 +239,9 @@
             self.differences.append(difference)
 
 
-def _declared() -> declarations.Faulty | declarations.draft_module.Draft:
+def _declared() -> (
+    declarations.InvalidDeclarations | declarations.draft_module.Draft
+):
     text = _DECLARATIONS % {"digest_a": "a" * 64, "digest_b": "b" * 64}
     return declarations.parse_declarations(
         [declarations.DeclarationFile(name="demo", text=text)]
@@ -248,7 +250,7 @@
 
 async def _run() -> int:
     declared = _declared()
-    if isinstance(declared, declarations.Faulty):
+    if isinstance(declared, declarations.InvalidDeclarations):
         print(*declared.faults, sep="\n", file=sys.stderr)
         return 1
     processes = fleet.Fleet()
--- a/packages/standins/src/lagoonrun_standins/policy_users.py
+++ b/packages/standins/src/lagoonrun_standins/policy_users.py
@@ -102,7 +102,7 @@
         draft = declarations.parse_declarations(
             [declarations.DeclarationFile(name=self.name, text=text)]
         )
-        if isinstance(draft, declarations.Faulty):
+        if isinstance(draft, declarations.InvalidDeclarations):
             raise ValueError("\n".join(str(fault) for fault in draft.faults))
         return draft
 
--- a/packages/standins/src/lagoonrun_standins/value_rules.py
+++ b/packages/standins/src/lagoonrun_standins/value_rules.py
@@ -81,7 +81,11 @@
     text = tomlkit.dumps(document)
     file = declarations.DeclarationFile(name="probe", text=text)
     result = declarations.parse_declarations([file])
-    return result.faults if isinstance(result, declarations.Faulty) else ()
+    return (
+        result.faults
+        if isinstance(result, declarations.InvalidDeclarations)
+        else ()
+    )
 
 
 def _ask(
