--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -109,7 +109,9 @@
         for connection in self._idle_by_endpoint.pop(endpoint, []):
             connection.close_idle()
 
-    def lose(self, host: str, port: int, *, opened_until: float) -> None:
+    def abort_connections(
+        self, host: str, port: int, *, opened_until: float
+    ) -> None:
         """Give up what leads to a process that is gone.
 
         Idle connections are closed. A response on one that was opened up to
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -425,7 +425,7 @@
             self._aggregate.forget_instance(before.id)
             self._prompt_locations.forget_upstream(before.id)
             self.exchange.notices.forget_instance(before)
-            self._client.lose(
+            self._client.abort_connections(
                 before.host, before.port, opened_until=restarted.heard_at
             )
         if self.replica.upstreams_known:
