--- a/packages/cli/src/lagoonrun_cli/check_commands.py
+++ b/packages/cli/src/lagoonrun_cli/check_commands.py
@@ -64,7 +64,7 @@
     )
     if isinstance(merged, rebase.Conflict):
         return outcome_reports.report_clash(
-            change_outcomes.Clash(
+            change_outcomes.ChangeConflict(
                 names=merged.names, revision=current.revision, changes=()
             )
         )
--- a/packages/cli/src/lagoonrun_cli/outcome_reports.py
+++ b/packages/cli/src/lagoonrun_cli/outcome_reports.py
@@ -37,7 +37,7 @@
     )
 
 
-def report_clash(outcome: change_outcomes.Clash) -> reports.Report:
+def report_clash(outcome: change_outcomes.ChangeConflict) -> reports.Report:
     """Return the report of a change that met another operator's."""
     names = [str(name) for name in outcome.names]
     text = reports.Text(
@@ -135,7 +135,7 @@
 
 
 def report_failure(
-    outcome: change_outcomes.Clash
+    outcome: change_outcomes.ChangeConflict
     | change_outcomes.Refused
     | change_outcomes.Unknown
     | change_outcomes.Unavailable
@@ -144,7 +144,7 @@
 ) -> reports.Report:
     """Return the report of any outcome but an accepted one."""
     match outcome:
-        case change_outcomes.Clash():
+        case change_outcomes.ChangeConflict():
             return report_clash(outcome)
         case change_outcomes.Refused():
             return report_faults(outcome.faults)
--- a/packages/config/src/lagoonrun_config/change_attempt.py
+++ b/packages/config/src/lagoonrun_config/change_attempt.py
@@ -116,7 +116,7 @@
                 return Again(detail="the head moved while it was read")
         merged = rebase.rebase(base=base, head=current, mine=self._draft)
         if isinstance(merged, rebase.Conflict):
-            return change_outcomes.Clash(
+            return change_outcomes.ChangeConflict(
                 names=merged.names,
                 revision=head.revision,
                 changes=tuple(
--- a/packages/config/src/lagoonrun_config/change_outcomes.py
+++ b/packages/config/src/lagoonrun_config/change_outcomes.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Clash:
+class ChangeConflict:
     """Others changed the same entries since the base; nothing was applied.
 
     Parameters
@@ -93,7 +93,7 @@
     changes: tuple[head.Change, ...]
 
 
-ApplyOutcome = Accepted | Clash | Refused | Unknown | Unavailable
+ApplyOutcome = Accepted | ChangeConflict | Refused | Unknown | Unavailable
 SettleOutcome = Accepted | Cancelled | Unknown
 GetOutcome = model.Configuration | NoSuchRevision | Unavailable
 RollbackOutcome = ApplyOutcome | NoSuchRevision
--- a/packages/config/tests/test_configuration_store.py
+++ b/packages/config/tests/test_configuration_store.py
@@ -81,7 +81,7 @@
     await apply(mine, base=1, change_id="c2")
     late = _with_target(small_draft, "lookup", 0.3)
     clash = await apply(late, base=1, change_id="c3", operator="tevita")
-    assert isinstance(clash, change_outcomes.Clash)
+    assert isinstance(clash, change_outcomes.ChangeConflict)
     assert [str(name) for name in clash.names] == ["profile:lookup"]
     assert (clash.revision, clash.changes[0].operator) == (2, "leila")
     assert await _in_force(configurations) == mine
--- a/packages/daemon/tests/test_configuration.py
+++ b/packages/daemon/tests/test_configuration.py
@@ -187,9 +187,11 @@
         _apply(second, _changed(merged, "lookup", 0.2), base=3, change_id="c5"),
     )
     kinds = {type(one) for one in outcomes}
-    assert kinds == {change_outcomes.Accepted, change_outcomes.Clash}
+    assert kinds == {change_outcomes.Accepted, change_outcomes.ChangeConflict}
     clash = next(
-        one for one in outcomes if isinstance(one, change_outcomes.Clash)
+        one
+        for one in outcomes
+        if isinstance(one, change_outcomes.ChangeConflict)
     )
     assert [str(name) for name in clash.names] == ["profile:lookup"]
 
