--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -458,7 +458,7 @@
         configuration = self.fleet.configuration
         declared = configuration and configuration.upstreams_by_id.get(upstream)
         if declared:
-            self.client.forget(declared.address, declared.port)
+            self.client.close_idle_connections(declared.address, declared.port)
 
     def on_configuration_announced(
         self,
--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -103,7 +103,7 @@
             return _not_connected(endpoint, "no longer allowed to be sent")
         return await connection.exchange(request)
 
-    def forget(self, host: str, port: int) -> None:
+    def close_idle_connections(self, host: str, port: int) -> None:
         """Close the idle connections to an upstream that leaves."""
         endpoint = _Endpoint(address=host, port=port)
         for connection in self._idle_by_endpoint.pop(endpoint, []):
@@ -118,7 +118,7 @@
         `opened_until` fails at once: its upstream may have fallen silent
         without a reset, and nothing more comes.
         """
-        self.forget(host, port)
+        self.close_idle_connections(host, port)
         endpoint = _Endpoint(address=host, port=port)
         for connection in tuple(self._connections):
             if (
