--- a/packages/cli/src/lagoonrun_cli/operator_settings.py
+++ b/packages/cli/src/lagoonrun_cli/operator_settings.py
@@ -148,7 +148,9 @@
     try:
         return pathlib.Path(path).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
-        reader.note_hidden("admin_token_file", str(error), "a readable file")
+        reader.add_redacted_fault(
+            "admin_token_file", str(error), "a readable file"
+        )
         return ""
 
 
--- a/packages/config/src/lagoonrun_config/declarations.py
+++ b/packages/config/src/lagoonrun_config/declarations.py
@@ -174,7 +174,9 @@
         defaults = _upstream_defaults(reader)
         raw_upstreams = reader.tables("upstreams")
         if not raw_upstreams:
-            reader.note_hidden("upstreams", "(none)", "at least one upstream")
+            reader.add_redacted_fault(
+                "upstreams", "(none)", "at least one upstream"
+            )
         for index, raw in enumerate(raw_upstreams):
             written = raw.get("id")
             label = written if isinstance(written, str) else f"[{index}]"
--- a/packages/config/src/lagoonrun_config/faults.py
+++ b/packages/config/src/lagoonrun_config/faults.py
@@ -107,9 +107,9 @@
 
     def note(self, key: str, value: object, valid: str) -> None:
         """Add a fault at `key` of this table."""
-        self.note_hidden(key, show(value), valid)
+        self.add_redacted_fault(key, show(value), valid)
 
-    def note_hidden(self, key: str, shown: str, valid: str) -> None:
+    def add_redacted_fault(self, key: str, shown: str, valid: str) -> None:
         """Add a fault whose value is given as text, as for secrets."""
         path = f"{self._path}.{key}" if self._path else key
         self._faults.append(
@@ -273,10 +273,14 @@
         if not self.has(key) or not isinstance(self._table[key], str):
             return b""
         if not _HEXADECIMAL_PATTERN.fullmatch(text):
-            self.note_hidden(key, f"(hidden, {len(text)} characters)", valid)
+            self.add_redacted_fault(
+                key, f"(hidden, {len(text)} characters)", valid
+            )
             return b""
         if len(text) < 2 * minimum_bytes:
-            self.note_hidden(key, f"(hidden, {len(text)} characters)", valid)
+            self.add_redacted_fault(
+                key, f"(hidden, {len(text)} characters)", valid
+            )
         return bytes.fromhex(text)
 
     def digest(self, key: str, text: str) -> None:
@@ -284,7 +288,7 @@
         if len(text) == 64 and _HEXADECIMAL_PATTERN.fullmatch(text):
             return
         # What stands here may be the key itself by mistake: not shown.
-        self.note_hidden(
+        self.add_redacted_fault(
             key,
             f"(hidden, {len(text)} characters)",
             "the SHA-256 of the key, 64 lower-case hexadecimal digits",
@@ -329,7 +333,7 @@
         if key in self._table:
             return self._table[key]
         if default is None:
-            self.note_hidden(key, "(missing)", valid)
+            self.add_redacted_fault(key, "(missing)", valid)
         return default
 
     def _note_once(self, key: str, value: object, valid: str) -> None:
