--- a/packages/daemon/src/lagoonrun_daemon/delivery.py
+++ b/packages/daemon/src/lagoonrun_daemon/delivery.py
@@ -177,7 +177,7 @@
             self._upstream_request(),
             address=upstream.address,
             port=upstream.port,
-            fresh=not self._call.idempotent,
+            new_connection=not self._call.idempotent,
             may_write=self._may_write,
         )
         if isinstance(response, http_upstream.UpstreamFailure):
--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -68,7 +68,7 @@
         *,
         address: str,
         port: int,
-        fresh: bool = False,
+        new_connection: bool = False,
         may_write: Callable[[], bool] | None = None,
     ) -> upstream_response.UpstreamResponse | upstream_messages.UpstreamFailure:
         """Send a request and return the head of its response.
@@ -92,7 +92,7 @@
             return _not_connected(endpoint, "the client is closed")
         self._sweep.start()
         connection = None
-        if not fresh:
+        if not new_connection:
             connection = self._take_idle(endpoint, request.request_id)
         if connection is None:
             connection = await self._connect(endpoint)
--- a/packages/orders/src/lagoonrun_orders/http_orders.py
+++ b/packages/orders/src/lagoonrun_orders/http_orders.py
@@ -125,7 +125,7 @@
             port=upstream.port,
             # A pooled connection may be closed while the order is in progress,
             # which would make its result unknown for no reason.
-            fresh=method == "POST",
+            new_connection=method == "POST",
             may_write=may_write,
         )
         if isinstance(response, http_upstream.UpstreamFailure):
--- a/packages/router/src/lagoonrun_router/upstream_attempt.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -121,7 +121,7 @@
                     ),
                     address=upstream.host,
                     port=upstream.port,
-                    fresh=self._components.domains.may_have_dead_connections(
+                    new_connection=self._components.domains.may_have_dead_connections(
                         upstream.domain, now=now
                     ),
                     may_write=self._may_write,
