--- a/packages/config/src/lagoonrun_config/declarations.py
+++ b/packages/config/src/lagoonrun_config/declarations.py
@@ -139,10 +139,10 @@
         for name, raw in root.table(section).items():
             path = f"{section}.{name}"
             if not faults.is_name(name):
-                root.note(section, name, faults.NAME_RULE)
+                root.add_fault(section, name, faults.NAME_RULE)
                 continue
             if not isinstance(raw, Mapping):
-                root.note(path, raw, "a table")
+                root.add_fault(path, raw, "a table")
                 continue
             self._claim_path(path, source)
             reader = self._reader(raw, path, source)
--- a/packages/config/src/lagoonrun_config/faults.py
+++ b/packages/config/src/lagoonrun_config/faults.py
@@ -105,7 +105,7 @@
         """Return whether the table holds `key`."""
         return key in self._table
 
-    def note(self, key: str, value: object, valid: str) -> None:
+    def add_fault(self, key: str, value: object, valid: str) -> None:
         """Add a fault at `key` of this table."""
         self.add_redacted_fault(key, show(value), valid)
 
@@ -122,7 +122,7 @@
         if value is None:
             return ""
         if not isinstance(value, str):
-            self.note(key, value, "a string")
+            self.add_fault(key, value, "a string")
             return default or ""
         return value
 
@@ -138,7 +138,7 @@
         found = self.texts(key)
         for value in found:
             if not is_name(value):
-                self.note(key, value, NAME_RULE)
+                self.add_fault(key, value, NAME_RULE)
         return found
 
     def texts(self, key: str, *, required: bool = False) -> tuple[str, ...]:
@@ -149,7 +149,7 @@
         if not isinstance(value, list) or not all(
             isinstance(one, str) for one in value
         ):
-            self.note(key, value, "a list of strings")
+            self.add_fault(key, value, "a list of strings")
             return ()
         return tuple(value)
 
@@ -175,12 +175,12 @@
         if value is None:
             return maximum
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self.note(key, value, valid)
+            self.add_fault(key, value, valid)
             return maximum if default is None else default
         # NaN fails both comparisons, so it is refused with the rest.
         high_enough = value > minimum if above_minimum else value >= minimum
         if not (high_enough and value <= maximum):
-            self.note(key, value, valid)
+            self.add_fault(key, value, valid)
             return maximum if default is None else default
         return float(value)
 
@@ -198,10 +198,10 @@
         if value is None:
             return maximum
         if isinstance(value, bool) or not isinstance(value, int):
-            self.note(key, value, valid)
+            self.add_fault(key, value, valid)
             return maximum if default is None else default
         if not minimum <= value <= maximum:
-            self.note(key, value, valid)
+            self.add_fault(key, value, valid)
             return maximum if default is None else default
         return value
 
@@ -209,7 +209,7 @@
         """Return true or false."""
         value = self._take(key, default, "true or false")
         if not isinstance(value, bool):
-            self.note(key, value, "true or false")
+            self.add_fault(key, value, "true or false")
             return default
         return value
 
@@ -224,7 +224,7 @@
         for member in members:
             if member.value == value:
                 return member
-        self.note(key, value, valid)
+        self.add_fault(key, value, valid)
         return fallback
 
     def ip_number(self, key: str, *, default: str | None = None) -> str:
@@ -252,7 +252,7 @@
             number = int(port)
             if lowest_port <= number <= _HIGHEST_PORT:
                 return (host, number)
-        self.note(
+        self.add_fault(
             key,
             text,
             f"IP:PORT with an IP number and a port from {lowest_port} to "
@@ -298,7 +298,7 @@
         """Return an optional subtable; empty when it is absent."""
         value = self._take(key, {}, "a table")
         if not isinstance(value, Mapping):
-            self.note(key, value, "a table")
+            self.add_fault(key, value, "a table")
             return {}
         return value
 
@@ -308,7 +308,7 @@
         if not isinstance(value, list) or not all(
             isinstance(one, Mapping) for one in value
         ):
-            self.note(key, value, "an array of tables")
+            self.add_fault(key, value, "an array of tables")
             return ()
         return tuple(value)
 
@@ -326,7 +326,7 @@
         for key, value in self._table.items():
             if key not in self._known:
                 known = ", ".join(sorted(self._known))
-                self.note(key, value, f"only the keys {known}")
+                self.add_fault(key, value, f"only the keys {known}")
 
     def _take(self, key: str, default: object, valid: str) -> object:
         self._known.add(key)
@@ -338,4 +338,4 @@
 
     def _note_once(self, key: str, value: object, valid: str) -> None:
         if isinstance(self._table[key], str):
-            self.note(key, value, valid)
+            self.add_fault(key, value, valid)
--- a/packages/config/src/lagoonrun_config/settings_file.py
+++ b/packages/config/src/lagoonrun_config/settings_file.py
@@ -155,7 +155,7 @@
 ) -> tuple[settings.Address, ...]:
     written = reader.texts(key, required=required)
     if required and reader.has(key) and not written:
-        reader.note(key, [], "at least one 'IP:PORT'")
+        reader.add_fault(key, [], "at least one 'IP:PORT'")
     addresses = []
     for text in written:
         host, port = reader.split_address(key, text, lowest_port=1)
