--- a/packages/config/src/lagoonrun_config/declarations.py
+++ b/packages/config/src/lagoonrun_config/declarations.py
@@ -320,7 +320,7 @@
         id=types.UpstreamId(reader.name("id")),
         pool=pool,
         domain=types.FailureDomain(reader.name("domain")),
-        address=reader.ip_number("address"),
+        address=reader.ip_address("address"),
         port=reader.integer(
             "port", default=defaults.port, minimum=1, maximum=_HIGHEST_PORT
         ),
--- a/packages/config/src/lagoonrun_config/faults.py
+++ b/packages/config/src/lagoonrun_config/faults.py
@@ -227,7 +227,7 @@
         self.add_fault(key, value, valid)
         return fallback
 
-    def ip_number(self, key: str, *, default: str | None = None) -> str:
+    def ip_address(self, key: str, *, default: str | None = None) -> str:
         """Return an IPv4 or IPv6 number."""
         value = self.text(key, default=default)
         if self.has(key) and not is_ip_number(value):
