--- a/packages/http/src/lagoonrun_http/server_connection.py
+++ b/packages/http/src/lagoonrun_http/server_connection.py
@@ -19,7 +19,7 @@
     read_buffer,
     rejections,
     request_checks,
-    resetting,
+    tcp_reset,
 )
 
 _LINGER_BYTES = 1 << 20
@@ -196,7 +196,7 @@
 
     def abort(self) -> None:
         """Reset the connection."""
-        resetting.reset(self._transport)
+        tcp_reset.reset(self._transport)
 
     # Called by the server.
 
@@ -221,7 +221,7 @@
         """Act on the bounds in time that the caller has run over."""
         now = self._clock.monotonic()
         if self._writer.is_stalled(now):
-            resetting.reset(self._transport)
+            tcp_reset.reset(self._transport)
         elif self._deadline is not None and now >= self._deadline:
             self._deadline = None
             self._act_on_deadline()
@@ -330,7 +330,7 @@
             pass
         except asyncio.CancelledError:
             self._release_body()
-            resetting.reset(self._transport)
+            tcp_reset.reset(self._transport)
             raise
         except Exception as error:
             logs.emit(
@@ -359,7 +359,7 @@
             elif running.finished:
                 self._start_next_cycle()
             else:
-                resetting.reset(self._transport)
+                tcp_reset.reset(self._transport)
         if self._exchange is running:
             self._exchange = None
 
@@ -421,7 +421,7 @@
     def _discard(self, size: int) -> None:
         self._lingered_bytes += size
         if self._lingered_bytes > _LINGER_BYTES:
-            resetting.reset(self._transport)
+            tcp_reset.reset(self._transport)
 
     def _close(self) -> None:
         self._phase = _Phase.CLOSED
--- a/packages/http/src/lagoonrun_http/upstream_connection.py
+++ b/packages/http/src/lagoonrun_http/upstream_connection.py
@@ -14,7 +14,7 @@
     liveness,
     messages,
     read_buffer,
-    resetting,
+    tcp_reset,
     upstream_messages,
     upstream_response,
 )
@@ -123,7 +123,7 @@
     def abort(self) -> None:
         """Reset the connection, which cancels the upstream's work."""
         self.closed = True
-        resetting.reset(self._transport)
+        tcp_reset.reset(self._transport)
 
     def close_idle(self) -> None:
         """Close in order, with no request under way."""
--- a/packages/router/tests/test_execution.py
+++ b/packages/router/tests/test_execution.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lagoonrun_http import messages, resetting
+from lagoonrun_http import messages, tcp_reset
 from lagoonrun_router import retry_budget
 from lagoonrun_standins.router_samples import make_route, make_stream_route
 from lagoonrun_standins.router_upstream import (
@@ -447,7 +447,7 @@
             writer.close()
             return
         await first_event_read.wait()
-        resetting.reset(writer.transport)
+        tcp_reset.reset(writer.transport)
 
     first_event_read = asyncio.Event()
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
--- a/packages/soak/src/lagoonrun_soak/link.py
+++ b/packages/soak/src/lagoonrun_soak/link.py
@@ -5,7 +5,7 @@
 import enum
 import random
 
-from lagoonrun_http import resetting
+from lagoonrun_http import tcp_reset
 from lagoonrun_router import settings
 
 _READ_BYTES = 65_536
@@ -80,14 +80,14 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.state is LinkState.RESET:
-            resetting.reset(writer.transport)
+            tcp_reset.reset(writer.transport)
             return
         try:
             far = await asyncio.open_connection(
                 self._target.host, self._target.port
             )
         except OSError:
-            resetting.reset(writer.transport)
+            tcp_reset.reset(writer.transport)
             return
         connection = _Connection(near=(reader, writer), far=far, owner=self)
         connection.mark(self.state)
@@ -127,7 +127,7 @@
     def abort(self) -> None:
         """Reset both ends."""
         for _, writer in (self._near, self._far):
-            resetting.reset(writer.transport)
+            tcp_reset.reset(writer.transport)
 
     async def run(self) -> None:
         """Forward both ways until one end is gone."""
