--- a/packages/config/src/lagoonrun_config/faults.py
+++ b/packages/config/src/lagoonrun_config/faults.py
@@ -55,7 +55,7 @@
     return _NAME_PATTERN.fullmatch(text) is not None
 
 
-def is_ip_number(text: str) -> bool:
+def is_ip_address(text: str) -> bool:
     """Return whether `text` is an IPv4 or IPv6 number."""
     try:
         ipaddress.ip_address(text)
@@ -230,7 +230,7 @@
     def ip_address(self, key: str, *, default: str | None = None) -> str:
         """Return an IPv4 or IPv6 number."""
         value = self.text(key, default=default)
-        if self.has(key) and not is_ip_number(value):
+        if self.has(key) and not is_ip_address(value):
             self._note_once(key, value, "an IP number, like 10.0.0.1")
         return value
 
@@ -248,7 +248,7 @@
         host, _, port = text.rpartition(":")
         if host.startswith("[") and host.endswith("]"):
             host = host[1:-1]
-        if is_ip_number(host) and port.isdecimal():
+        if is_ip_address(host) and port.isdecimal():
             number = int(port)
             if lowest_port <= number <= _HIGHEST_PORT:
                 return (host, number)
