--- a/packages/config/src/lagoonrun_config/follower.py
+++ b/packages/config/src/lagoonrun_config/follower.py
@@ -134,7 +134,7 @@
         self._task = None
 
     async def _hear_peers(self) -> None:
-        announced = self._peers.announced()
+        announced = self._peers.announcements()
         while True:
             announcement = await announced.get()
             self._want(
--- a/packages/config/src/lagoonrun_config/following.py
+++ b/packages/config/src/lagoonrun_config/following.py
@@ -21,7 +21,7 @@
 class PeerSnapshots(Protocol):
     """Configurations that other entry VMs have in force."""
 
-    def announced(self) -> asyncio.Queue[Announcement]:
+    def announcements(self) -> asyncio.Queue[Announcement]:
         """Return the queue into which peers' announcements are put."""
 
     async def fetch(
