--- a/packages/daemon/src/lagoonrun_daemon/attempt.py
+++ b/packages/daemon/src/lagoonrun_daemon/attempt.py
@@ -41,7 +41,7 @@
     """Return what a failed exchange says of the request."""
     ran = (
         outcomes.Outcome.UNKNOWN
-        if failure.bytes_left
+        if failure.write_attempted
         else outcomes.Outcome.NOT_RUN
     )
     return Lost(
--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -252,7 +252,7 @@
 ) -> upstream_messages.UpstreamFailure:
     return upstream_messages.UpstreamFailure(
         stage=upstream_messages.FailureStage.CONNECT,
-        bytes_left=False,
+        write_attempted=False,
         detail=detail,
         peer=f"{endpoint.address}:{endpoint.port}",
     )
--- a/packages/http/src/lagoonrun_http/upstream_connection.py
+++ b/packages/http/src/lagoonrun_http/upstream_connection.py
@@ -339,7 +339,7 @@
     def _fail(self, stage: upstream_messages.FailureStage, detail: str) -> None:
         failure = upstream_messages.UpstreamFailure(
             stage=stage,
-            bytes_left=self._bytes_left,
+            write_attempted=self._bytes_left,
             detail=detail,
             peer=self._peer,
         )
--- a/packages/http/src/lagoonrun_http/upstream_messages.py
+++ b/packages/http/src/lagoonrun_http/upstream_messages.py
@@ -60,7 +60,7 @@
     """
 
     stage: FailureStage
-    bytes_left: bool
+    write_attempted: bool
     detail: str
     peer: str
 
--- a/packages/http/src/lagoonrun_http/upstream_response.py
+++ b/packages/http/src/lagoonrun_http/upstream_response.py
@@ -152,7 +152,7 @@
                 await self.cancel()
                 return upstream_messages.UpstreamFailure(
                     stage=upstream_messages.FailureStage.PROTOCOL,
-                    bytes_left=True,
+                    write_attempted=True,
                     detail=f"body over {size} bytes; valid: <= {limit}",
                     peer="",
                 )
--- a/packages/http/tests/test_upstream.py
+++ b/packages/http/tests/test_upstream.py
@@ -114,7 +114,7 @@
     outcome = await send(client, make_request(), fake)
     assert isinstance(outcome, upstream.UpstreamFailure)
     assert outcome.stage is stage
-    assert outcome.bytes_left
+    assert outcome.write_attempted
     assert outcome.peer == f"127.0.0.1:{fake.port}"
     await until_closed(client)
 
@@ -152,7 +152,7 @@
     await fake.close()
     outcome = await send(make_client(), make_request(), fake)
     assert outcome.stage is _Stage.CONNECT
-    assert not outcome.bytes_left
+    assert not outcome.write_attempted
 
 
 async def test_a_request_that_cannot_be_written_leaves_no_byte(
@@ -162,7 +162,7 @@
     request = make_request(request_id="bad\r\nid")
     outcome = await send(make_client(), request, fake)
     assert outcome.stage is _Stage.PROTOCOL
-    assert not outcome.bytes_left
+    assert not outcome.write_attempted
 
 
 @pytest.mark.parametrize(
@@ -249,7 +249,7 @@
     assert await read(await send(client, make_request(), fake)) == b"ok"
     outcome = await send(client, make_request(request_id="r2"), fake)
     assert outcome.stage is _Stage.READ_HEAD
-    assert outcome.bytes_left
+    assert outcome.write_attempted
     assert fake.connections == 1
 
 
@@ -308,7 +308,7 @@
         clock.advance(9)
         outcome = await sending
     assert outcome.stage is _Stage.TIMEOUT
-    assert outcome.bytes_left
+    assert outcome.write_attempted
 
 
 @pytest.mark.parametrize("left", ["before-head", "in-body"])
@@ -484,7 +484,7 @@
     client = make_client(connections_per_upstream=1)
     running = await send(client, make_request(), fake)
     outcome = await send(client, make_request(request_id="r2"), fake)
-    assert (outcome.stage, outcome.bytes_left) == (_Stage.CONNECT, False)
+    assert (outcome.stage, outcome.write_attempted) == (_Stage.CONNECT, False)
     await running.cancel()
     await until_closed(client)
     again = await send(client, make_request(), fake)
@@ -524,4 +524,4 @@
         )
         assert await received == b""
     assert failure.stage is _Stage.CONNECT
-    assert not failure.bytes_left
+    assert not failure.write_attempted
--- a/packages/http/tests/test_upstream_fuzz.py
+++ b/packages/http/tests/test_upstream_fuzz.py
@@ -116,4 +116,4 @@
         assert pooled == (not answer.extra)
     else:
         assert isinstance(outcome, upstream.UpstreamFailure)
-        assert outcome.bytes_left
+        assert outcome.write_attempted
--- a/packages/http/tests/test_upstream_response.py
+++ b/packages/http/tests/test_upstream_response.py
@@ -65,7 +65,7 @@
 async def test_failure_comes_after_what_was_read(response):
     failure = upstream_messages.UpstreamFailure(
         stage=upstream_messages.FailureStage.READ_BODY,
-        bytes_left=True,
+        write_attempted=True,
         detail="cut",
         peer="",
     )
--- a/packages/orders/src/lagoonrun_orders/http_orders.py
+++ b/packages/orders/src/lagoonrun_orders/http_orders.py
@@ -84,7 +84,7 @@
         except TimeoutError:
             return upstream_orders.OrderUnknown(detail="no response in time")
         if isinstance(response, http_upstream.UpstreamFailure):
-            if response.bytes_left:
+            if response.write_attempted:
                 return upstream_orders.OrderUnknown(detail=response.detail)
             return upstream_orders.NotSent(detail=response.detail)
         if response.status == _OK:
--- a/packages/router/src/lagoonrun_router/attempt_result.py
+++ b/packages/router/src/lagoonrun_router/attempt_result.py
@@ -60,7 +60,7 @@
     """Return the result of an attempt whose exchange failed."""
     ran = (
         outcomes.Outcome.UNKNOWN
-        if failure.bytes_left
+        if failure.write_attempted
         else outcomes.Outcome.NOT_RUN
     )
     return Lost(
@@ -68,5 +68,5 @@
         reason=failure_reasons.REASONS_BY_STAGE[failure.stage],
         detail=failure.detail,
         upstream=upstream,
-        sent=failure.bytes_left,
+        sent=failure.write_attempted,
     )
