--- a/packages/config/src/lagoonrun_config/follower.py
+++ b/packages/config/src/lagoonrun_config/follower.py
@@ -12,7 +12,7 @@
 
 from lagoonrun_config import draft as draft_module
 from lagoonrun_config import (
-    following,
+    follower_interfaces,
     head_source,
     model,
     snapshot,
@@ -68,10 +68,10 @@
         self,
         *,
         store: store_module.KeyValueStore,
-        peers: following.PeerSnapshots,
-        watchers: following.WatcherChoice,
+        peers: follower_interfaces.PeerSnapshots,
+        watchers: follower_interfaces.WatcherChoice,
         rng: random.Random,
-        sleep: following.Sleep = asyncio.sleep,
+        sleep: follower_interfaces.Sleep = asyncio.sleep,
     ) -> None:
         self._store = store
         self._peers = peers
--- a/packages/config/src/lagoonrun_config/head_source.py
+++ b/packages/config/src/lagoonrun_config/head_source.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from lagoonrun_config import following, snapshot
+from lagoonrun_config import follower_interfaces, snapshot
 from lagoonrun_config import head as head_module
 from lagoonrun_core import events, logs
 from lagoonrun_platform import store as store_module
@@ -44,9 +44,9 @@
         self,
         *,
         store: store_module.KeyValueStore,
-        watchers: following.WatcherChoice,
+        watchers: follower_interfaces.WatcherChoice,
         on_head: HeadSeen,
-        sleep: following.Sleep,
+        sleep: follower_interfaces.Sleep,
         rng: random.Random,
     ) -> None:
         self._store = store
--- a/packages/config/tests/test_follower.py
+++ b/packages/config/tests/test_follower.py
@@ -17,7 +17,7 @@
     configuration_store,
     draft,
     follower,
-    following,
+    follower_interfaces,
     head,
     snapshot,
 )
@@ -124,7 +124,7 @@
             revision = peer.revision
             digest = peer.follower.in_force.snapshot.digest
         self._queue.put_nowait(
-            following.Announcement(
+            follower_interfaces.Announcement(
                 peer=peer.name, revision=revision, digest=digest
             )
         )
--- a/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
+++ b/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from lagoonrun_config import follower as followers
-from lagoonrun_config import following, snapshot
+from lagoonrun_config import follower_interfaces, snapshot
 from lagoonrun_core import types
 from lagoonrun_daemon import transport
 from lagoonrun_protocol import messages
@@ -44,8 +44,8 @@
     ) -> None:
         self._transport = transport
         self._announcer = announcer
-        self._queue: asyncio.Queue[following.Announcement] = asyncio.Queue(
-            maxsize=_ANNOUNCEMENTS_WAITING
+        self._queue: asyncio.Queue[follower_interfaces.Announcement] = (
+            asyncio.Queue(maxsize=_ANNOUNCEMENTS_WAITING)
         )
         self._replies: dict[
             _Awaited, asyncio.Future[snapshot.Snapshot | None]
@@ -56,7 +56,7 @@
         """Set whose snapshot is served to peers."""
         self._follower = follower
 
-    def announced(self) -> asyncio.Queue[following.Announcement]:
+    def announced(self) -> asyncio.Queue[follower_interfaces.Announcement]:
         """Return the queue into which peers' announcements are put."""
         return self._queue
 
@@ -70,7 +70,7 @@
         self, peer: types.EntryVmId, revision: types.Revision, digest: str
     ) -> None:
         """Take in a peer's announcement; one too many is heard again."""
-        announcement = following.Announcement(
+        announcement = follower_interfaces.Announcement(
             peer=peer, revision=revision, digest=snapshot.Digest(digest)
         )
         if not self._queue.full():
--- a/packages/daemon/src/lagoonrun_daemon/vm_watch.py
+++ b/packages/daemon/src/lagoonrun_daemon/vm_watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from lagoonrun_config import following
+from lagoonrun_config import follower_interfaces
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import types
 from lagoonrun_platform import store as store_module
@@ -58,7 +58,7 @@
         *,
         vms: vm_list.VmList,
         members: VmListener,
-        watchers: following.WatcherChoice,
+        watchers: follower_interfaces.WatcherChoice,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
