--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -79,7 +79,7 @@
             What to send.
         address, port
             The upstream.
-        fresh
+        new_connection
             Use no pooled connection: an upstream may close one while the
             request is under way, and then no one knows whether it ran.
         may_write
--- a/packages/http/src/lagoonrun_http/upstream_messages.py
+++ b/packages/http/src/lagoonrun_http/upstream_messages.py
@@ -50,7 +50,7 @@
     ----------
     stage
         Where it failed.
-    bytes_left
+    write_attempted
         Whether a write of the request was attempted. When it was, the
         upstream may have run the request, whatever was read since.
     detail
--- a/packages/http/tests/test_upstream.py
+++ b/packages/http/tests/test_upstream.py
@@ -36,11 +36,14 @@
     return script
 
 
-async def send(client, request, fake, *, fresh=False):
+async def send(client, request, fake, *, new_connection=False):
     """Send for a bounded time."""
     async with asyncio.timeout(5):
         return await client.send(
-            request, address="127.0.0.1", port=fake.port, fresh=fresh
+            request,
+            address="127.0.0.1",
+            port=fake.port,
+            new_connection=new_connection,
         )
 
 
@@ -204,12 +207,17 @@
 
 
 @pytest.mark.parametrize(
-    ("second_id", "fresh", "connections"),
+    ("second_id", "new_connection", "connections"),
     [("r2", False, 1), ("r2", True, 2), ("r1", False, 2)],
-    ids=["reused", "fresh", "same-request"],
+    ids=["reused", "new", "same-request"],
 )
 async def test_when_a_pooled_connection_is_used(
-    make_client, make_upstream, make_request, second_id, fresh, connections
+    make_client,
+    make_upstream,
+    make_request,
+    second_id,
+    new_connection,
+    connections,
 ):
     second = _OK % second_id.encode()
     answers = [_OK % b"r1", second] if connections == 1 else []
@@ -224,7 +232,10 @@
     client = make_client()
     for request_id in ("r1", second_id):
         response = await send(
-            client, make_request(request_id=request_id), fake, fresh=fresh
+            client,
+            make_request(request_id=request_id),
+            fake,
+            new_connection=new_connection,
         )
         assert await read(response) == b"ok"
     assert fake.connections == connections
@@ -473,7 +484,7 @@
     clock.advance(3)
     await until_closed(client)
     assert await read(await send(client, make_request(), fake)) == b"ok"
-    client.forget("127.0.0.1", fake.port)
+    client.close_idle_connections("127.0.0.1", fake.port)
     await until_closed(client)
 
 
