--- a/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
+++ b/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
@@ -56,7 +56,7 @@
         """Set whose snapshot is served to peers."""
         self._follower = follower
 
-    def announced(self) -> asyncio.Queue[follower_interfaces.Announcement]:
+    def announcements(self) -> asyncio.Queue[follower_interfaces.Announcement]:
         """Return the queue into which peers' announcements are put."""
         return self._queue
 
