--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -129,7 +129,7 @@
             address_book=self.members,
             handler=self,
             clock=self._clock,
-            random_source=self._random,
+            rng=self._random,
         )
         self._transport = transport.LoopbackTransport(
             entry_vm=configured.entry_vm, remote=self.hub
--- a/packages/protocol/src/lagoonrun_protocol/hub.py
+++ b/packages/protocol/src/lagoonrun_protocol/hub.py
@@ -69,7 +69,7 @@
         address_book: AddressBook,
         handler: MessageHandler,
         clock: clocks.Clock,
-        random_source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._entry_vm = entry_vm
         self._hello = messages.Hello(
@@ -81,7 +81,7 @@
         self._address_book = address_book
         self._handler = handler
         self._clock = clock
-        self._random = random_source or random.Random()
+        self._random = rng or random.Random()
         self._server: asyncio.Server | None = None
         self._links_by_peer: dict[types.EntryVmId, outgoing.OutgoingLink] = {}
         self._incoming_by_peer: dict[types.EntryVmId, asyncio.Task[None]] = {}
--- a/packages/protocol/tests/conftest.py
+++ b/packages/protocol/tests/conftest.py
@@ -74,7 +74,7 @@
             address_book=address_book,
             handler=handler,
             clock=clock,
-            random_source=random.Random(7),
+            rng=random.Random(7),
         )
         await hub.start()
         address_book.addresses_by_id[entry_vm] = hubs.PeerAddress(
