--- a/packages/config/tests/test_configuration_machine.py
+++ b/packages/config/tests/test_configuration_machine.py
@@ -165,7 +165,7 @@
     def __init__(self):
         self.queue = asyncio.Queue()
 
-    def announced(self):
+    def announcements(self):
         """Return the queue of announcements."""
         return self.queue
 
--- a/packages/config/tests/test_follower.py
+++ b/packages/config/tests/test_follower.py
@@ -111,7 +111,7 @@
         """Return what the test has chosen."""
         return self.watcher
 
-    def announced(self):
+    def announcements(self):
         """Return the queue of announcements."""
         return self._queue
 
