--- a/packages/membership/src/lagoonrun_membership/composer.py
+++ b/packages/membership/src/lagoonrun_membership/composer.py
@@ -29,7 +29,7 @@
 _ACCUSED_STATES = (messages.MemberState.SUSPECT, messages.MemberState.DEAD)
 
 
-def is_far_apart(differing: tuple[int, ...]) -> bool:
+def is_diverged(differing: tuple[int, ...]) -> bool:
     """Return whether two tables differ in most of their parts."""
     return len(differing) >= _FAR_APART_PARTS
 
@@ -65,7 +65,7 @@
         self._upstreams = upstreams
         self._shards = shards
         self._timing = timing
-        self.tells_accusations = True
+        self.sends_accusations = True
         self.page_after = ""
         self._member_news = updates.UpdateQueue[messages.MemberUpdate](
             size_of=sizes.of_member
@@ -85,7 +85,9 @@
         """Return whether a member should hear what is believed of it."""
         if not self._members.knows(entry_vm):
             return False
-        return self._members.records.wire(entry_vm).state in _ACCUSED_STATES
+        return (
+            self._members.records.wire_update(entry_vm).state in _ACCUSED_STATES
+        )
 
     def collect_news(self) -> bool:
         """Queue what the tables have learned.
@@ -97,15 +99,17 @@
         """
         is_urgent = False
         for entry_vm in self._members.pop_news():
-            update = self._members.records.wire(entry_vm)
+            update = self._members.records.wire_update(entry_vm)
             is_accusation = update.state in _ACCUSED_STATES
-            if is_accusation and not self.tells_accusations:
+            if is_accusation and not self.sends_accusations:
                 self._member_news.discard(entry_vm)
                 continue
             self._member_news.add(entry_vm, update)
             is_urgent |= update.state in _URGENT_STATES
         for upstream in self._upstreams.pop_news():
-            self._upstream_news.add(upstream, self._upstreams.wire(upstream))
+            self._upstream_news.add(
+                upstream, self._upstreams.wire_update(upstream)
+            )
             is_urgent = True
         return is_urgent
 
@@ -118,7 +122,7 @@
         """Queue other domains' shards for the members of the own domain."""
         collected = []
         for shard in self._shards.pop_changed():
-            summary = self._shards.aged(shard, now)
+            summary = self._shards.other_domain_summary(shard, now)
             if summary is not None:
                 self._shard_news.add(shard, summary)
                 collected.append(summary)
@@ -178,7 +182,7 @@
             page_after=page[-1].entry_vm if page else "",
         )
 
-    def summaries(self, *, now: float) -> messages.Ping:
+    def own_summaries(self, *, now: float) -> messages.Ping:
         """Return a datagram with this process's shards, without an answer."""
         room = _BODY_BYTES - _FIXED_BYTES
         fitting = []
@@ -204,10 +208,10 @@
         records = [self._members.own]
         if (
             target is not None
-            and self.tells_accusations
+            and self.sends_accusations
             and self.is_accused(target)
         ):
-            records.append(self._members.records.wire(target))
+            records.append(self._members.records.wire_update(target))
         room = _BODY_BYTES - _FIXED_BYTES
         return records, room - sum(map(sizes.of_member, records))
 
@@ -250,7 +254,8 @@
         news = [
             summary
             for item in queued
-            if (summary := self._shards.aged(item.shard, now)) is not None
+            if (summary := self._shards.other_domain_summary(item.shard, now))
+            is not None
         ]
         return news, room - sum(map(sizes.of_shard, news))
 
@@ -269,7 +274,7 @@
         """
         parts = tuple(n for n in differing if n < digests.MEMBER_PARTS)
         view = self._members.view(target) or self._members.own
-        if not is_far_apart(differing):
+        if not is_diverged(differing):
             room = min(room, _SMALL_PAGE_BYTES)
         return self._members.records.page(
             parts, domain=view.domain, after=after, size=room
--- a/packages/membership/src/lagoonrun_membership/damping.py
+++ b/packages/membership/src/lagoonrun_membership/damping.py
@@ -33,19 +33,19 @@
         self._flaps_by_id: dict[types.EntryVmId, _Flaps] = {}
         self._held: set[types.EntryVmId] = set()
 
-    def came_back(self, entry_vm: types.EntryVmId, now: float) -> None:
+    def record_return(self, entry_vm: types.EntryVmId, now: float) -> None:
         """Count a return from the dead and start the hold."""
         count = 1.0 + self._remaining_count(entry_vm, now)
         hold = min(
-            self._timing.hold_seconds * 2.0 ** (count - 1.0),
-            self._timing.maximum_hold_seconds,
+            self._timing.hold_down_seconds * 2.0 ** (count - 1.0),
+            self._timing.maximum_hold_down_seconds,
         )
         self._flaps_by_id[entry_vm] = _Flaps(
             count=count, counted_at=now, held_until=now + hold
         )
         self._held.add(entry_vm)
 
-    def is_held(self, entry_vm: types.EntryVmId) -> bool:
+    def is_held_down(self, entry_vm: types.EntryVmId) -> bool:
         """Return whether a member gets no shard for now."""
         return entry_vm in self._held
 
--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ConfigurationNews:
+class ConfigurationAnnouncement:
     """A member has a higher revision in force than this process."""
 
     source: types.EntryVmId
@@ -72,7 +72,7 @@
             shards=self.shards,
             timing=timing,
         )
-        self._seeds = seeds_module.SeedBook(
+        self._seeds = seeds_module.SeedList(
             own=hub.PeerAddress(host=own.peer_host, port=own.peer_port),
             configured=seeds,
         )
@@ -83,12 +83,12 @@
             sending=self._outbox,
             seed_book=self._seeds,
             timing=timing,
-            random_source=rng,
+            rng=rng,
         )
-        self._configurations: list[ConfigurationNews] = []
+        self._configurations: list[ConfigurationAnnouncement] = []
         self._summaries: list[messages.ShardSummary] = []
         self._forgotten: list[types.EntryVmId] = []
-        self._region_of: shards.RegionOf = _one_region
+        self._region_of: shards.RegionLookup = _one_region
         self._urgent = False
         self._urgent_tokens = timing.urgent_burst
         self._next_period_at = now
@@ -101,19 +101,19 @@
         """Return the clock reading at which `tick` is due."""
         return min(self._next_period_at, self._prober.next_deadline())
 
-    def pop_configurations(self) -> tuple[ConfigurationNews, ...]:
+    def pop_configurations(self) -> tuple[ConfigurationAnnouncement, ...]:
         """Return news of higher revisions, once."""
         news = tuple(self._configurations)
         self._configurations.clear()
         return news
 
-    def take_summaries(self) -> tuple[messages.ShardSummary, ...]:
+    def pop_summaries(self) -> tuple[messages.ShardSummary, ...]:
         """Return newer summaries of other domains' shards, once."""
         summaries = tuple(self._summaries)
         self._summaries.clear()
         return summaries
 
-    def take_forgotten(self) -> tuple[types.EntryVmId, ...]:
+    def pop_forgotten(self) -> tuple[types.EntryVmId, ...]:
         """Return members that were forgotten, once."""
         forgotten = tuple(self._forgotten)
         self._forgotten.clear()
@@ -123,7 +123,7 @@
         """Join through further addresses, as the platform's list shows."""
         self._seeds.add(addresses)
 
-    def set_regions(self, region_of: shards.RegionOf) -> None:
+    def set_regions(self, region_of: shards.RegionLookup) -> None:
         """Tell shards first to domains of the same region."""
         self._region_of = region_of
 
@@ -154,7 +154,7 @@
         self.upstreams.apply(update)
         return self._finish(now)
 
-    def farewell(self) -> list[outbox.OutgoingDatagram]:
+    def announce_shutdown(self) -> list[outbox.OutgoingDatagram]:
         """Return the last datagrams of a process that ends.
 
         They spare the others the suspicion; if they are lost, probing finds
@@ -176,7 +176,7 @@
         self._note_isolation(now)
         self.members.expire(now)
         self.shards.expire(now)
-        self._prober.judge(now)
+        self._prober.check_deadlines(now)
         if now >= self._next_period_at:
             self._next_period_at = now + self._timing.period_seconds
             self._start_period(now)
@@ -217,7 +217,7 @@
         if late < _FROZEN_PERIODS * self._timing.period_seconds:
             return
         self._prober.restart()
-        self.members.postpone(late)
+        self.members.postpone_suspicions(late)
         self._last_heard_at = now
 
     def _start_period(self, now: float) -> None:
@@ -231,7 +231,7 @@
         """Send own shards to one member of each domain that hears of them."""
         if not self.shards.own(now):
             return
-        hearers = shards.hearing_domains(
+        hearers = shards.receiving_domains(
             self.members.own.domain,
             self._live_domains(),
             count=self._timing.summary_domains,
@@ -241,7 +241,7 @@
             others = self.members.others_in(domain)
             if others:
                 target = self._random.choice(others)
-                self._outbox.send(target, self._composer.summaries(now=now))
+                self._outbox.send(target, self._composer.own_summaries(now=now))
 
     def _live_domains(self) -> tuple[types.FailureDomain, ...]:
         """Return the domains that can hear of shards, the own one included.
@@ -286,17 +286,17 @@
     ) -> None:
         if message.source != sender:
             # A helper passes on that the target has answered it.
-            self._prober.answered(message.sequence, message.source)
+            self._prober.record_answer(message.sequence, message.source)
             return
         self._take_news(message, sender, now)
-        relay = self._prober.take_relay(message.sequence)
+        relay = self._prober.pop_indirect(message.sequence)
         if relay is not None:
             passed_on = messages.Acknowledge(
                 sequence=relay.sequence, source=sender
             )
             self._outbox.send(relay.requester, passed_on)
             return
-        self._prober.answered_directly(message.sequence, sender, now)
+        self._prober.record_direct_answer(message.sequence, sender, now)
         self._follow_up(message, sender, address, now)
 
     def _follow_up(
@@ -313,7 +313,7 @@
         """
         if message.page_after:
             self._composer.page_after = message.page_after
-        self._prober.note_difference(self._differing(message), now)
+        self._prober.record_difference(self._differing(message), now)
         if self._composer.is_accused(sender):
             ping = self._composer.ping(sender, sequence=0, now=now)
             self._outbox.send_to(address, ping)
@@ -325,7 +325,7 @@
         now: float,
     ) -> None:
         if message.source == sender and self.members.knows(message.target):
-            self._prober.relay(message, requester=sender, now=now)
+            self._prober.probe_for(message, requester=sender, now=now)
 
     def _take_news(
         self,
@@ -338,7 +338,7 @@
             self.members.apply(update, direct=is_direct, now=now)
             if is_direct:
                 self._take_configuration(update)
-        self._prober.hear_condemned(now)
+        self._prober.notify_disputed(now)
         for upstream in message.upstreams:
             self.upstreams.apply(upstream)
         for summary in message.shards:
@@ -347,7 +347,7 @@
     def _take_configuration(self, update: messages.MemberUpdate) -> None:
         if update.revision > self.members.own.revision:
             self._configurations.append(
-                ConfigurationNews(
+                ConfigurationAnnouncement(
                     source=update.entry_vm,
                     revision=update.revision,
                     digest=update.digest,
@@ -367,11 +367,11 @@
         refutations = self.members.refutations
         if refutations != self._refutations:
             self._refutations = refutations
-            self._prober.suspected_here()
-        forgotten = self.members.take_forgotten()
+            self._prober.record_own_suspicion()
+        forgotten = self.members.pop_forgotten()
         self._composer.forget(forgotten)
         self._forgotten += forgotten
-        self._seeds.note_lost(self.members.take_lost())
+        self._seeds.record_lost(self.members.pop_lost())
         self._urgent |= self._composer.collect_news()
         self._summaries += self._composer.collect_summaries(now=now)
         if self._urgent and self._urgent_tokens > 0:
@@ -389,7 +389,7 @@
         """
         silence = now - self._last_heard_at
         limit = _ISOLATED_PERIODS * self._timing.period_seconds
-        self._composer.tells_accusations = silence <= limit
+        self._composer.sends_accusations = silence <= limit
 
 
 def _one_region(domain: types.FailureDomain) -> types.Region:
--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -69,7 +69,7 @@
     @property
     def own(self) -> messages.MemberUpdate:
         """The record of this process, as it is told to others."""
-        return self.records.wire(self._own_id)
+        return self.records.wire_update(self._own_id)
 
     @property
     def dead(self) -> tuple[types.EntryVmId, ...]:
@@ -117,7 +117,7 @@
                 for entry_vm in self.records.in_domain(domain)
                 if entry_vm not in self._dead
                 and not self.records.by_id[entry_vm].leaving
-                and not self._damping.is_held(entry_vm)
+                and not self._damping.is_held_down(entry_vm)
             )
         )
 
@@ -135,19 +135,19 @@
         self._changed.clear()
         return tuple(view for view in views if view is not None)
 
-    def take_forgotten(self) -> tuple[types.EntryVmId, ...]:
+    def pop_forgotten(self) -> tuple[types.EntryVmId, ...]:
         """Return members that were forgotten, once."""
         forgotten = tuple(self._forgotten)
         self._forgotten.clear()
         return forgotten
 
-    def take_lost(self) -> tuple[messages.MemberUpdate, ...]:
+    def pop_lost(self) -> tuple[messages.MemberUpdate, ...]:
         """Return the last records of members that were forgotten, once."""
         lost = tuple(self._lost)
         self._lost.clear()
         return lost
 
-    def take_condemned(self) -> tuple[types.EntryVmId, ...]:
+    def pop_disputed(self) -> tuple[types.EntryVmId, ...]:
         """Return members we held alive and others hold for dead, once."""
         condemned = tuple(self._condemned)
         self._condemned.clear()
@@ -204,7 +204,7 @@
         for entry_vm in self._damping.expire(now):
             self._changed[entry_vm] = None
 
-    def postpone(self, seconds: float) -> None:
+    def postpone_suspicions(self, seconds: float) -> None:
         """Give every suspect more time.
 
         A process that was frozen wakes with all its deadlines passed, before
@@ -287,14 +287,14 @@
         """Take in a higher incarnation."""
         was_dead = record.dead_since is not None
         if was_dead and update.state is messages.MemberState.DEAD:
-            self.records.move(record, update)
+            self.records.replace_update(record, update)
             self._told(record)
             return
-        self.records.move(record, update)
+        self.records.replace_update(record, update)
         if was_dead:
             record.dead_since = None
             self._dead.discard(update.entry_vm)
-            self._damping.came_back(update.entry_vm, now)
+            self._damping.record_return(update.entry_vm, now)
         self._end_suspicion(record)
         # Suspicion and death don't say whether the member is leaving.
         if update.state in _MEMBER_STATES_OF_SELF:
@@ -345,7 +345,7 @@
             else:
                 if record.suspect_until is None:
                     self._condemned.append(update.entry_vm)
-                until = now + self._timing.verdict_seconds
+                until = now + self._timing.dispute_seconds
                 self._start_suspicion(record, until)
 
     def _start_suspicion(self, record: records.Record, until: float) -> None:
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -119,7 +119,7 @@
         if self._timer is not None:
             self._timer.cancel()
             await asyncio.gather(self._timer, return_exceptions=True)
-            self._send(self._gossip.farewell())
+            self._send(self._gossip.announce_shutdown())
         if self._transport is not None:
             self._transport.close()
 
@@ -182,7 +182,7 @@
 
     # What the owner announces.
 
-    def set_regions(self, region_of: shards.RegionOf) -> None:
+    def set_regions(self, region_of: shards.RegionLookup) -> None:
         """Tell shards first to domains of the same region.
 
         Set from each configuration that comes into force. While entry VMs
@@ -332,10 +332,10 @@
                 news.revision,
                 news.digest,
             )
-        for entry_vm in self._gossip.take_forgotten():
+        for entry_vm in self._gossip.pop_forgotten():
             self._opener.forget(entry_vm)
             self._states_by_id.pop(entry_vm, None)
-        for summary in self._gossip.take_summaries():
+        for summary in self._gossip.pop_summaries():
             self._tell(self._listener.on_shard_summary, summary)
 
     def _log_state(self, view: MemberView) -> None:
--- a/packages/membership/src/lagoonrun_membership/prober.py
+++ b/packages/membership/src/lagoonrun_membership/prober.py
@@ -55,19 +55,17 @@
         table: members.MemberTable,
         datagrams: composer.DatagramComposer,
         sending: outbox.Outbox,
-        seed_book: seeds.SeedBook,
+        seed_book: seeds.SeedList,
         timing: timings.Timing,
-        random_source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._table = table
         self._composer = datagrams
         self._outbox = sending
         self._seeds = seed_book
         self._timing = timing
-        self._random = random_source
-        self._schedule = probes.ProbeSchedule(
-            table=table, random_source=random_source
-        )
+        self._random = rng
+        self._schedule = probes.ProbeSchedule(table=table, rng=rng)
         self._pending = probes.PendingProbes()
         self.round_trips = round_trips.RoundTrips()
         self._syncs_left = _MAXIMUM_SYNCS
@@ -89,33 +87,33 @@
         self._period += 1
         self._syncs_left = min(_MAXIMUM_SYNCS, self._syncs_left + 1)
         self._probe(self._schedule.next_in_own_domain(), now)
-        bridge = self._timing.bridge_periods_for(len(self._table))
+        bridge = self._timing.cross_domain_periods_for(len(self._table))
         if self._period % bridge == 0:
             self._probe(self._schedule.next_in_other_domains(), now)
         self._rejoin(now)
 
-    def suspected_here(self) -> None:
+    def record_own_suspicion(self) -> None:
         """Count that others suspected this process."""
-        self._pending.missed()
+        self._pending.record_miss()
 
-    def answered(self, sequence: int, source: types.EntryVmId) -> None:
+    def record_answer(self, sequence: int, source: types.EntryVmId) -> None:
         """Take in that a helper had an answer to an own probe."""
-        self._pending.answered(sequence, source)
+        self._pending.record_answer(sequence, source)
 
-    def answered_directly(
+    def record_direct_answer(
         self, sequence: int, source: types.EntryVmId, now: float
     ) -> None:
         """Take in a target's own answer, which measures the way to it."""
-        probe = self._pending.answered(sequence, source)
+        probe = self._pending.record_answer(sequence, source)
         view = self._table.view(source)
         if probe is not None and view is not None:
-            self.round_trips.note(view.domain, now - probe.sent_at)
+            self.round_trips.record(view.domain, now - probe.sent_at)
 
-    def take_relay(self, sequence: int) -> probes.Relay | None:
+    def pop_indirect(self, sequence: int) -> probes.IndirectProbe | None:
         """Return for whom a probe was made, once."""
-        return self._pending.take_relay(sequence)
+        return self._pending.pop_indirect(sequence)
 
-    def relay(
+    def probe_for(
         self,
         message: messages.PingRequest,
         *,
@@ -124,23 +122,25 @@
     ) -> None:
         """Probe a member in another one's stead."""
         sequence = self._send_ping(message.target, now)
-        self._pending.add_relay(
+        self._pending.add_indirect(
             sequence,
-            probes.Relay(requester=requester, sequence=message.sequence),
+            probes.IndirectProbe(
+                requester=requester, sequence=message.sequence
+            ),
         )
 
-    def hear_condemned(self, now: float) -> None:
+    def notify_disputed(self, now: float) -> None:
         """Tell members at once that somebody holds them for dead.
 
         After a cut heals, each side brings the verdicts of its own; those
         condemned would otherwise hear of it too late to refute it. The number
         is bounded, so that one datagram does not call forth a flood.
         """
-        condemned = self._table.take_condemned()
+        condemned = self._table.pop_disputed()
         for target in condemned[:_CONDEMNED_PROBES]:
             self._send_ping(target, now)
 
-    def note_difference(self, differing: tuple[int, ...], now: float) -> None:
+    def record_difference(self, differing: tuple[int, ...], now: float) -> None:
         """Ask on soon if this process lacks much of the table.
 
         A process that has just joined or woken asks on until its table is
@@ -150,9 +150,9 @@
         """
         if not differing:
             self._is_joining = False
-        if composer.is_far_apart(differing) or (differing and self._is_joining):
+        if composer.is_diverged(differing) or (differing and self._is_joining):
             self._next_sync_at = min(
-                self._next_sync_at, now + self._timing.sync_seconds
+                self._next_sync_at, now + self._timing.sync_interval_seconds
             )
 
     def fan_out(self, now: float) -> None:
@@ -170,13 +170,13 @@
             own_domain
         ) + self._schedule.other_domains_sample(others)
 
-    def judge(self, now: float) -> None:
+    def check_deadlines(self, now: float) -> None:
         """Ask others about unanswered probes, and suspect who failed them."""
-        for probe in self._pending.take_unanswered_directly(now):
+        for probe in self._pending.pop_direct_timeouts(now):
             self._ask_helpers(probe)
-        for probe in self._pending.take_failed(now):
+        for probe in self._pending.pop_failed(now):
             if self._is_alive(probe.target):
-                self._pending.missed()
+                self._pending.record_miss()
             self._table.suspect(probe.target, now=now)
 
     def sync(self, now: float) -> None:
@@ -214,15 +214,15 @@
         if target is None:
             return
         sequence = self._send_ping(target, now)
-        stretch = self._pending.stretch
+        stretch = self._pending.timeout_factor
         self._pending.add(
             probes.Probe(
                 sequence=sequence,
                 target=target,
                 sent_at=now,
-                direct_until=now
+                direct_deadline=now
                 + self._timing.direct_timeout_seconds * stretch,
-                until=now + self._timing.period_seconds * stretch,
+                deadline=now + self._timing.period_seconds * stretch,
             )
         )
 
@@ -240,7 +240,7 @@
         if dead:
             target = self._random.choice(dead)
             self._send_ping(target, now)
-        unknown = self._seeds.unknown(self._table)
+        unknown = self._seeds.addresses_to_try(self._table)
         count = min(len(unknown), _SEED_PROBES if is_alone else 1)
         for address in self._random.sample(unknown, count):
             sequence = self._pending.next_sequence()
--- a/packages/membership/src/lagoonrun_membership/probes.py
+++ b/packages/membership/src/lagoonrun_membership/probes.py
@@ -31,12 +31,12 @@
     sequence: int
     target: types.EntryVmId
     sent_at: float
-    direct_until: float | None
-    until: float
+    direct_deadline: float | None
+    deadline: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Relay:
+class IndirectProbe:
     """A probe made in another member's stead."""
 
     requester: types.EntryVmId
@@ -59,10 +59,10 @@
     """
 
     def __init__(
-        self, *, table: members.MemberTable, random_source: random.Random
+        self, *, table: members.MemberTable, rng: random.Random
     ) -> None:
         self._table = table
-        self._random = random_source
+        self._random = rng
         self._own_round: list[types.EntryVmId] = []
         self._domain_round: list[types.FailureDomain] = []
 
@@ -138,14 +138,14 @@
 
     def __init__(self) -> None:
         self._probes_by_sequence: dict[int, Probe] = {}
-        self._relays_by_sequence: collections.OrderedDict[int, Relay] = (
-            collections.OrderedDict()
-        )
+        self._relays_by_sequence: collections.OrderedDict[
+            int, IndirectProbe
+        ] = collections.OrderedDict()
         self._sequence = 0
         self._score = 0.0
 
     @property
-    def stretch(self) -> float:
+    def timeout_factor(self) -> float:
         """Factor by which timeouts are stretched, from 1."""
         return 1.0 + self._score
 
@@ -158,13 +158,15 @@
         """Wait for an answer."""
         self._probes_by_sequence[probe.sequence] = probe
 
-    def add_relay(self, sequence: int, relay: Relay) -> None:
+    def add_indirect(self, sequence: int, relay: IndirectProbe) -> None:
         """Remember for whom a probe was made."""
         self._relays_by_sequence[sequence] = relay
         if len(self._relays_by_sequence) > _MAXIMUM_RELAYS:
             self._relays_by_sequence.popitem(last=False)
 
-    def answered(self, sequence: int, source: types.EntryVmId) -> Probe | None:
+    def record_answer(
+        self, sequence: int, source: types.EntryVmId
+    ) -> Probe | None:
         """Take an answer; return the probe if it was waited for."""
         probe = self._probes_by_sequence.get(sequence)
         if probe is None or probe.target != source:
@@ -173,31 +175,32 @@
         self._score = max(0.0, self._score - _FORGIVEN_BY_ANSWER)
         return probe
 
-    def take_relay(self, sequence: int) -> Relay | None:
+    def pop_indirect(self, sequence: int) -> IndirectProbe | None:
         """Return for whom the probe was made, once."""
         return self._relays_by_sequence.pop(sequence, None)
 
-    def missed(self) -> None:
+    def record_miss(self) -> None:
         """Count an unexpected failure, or a suspicion of this process."""
         self._score = min(_MAXIMUM_HEALTH_SCORE, self._score + 1)
 
-    def take_unanswered_directly(self, now: float) -> list[Probe]:
+    def pop_direct_timeouts(self, now: float) -> list[Probe]:
         """Return probes for which others are to be asked, once each."""
         late = [
             probe
             for probe in self._probes_by_sequence.values()
-            if probe.direct_until is not None and now >= probe.direct_until
+            if probe.direct_deadline is not None
+            and now >= probe.direct_deadline
         ]
         for probe in late:
-            probe.direct_until = None
+            probe.direct_deadline = None
         return late
 
-    def take_failed(self, now: float) -> list[Probe]:
+    def pop_failed(self, now: float) -> list[Probe]:
         """Return probes that nobody could get an answer to, once each."""
         failed = [
             probe
             for probe in self._probes_by_sequence.values()
-            if now >= probe.until
+            if now >= probe.deadline
         ]
         for probe in failed:
             del self._probes_by_sequence[probe.sequence]
@@ -211,9 +214,9 @@
         """Return when something has to be done, or infinity."""
         return min(
             (
-                probe.until
-                if probe.direct_until is None
-                else probe.direct_until
+                probe.deadline
+                if probe.direct_deadline is None
+                else probe.direct_deadline
                 for probe in self._probes_by_sequence.values()
             ),
             default=float("inf"),
--- a/packages/membership/src/lagoonrun_membership/records.py
+++ b/packages/membership/src/lagoonrun_membership/records.py
@@ -74,7 +74,7 @@
             return None
         return _with_state(record, _view_state(record))
 
-    def wire(self, entry_vm: types.EntryVmId) -> messages.MemberUpdate:
+    def wire_update(self, entry_vm: types.EntryVmId) -> messages.MemberUpdate:
         """Return what others are told; suspicion hides leaving.
 
         A suspected member must hear of it in order to refute it; when it
@@ -123,7 +123,7 @@
         start = bisect.bisect(ids, order(after), key=order) if after else 0
         page = []
         for entry_vm in ids[start:] + ids[:start]:
-            update = self.wire(entry_vm)
+            update = self.wire_update(entry_vm)
             size -= sizes.of_member(update)
             if size < 0:
                 break
@@ -139,7 +139,9 @@
         ids[entry_vm] = None
         self.rehash(record)
 
-    def move(self, record: Record, update: messages.MemberUpdate) -> None:
+    def replace_update(
+        self, record: Record, update: messages.MemberUpdate
+    ) -> None:
         """Replace the record's data; the member may be in another domain."""
         del self._ids_by_domain[record.update.domain][update.entry_vm]
         record.update = update
--- a/packages/membership/src/lagoonrun_membership/round_trips.py
+++ b/packages/membership/src/lagoonrun_membership/round_trips.py
@@ -12,7 +12,7 @@
     def __init__(self) -> None:
         self._seconds_by_domain: dict[types.FailureDomain, float] = {}
 
-    def note(self, domain: types.FailureDomain, seconds: float) -> None:
+    def record(self, domain: types.FailureDomain, seconds: float) -> None:
         """Take in one measurement.
 
         One that a busy process took late counts as at most a few times the
--- a/packages/membership/src/lagoonrun_membership/seeds.py
+++ b/packages/membership/src/lagoonrun_membership/seeds.py
@@ -11,7 +11,7 @@
 _LOST_OF_A_DOMAIN = 8
 
 
-class SeedBook:
+class SeedList:
     """Seeds of the settings and those that were added later.
 
     Parameters
@@ -44,7 +44,7 @@
         while len(self._added) > _MAXIMUM_ADDED:
             del self._added[next(iter(self._added))]
 
-    def note_lost(self, forgotten: Iterable[messages.MemberUpdate]) -> None:
+    def record_lost(self, forgotten: Iterable[messages.MemberUpdate]) -> None:
         """Remember where forgotten members were, a few of each domain.
 
         Regions that lose each other for an hour forget each other's members,
@@ -60,7 +60,9 @@
                 hub.PeerAddress(host=update.peer_host, port=update.peer_port)
             )
 
-    def unknown(self, table: members.MemberTable) -> list[hub.PeerAddress]:
+    def addresses_to_try(
+        self, table: members.MemberTable
+    ) -> list[hub.PeerAddress]:
         """Return the seeds at which no member of `table` lives.
 
         With them, where members of domains were that have none any more.
--- a/packages/membership/src/lagoonrun_membership/shards.py
+++ b/packages/membership/src/lagoonrun_membership/shards.py
@@ -27,19 +27,19 @@
     return types.FailureDomain(after_pool.rpartition("/")[0])
 
 
-class RegionOf(Protocol):
+class RegionLookup(Protocol):
     """Tells in which region a domain stands."""
 
     def __call__(self, domain: types.FailureDomain, /) -> types.Region:
         """Return the region of `domain`; one name for all if unknown."""
 
 
-def hearing_domains(
+def receiving_domains(
     domain: types.FailureDomain,
     domains: Iterable[types.FailureDomain],
     *,
     count: int,
-    region_of: RegionOf,
+    region_of: RegionLookup,
 ) -> tuple[types.FailureDomain, ...]:
     """Return the domains that are to hear of the shards of `domain`.
 
@@ -61,7 +61,7 @@
     hearer: types.FailureDomain,
     domains: tuple[types.FailureDomain, ...],
     count: int,
-    region_of: RegionOf,
+    region_of: RegionLookup,
 ) -> list[types.FailureDomain]:
     def weight(domain: types.FailureDomain) -> int:
         return xxhash.xxh3_64_intdigest(f"{hearer}/{domain}".encode())
@@ -74,7 +74,7 @@
 
 
 def _in_turn(
-    domains: Iterable[types.FailureDomain], region_of: RegionOf
+    domains: Iterable[types.FailureDomain], region_of: RegionLookup
 ) -> list[types.FailureDomain]:
     """Return one domain of each region, then a second of each, and so on.
 
@@ -154,7 +154,7 @@
             if self._is_fresh(dated.made_at, now)
         )
 
-    def aged(
+    def other_domain_summary(
         self, shard: types.ShardId, now: float
     ) -> messages.ShardSummary | None:
         """Return another domain's summary with its age, if it is fresh."""
@@ -172,7 +172,7 @@
                 dated.made_at, now
             ):
                 return _aged(dated, now)
-        return self.aged(shard, now)
+        return self.other_domain_summary(shard, now)
 
     def summary(
         self, shard: types.ShardId, now: float
@@ -189,7 +189,7 @@
                     if self._is_fresh(dated.made_at, now)
                     else None
                 )
-        return self.aged(shard, now)
+        return self.other_domain_summary(shard, now)
 
     def by_shard(
         self, now: float
--- a/packages/membership/src/lagoonrun_membership/timing.py
+++ b/packages/membership/src/lagoonrun_membership/timing.py
@@ -46,16 +46,16 @@
     direct_timeout_seconds: float = 0.4
     indirect_members: int = 3
     suspicion_seconds: float = 3.0
-    verdict_seconds: float = 2.5
+    dispute_seconds: float = 2.5
     forget_seconds: float = 600.0
-    hold_seconds: float = 2.0
-    maximum_hold_seconds: float = 60.0
+    hold_down_seconds: float = 2.0
+    maximum_hold_down_seconds: float = 60.0
     flap_half_life_seconds: float = 60.0
     rejoin_periods: int = 3
     fan_out_own_domain: int = 4
     fan_out_other_domains: int = 2
     urgent_burst: int = 4
-    sync_seconds: float = 0.2
+    sync_interval_seconds: float = 0.2
     summary_maximum_age_seconds: float = 10.0
     summary_domains: int = 4
 
@@ -71,6 +71,6 @@
         """Return how often each of `members` passes one piece of news on."""
         return 4 * math.ceil(math.log10(members + 1))
 
-    def bridge_periods_for(self, members: int) -> int:
+    def cross_domain_periods_for(self, members: int) -> int:
         """Return the periods between two probes of other domains."""
         return max(1, round(members / 128))
--- a/packages/membership/src/lagoonrun_membership/upstreams.py
+++ b/packages/membership/src/lagoonrun_membership/upstreams.py
@@ -44,7 +44,9 @@
         """Return whether the upstream gets no new work."""
         return upstream in self._leaving
 
-    def wire(self, upstream: types.UpstreamId) -> messages.UpstreamUpdate:
+    def wire_update(
+        self, upstream: types.UpstreamId
+    ) -> messages.UpstreamUpdate:
         """Return what others are told of an upstream."""
         record = self._records_by_id[upstream]
         return messages.UpstreamUpdate(
@@ -59,7 +61,7 @@
         page = []
         for _ in leaving:
             position = (self._cursor + 1) % len(leaving)
-            update = self.wire(leaving[position])
+            update = self.wire_update(leaving[position])
             size -= sizes.of_upstream(update)
             if size < 0:
                 break
@@ -96,7 +98,9 @@
 
     def pop_changed(self) -> tuple[messages.UpstreamUpdate, ...]:
         """Return upstreams that began or ceased to be leaving, once."""
-        changed = tuple(self.wire(upstream) for upstream in self._changed)
+        changed = tuple(
+            self.wire_update(upstream) for upstream in self._changed
+        )
         self._changed.clear()
         return changed
 
--- a/packages/membership/tests/test_gossip.py
+++ b/packages/membership/tests/test_gossip.py
@@ -318,7 +318,7 @@
     leaving = network.nodes_by_id["vm-north-1"]
     network.act("vm-north-1", leaving.announce_leaving(now=network.now))
     network.run(0.05)
-    network.act("vm-north-1", leaving.farewell())
+    network.act("vm-north-1", leaving.announce_shutdown())
     network.kill("vm-north-1")
     viewers = [name for name in network.nodes_by_id if "north" in name]
     took = network.run_until(
--- a/packages/membership/tests/test_members.py
+++ b/packages/membership/tests/test_members.py
@@ -58,7 +58,7 @@
         elif news.state is _DEAD and (news.direct or leaving):
             dead, until = True, None
         elif news.state is _DEAD:
-            verdict = news.at + _TIMING.verdict_seconds
+            verdict = news.at + _TIMING.dispute_seconds
             until = verdict if until is None else min(until, verdict)
     if incarnation is None:
         return None
@@ -218,7 +218,7 @@
     table.apply(_update("vm-1", _ALIVE, 1), direct=True, now=0.0)
     table.apply(_update("vm-1", _DEAD, 1), direct=True, now=0.0)
     table.expire(_TIMING.forget_seconds)
-    assert table.take_forgotten() == ("vm-1",)
+    assert table.pop_forgotten() == ("vm-1",)
     table.apply(_update("vm-1", _DEAD, 1), direct=False, now=0.0)
     assert table.view("vm-1") is None
 
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -16,8 +16,8 @@
     period_seconds=0.1,
     direct_timeout_seconds=0.05,
     suspicion_seconds=0.5,
-    verdict_seconds=0.4,
-    hold_seconds=0.1,
+    dispute_seconds=0.4,
+    hold_down_seconds=0.1,
 )
 _DEAD = messages.MemberState.DEAD
 
--- a/packages/membership/tests/test_shards.py
+++ b/packages/membership/tests/test_shards.py
@@ -13,14 +13,14 @@
     domains = [f"domain-{n}" for n in range(30)]
     heard = dict.fromkeys(domains, 0)
     for domain in domains:
-        for hearer in shards.hearing_domains(
+        for hearer in shards.receiving_domains(
             domain, domains, count=4, region_of=_one_region
         ):
             heard[hearer] += 1
     assert set(heard.values()) == {4}
     few = domains[:4]
     for domain in few:
-        hearers = shards.hearing_domains(
+        hearers = shards.receiving_domains(
             domain, few, count=4, region_of=_one_region
         )
         assert set(hearers) == set(few) - {domain}
@@ -30,7 +30,7 @@
     domains = [f"domain-{n}" for n in range(12)]
     regions_by_domain = {d: str(n % 3) for n, d in enumerate(domains)}
     for domain in domains:
-        hearers = shards.hearing_domains(
+        hearers = shards.receiving_domains(
             domain,
             domains,
             count=4,
@@ -94,7 +94,7 @@
     regions = {f"domain-{n}": f"region-{n % 4}" for n in range(10)}
     heard = {hearer: set() for hearer in regions}
     for domain in regions:
-        for hearer in shards.hearing_domains(
+        for hearer in shards.receiving_domains(
             domain, regions, count=4, region_of=regions.get
         ):
             heard[hearer].add(domain)
@@ -113,7 +113,7 @@
         hearer
         for hearer in regions
         if hearer
-        in shards.hearing_domains(
+        in shards.receiving_domains(
             "domain-9", regions, count=4, region_of=regions.get
         )
     ]
