--- a/packages/membership/src/lagoonrun_membership/damping.py
+++ b/packages/membership/src/lagoonrun_membership/damping.py
@@ -1,9 +1,9 @@
-"""Keep members that flap from taking and losing shards over and over.
+"""Flap damping: delays before a returned member dispatches shards again.
 
-Each return from the dead costs a hold that doubles with the flaps of the
-recent past. While held, a member is alive for everything but the ranking of
-shards, so that a flapping link does not make all ingresses register their
-work anew every few seconds.
+A member that returns after being marked dead goes into hold-down, for a time
+that doubles with each recent flap. During hold-down it is alive for everything
+but the ranking of shards. Otherwise a flapping link would make all ingresses
+register their running requests again every few seconds.
 """
 
 import dataclasses
@@ -16,52 +16,52 @@
 class _Flaps:
     count: float
     counted_at: float
-    held_until: float
+    hold_down_until: float
 
 
 class FlapDamping:
-    """Holds of the members that came back from the dead.
+    """Hold-downs of the members that returned after being marked dead.
 
     Parameters
     ----------
     timing
-        Lengths of the holds.
+        Durations of the hold-downs.
     """
 
     def __init__(self, *, timing: timings.Timing) -> None:
         self._timing = timing
         self._flaps_by_id: dict[types.EntryVmId, _Flaps] = {}
-        self._held: set[types.EntryVmId] = set()
+        self._held_down: set[types.EntryVmId] = set()
 
     def record_return(self, entry_vm: types.EntryVmId, now: float) -> None:
-        """Count a return from the dead and start the hold."""
+        """Record that a dead member returned, and start its hold-down."""
         count = 1.0 + self._remaining_count(entry_vm, now)
-        hold = min(
+        hold_down = min(
             self._timing.hold_down_seconds * 2.0 ** (count - 1.0),
             self._timing.maximum_hold_down_seconds,
         )
         self._flaps_by_id[entry_vm] = _Flaps(
-            count=count, counted_at=now, held_until=now + hold
+            count=count, counted_at=now, hold_down_until=now + hold_down
         )
-        self._held.add(entry_vm)
+        self._held_down.add(entry_vm)
 
     def is_held_down(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether a member gets no shard for now."""
-        return entry_vm in self._held
+        """Return whether a member is in hold-down and gets no shard."""
+        return entry_vm in self._held_down
 
     def expire(self, now: float) -> tuple[types.EntryVmId, ...]:
-        """End the holds that are over and return their members."""
+        """End the hold-downs that are over and return their members."""
         ended = tuple(
             entry_vm
-            for entry_vm in self._held
-            if now >= self._flaps_by_id[entry_vm].held_until
+            for entry_vm in self._held_down
+            if now >= self._flaps_by_id[entry_vm].hold_down_until
         )
-        self._held.difference_update(ended)
+        self._held_down.difference_update(ended)
         return ended
 
     def forget(self, entry_vm: types.EntryVmId) -> None:
-        """Forget a member's past."""
-        self._held.discard(entry_vm)
+        """Remove a member's hold-down and flap count."""
+        self._held_down.discard(entry_vm)
         self._flaps_by_id.pop(entry_vm, None)
 
     def _remaining_count(self, entry_vm: types.EntryVmId, now: float) -> float:
--- a/packages/membership/src/lagoonrun_membership/digests.py
+++ b/packages/membership/src/lagoonrun_membership/digests.py
@@ -1,8 +1,8 @@
-"""Digests by which two processes see which part of their tables differs.
+"""Digests that show two processes which parts of their tables differ.
 
-A table is split into a fixed number of parts by the hash of the entries'
-names. A part's digest is the exclusive or of its entries' hashes, so that one
-changed entry costs two operations.
+A table is split into a fixed number of parts by the hash of the entry's name.
+The digest of a part is the XOR of its entries' hashes, so that a changed entry
+costs two operations.
 """
 
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 import xxhash
 
 MEMBER_PARTS = 8
-"""Parts of the member table; at 510 members a part fills five datagrams."""
+"""Parts of the member table; with 510 members a part fills five datagrams."""
 
 
 def part_of(name: str) -> int:
@@ -28,7 +28,7 @@
 ) -> tuple[int, ...]:
     """Return the numbers of the parts whose digests are not equal.
 
-    A side that tells no digests differs in none.
+    A side that sent no digests counts as equal.
     """
     pairs = zip(ours, theirs, strict=False)
     return tuple(n for n, (own, other) in enumerate(pairs) if own != other)
--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -1,9 +1,10 @@
-"""What this process believes of each entry VM. Pure: no I/O, no clock.
+"""The state of each entry VM as this process sees it: no I/O, no clock.
 
-One incarnation of a member only ever moves from alive to leaving or suspect
-and to dead. Only the member itself starts a higher incarnation, by which it
-refutes a suspicion. Hence news may arrive late, twice or in any order and
-everyone ends with the same belief, and old news brings no dead member back.
+Within one incarnation, a member only moves from alive to leaving or suspect
+and then to dead. Only the member itself starts a higher incarnation, which
+refutes a suspicion. Updates may therefore arrive late, twice or in any order:
+all members converge on the same state, and an old update doesn't bring a dead
+member back.
 """
 
 import dataclasses
@@ -14,33 +15,33 @@
 from lagoonrun_protocol import messages
 
 MemberView = messages.MemberUpdate
-"""A member as the owner sees it: its record with the state believed now.
+"""A member as the daemon sees it: its record with its current state.
 
-The digest is empty where the member's revision is known from others only.
+The digest is empty if the member's revision is known only from other members.
 """
 
-_MEMBER_STATES_OF_SELF = (
+_SELF_ANNOUNCED_STATES = (
     messages.MemberState.ALIVE,
     messages.MemberState.LEAVING,
 )
 
 
 class MemberTable:
-    """Beliefs of all members, this process included.
+    """Table of all members, this process included.
 
     Parameters
     ----------
     own
         The record of this process.
     timing
-        Suspicion, holds and forgetting.
+        Durations of suspicion, hold-down and remembering the dead.
 
     Attributes
     ----------
     records
-        The records that the rules work on.
+        The records of all members.
     refutations
-        How often this process had to say that it is alive.
+        Number of times this process had to refute an update about itself.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self._changed: dict[types.EntryVmId, None] = {}
         self._forgotten: list[types.EntryVmId] = []
         self._lost: list[messages.MemberUpdate] = []
-        self._condemned: list[types.EntryVmId] = []
+        self._disputed: list[types.EntryVmId] = []
         self.refutations = 0
         self.records.add(records.Record(update=own))
 
@@ -68,16 +69,16 @@
 
     @property
     def own(self) -> messages.MemberUpdate:
-        """The record of this process, as it is told to others."""
+        """The record of this process, as sent to other members."""
         return self.records.wire_update(self._own_id)
 
     @property
     def dead(self) -> tuple[types.EntryVmId, ...]:
-        """Members held for dead, in the order of their names."""
+        """Dead members, sorted by id."""
         return tuple(sorted(self._dead))
 
     def view(self, entry_vm: types.EntryVmId) -> MemberView | None:
-        """Return a member as the owner sees it."""
+        """Return a member as the daemon sees it."""
         return self.records.view(entry_vm)
 
     def views_by_id(self) -> dict[types.EntryVmId, MemberView]:
@@ -86,17 +87,17 @@
         return {view.entry_vm: view for view in views if view is not None}
 
     def knows(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether there is a record of the member."""
+        """Return whether the table has a record of the member."""
         return entry_vm in self.records.by_id
 
     def is_dead(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether the member is held for dead."""
+        """Return whether the member is marked dead."""
         return entry_vm in self._dead
 
     def others_in(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
-        """Return all members of `domain` that are not dead, without self."""
+        """Return the other members of `domain` that are not dead."""
         return tuple(
             entry_vm
             for entry_vm in self.records.in_domain(domain)
@@ -106,10 +107,10 @@
     def eligible_in(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
-        """Return the members of `domain` that may be given shards.
+        """Return the members of `domain` that may dispatch shards, sorted.
 
-        Suspects count: a shard moves only when its dispatcher is held for
-        dead. Leaving and held members don't.
+        Suspects are included, since a shard moves only when its dispatcher is
+        marked dead. Members that are leaving or in hold-down are not.
         """
         return tuple(
             sorted(
@@ -121,51 +122,51 @@
             )
         )
 
-    # Taking what has come of the events.
+    # Results of the events.
 
     def pop_news(self) -> tuple[types.EntryVmId, ...]:
-        """Return members of whom others should be told, once."""
+        """Return and clear the members with updates to be sent."""
         news = tuple(self._news)
         self._news.clear()
         return news
 
     def pop_changed(self) -> tuple[MemberView, ...]:
-        """Return members whose view has changed, once."""
+        """Return and clear the members whose view has changed."""
         views = [self.view(entry_vm) for entry_vm in self._changed]
         self._changed.clear()
         return tuple(view for view in views if view is not None)
 
     def pop_forgotten(self) -> tuple[types.EntryVmId, ...]:
-        """Return members that were forgotten, once."""
+        """Return and clear the members that were forgotten."""
         forgotten = tuple(self._forgotten)
         self._forgotten.clear()
         return forgotten
 
     def pop_lost(self) -> tuple[messages.MemberUpdate, ...]:
-        """Return the last records of members that were forgotten, once."""
+        """Return and clear the last records of forgotten members."""
         lost = tuple(self._lost)
         self._lost.clear()
         return lost
 
     def pop_disputed(self) -> tuple[types.EntryVmId, ...]:
-        """Return members we held alive and others hold for dead, once."""
-        condemned = tuple(self._condemned)
-        self._condemned.clear()
-        return condemned
+        """Return and clear members alive here but reported dead by others."""
+        disputed = tuple(self._disputed)
+        self._disputed.clear()
+        return disputed
 
     # Events.
 
     def apply(
         self, update: messages.MemberUpdate, *, direct: bool, now: float
     ) -> None:
-        """Take in what somebody says of a member.
+        """Apply an update about a member.
 
         Parameters
         ----------
         update
-            The belief.
+            The received record.
         direct
-            Whether the member itself says so.
+            Whether the member itself sent it.
         now
             Clock reading in seconds.
         """
@@ -174,11 +175,13 @@
             return
         record = self.records.by_id.get(update.entry_vm)
         if record is None:
-            self._meet(update, now)
+            self._add_member(update, now)
         elif update.incarnation > record.update.incarnation:
-            self._renew(record, update, direct=direct, now=now)
+            self._apply_newer_incarnation(
+                record, update, direct=direct, now=now
+            )
         elif update.incarnation == record.update.incarnation:
-            self._merge(record, update, direct=direct, now=now)
+            self._apply_same_incarnation(record, update, direct=direct, now=now)
 
     def suspect(self, entry_vm: types.EntryVmId, *, now: float) -> None:
         """Suspect a member that did not answer a probe."""
@@ -186,15 +189,15 @@
         if record is None or record.dead_since is not None:
             return
         if record.suspect_until is None:
-            self._start_suspicion(record, now + self._suspicion(record))
+            self._start_suspicion(record, now + self._suspicion_seconds(record))
 
     def expire(self, now: float) -> None:
-        """Let time pass: suspects die, the dead are forgotten, holds end."""
+        """Mark expired suspects dead, forget old dead members, end hold-downs."""
         for entry_vm in tuple(self._suspects):
             record = self.records.by_id[entry_vm]
             until = record.suspect_until
             if until is not None and now >= until:
-                self._die(record, now)
+                self._mark_dead(record, now)
         for entry_vm in tuple(self._dead):
             since = self.records.by_id[entry_vm].dead_since
             if since is not None and (
@@ -205,11 +208,11 @@
             self._changed[entry_vm] = None
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Give every suspect more time.
+        """Extend every suspicion by `seconds`.
 
-        A process that was frozen wakes with all its deadlines passed, before
-        it could read a single refutation; without this it would hold its
-        suspects for dead at once.
+        A process that was paused resumes with all deadlines passed, before it
+        could read any refutation. Without the extension it would mark all its
+        suspects dead at once.
         """
         for entry_vm in self._suspects:
             record = self.records.by_id[entry_vm]
@@ -219,7 +222,7 @@
     def announce_configuration(
         self, revision: types.Revision, digest: str
     ) -> None:
-        """Tell others which revision this process has in force."""
+        """Announce the revision in force at this process."""
         record = self.records.by_id[self._own_id]
         record.update = dataclasses.replace(
             record.update, revision=revision, digest=digest
@@ -227,28 +230,29 @@
         self._changed[self._own_id] = None
 
     def announce_leaving(self) -> None:
-        """Tell others that this process takes no more shards."""
+        """Announce that this process takes no more shards."""
         record = self.records.by_id[self._own_id]
         if not record.leaving:
             self._start_incarnation(record, record.update.incarnation + 1)
             record.leaving = True
             self.records.rehash(record)
 
-    # The rules.
+    # State transitions.
 
     def _refute(self, update: messages.MemberUpdate) -> None:
-        """Answer news of ourselves that we did not give out.
+        """Refute an update about this process that it did not send.
 
-        Suspicion and death at our incarnation are refuted by a higher one. So
-        is a higher incarnation than ours: it is from an earlier process of
-        our name whose clock was ahead, and its news would go before ours.
+        A suspicion or death at the own incarnation is refuted by a higher
+        one. So is an update with a higher incarnation: it stems from an
+        earlier process with this id whose clock was ahead, and its updates
+        would override this one's.
         """
         record = self.records.by_id[self._own_id]
-        ours = record.update.incarnation
-        if update.incarnation < ours:
+        own_incarnation = record.update.incarnation
+        if update.incarnation < own_incarnation:
             return
-        if update.incarnation == ours and (
-            update.state in _MEMBER_STATES_OF_SELF
+        if update.incarnation == own_incarnation and (
+            update.state in _SELF_ANNOUNCED_STATES
         ):
             return
         self.refutations += 1
@@ -260,11 +264,11 @@
         record.update = dataclasses.replace(
             record.update, incarnation=types.Incarnation(incarnation)
         )
-        self._told(record)
+        self._mark_changed(record)
 
-    def _meet(self, update: messages.MemberUpdate, now: float) -> None:
-        # The dead are not learned from others: everyone would remind everyone
-        # else of them for ever.
+    def _add_member(self, update: messages.MemberUpdate, now: float) -> None:
+        # Dead members are not learned from others, or members would keep
+        # reminding each other of them forever.
         if update.state is messages.MemberState.DEAD:
             return
         record = records.Record(
@@ -272,11 +276,11 @@
             leaving=update.state is messages.MemberState.LEAVING,
         )
         self.records.add(record)
-        self._told(record)
+        self._mark_changed(record)
         if update.state is messages.MemberState.SUSPECT:
-            self._start_suspicion(record, now + self._suspicion(record))
+            self._start_suspicion(record, now + self._suspicion_seconds(record))
 
-    def _renew(
+    def _apply_newer_incarnation(
         self,
         record: records.Record,
         update: messages.MemberUpdate,
@@ -284,11 +288,11 @@
         direct: bool,
         now: float,
     ) -> None:
-        """Take in a higher incarnation."""
+        """Apply an update with a higher incarnation."""
         was_dead = record.dead_since is not None
         if was_dead and update.state is messages.MemberState.DEAD:
             self.records.replace_update(record, update)
-            self._told(record)
+            self._mark_changed(record)
             return
         self.records.replace_update(record, update)
         if was_dead:
@@ -296,13 +300,13 @@
             self._dead.discard(update.entry_vm)
             self._damping.record_return(update.entry_vm, now)
         self._end_suspicion(record)
-        # Suspicion and death don't say whether the member is leaving.
-        if update.state in _MEMBER_STATES_OF_SELF:
+        # SUSPECT and DEAD don't show whether the member is leaving.
+        if update.state in _SELF_ANNOUNCED_STATES:
             record.leaving = update.state is messages.MemberState.LEAVING
-        self._told(record)
-        self._accuse(record, update, direct=direct, now=now)
+        self._mark_changed(record)
+        self._apply_accusation(record, update, direct=direct, now=now)
 
-    def _merge(
+    def _apply_same_incarnation(
         self,
         record: records.Record,
         update: messages.MemberUpdate,
@@ -310,7 +314,7 @@
         direct: bool,
         now: float,
     ) -> None:
-        """Take in more news of the same incarnation."""
+        """Apply an update of the same incarnation."""
         if update.revision > record.update.revision:
             record.update = dataclasses.replace(
                 record.update, revision=update.revision, digest=update.digest
@@ -320,10 +324,10 @@
             return
         if update.state is messages.MemberState.LEAVING and not record.leaving:
             record.leaving = True
-            self._told(record)
-        self._accuse(record, update, direct=direct, now=now)
+            self._mark_changed(record)
+        self._apply_accusation(record, update, direct=direct, now=now)
 
-    def _accuse(
+    def _apply_accusation(
         self,
         record: records.Record,
         update: messages.MemberUpdate,
@@ -331,20 +335,23 @@
         direct: bool,
         now: float,
     ) -> None:
-        """Take in suspicion or death at the record's incarnation."""
+        """Apply a suspicion or death at the record's incarnation."""
         if update.state is messages.MemberState.SUSPECT:
             if record.suspect_until is None:
-                self._start_suspicion(record, now + self._suspicion(record))
+                self._start_suspicion(
+                    record, now + self._suspicion_seconds(record)
+                )
         elif update.state is messages.MemberState.DEAD:
-            # After a cut heals, each side tells the other's live members
-            # dead. Taken at once, every shard would move and move back; the
-            # member gets a short time to refute instead. Who says so itself,
-            # or was leaving anyway, is believed at once.
+            # After a network partition heals, each side reports the other's
+            # live members dead. Applying this at once would move every shard
+            # there and back, so the member gets a short time to refute it.
+            # A death that the member itself announced, or that of a leaving
+            # member, is applied at once.
             if direct or record.leaving:
-                self._die(record, now)
+                self._mark_dead(record, now)
             else:
                 if record.suspect_until is None:
-                    self._condemned.append(update.entry_vm)
+                    self._disputed.append(update.entry_vm)
                 until = now + self._timing.dispute_seconds
                 self._start_suspicion(record, until)
 
@@ -352,7 +359,7 @@
         if record.suspect_until is None:
             record.suspect_until = until
             self._suspects.add(record.update.entry_vm)
-            self._told(record)
+            self._mark_changed(record)
         else:
             record.suspect_until = min(record.suspect_until, until)
 
@@ -360,23 +367,23 @@
         record.suspect_until = None
         self._suspects.discard(record.update.entry_vm)
 
-    def _die(self, record: records.Record, now: float) -> None:
+    def _mark_dead(self, record: records.Record, now: float) -> None:
         self._end_suspicion(record)
         record.dead_since = now
         self._dead.add(record.update.entry_vm)
-        self._told(record)
+        self._mark_changed(record)
 
-    def _suspicion(self, record: records.Record) -> float:
+    def _suspicion_seconds(self, record: records.Record) -> float:
         own = self.records.by_id[self._own_id].update
         members = len(self)
         if record.update.domain == own.domain:
             members = len(self.records.in_domain(own.domain))
         return self._timing.suspicion_for(members)
 
-    # Upkeep.
+    # Bookkeeping.
 
-    def _told(self, record: records.Record) -> None:
-        """Note a change for the owner, the other members and the digest."""
+    def _mark_changed(self, record: records.Record) -> None:
+        """Mark a change to be sent and published, and update the digest."""
         self._news[record.update.entry_vm] = None
         self._changed[record.update.entry_vm] = None
         self.records.rehash(record)
--- a/packages/membership/src/lagoonrun_membership/records.py
+++ b/packages/membership/src/lagoonrun_membership/records.py
@@ -1,4 +1,4 @@
-"""Records of all members, found by id, by domain and by part of the table."""
+"""Records of all members, indexed by id, by domain and by table part."""
 
 import bisect
 import dataclasses
@@ -10,18 +10,20 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Record:
-    """Belief of one member; `update.state` is not used here.
+    """State of one member; the other fields replace `update.state`.
 
     Parameters
     ----------
+    update
+        The newest update of the member.
     leaving
-        Whether the member said that it is leaving.
+        Whether the member announced that it is leaving.
     suspect_until
-        When the suspected member dies; None where it is not suspected.
+        When the suspected member is marked dead; None if it isn't suspected.
     dead_since
-        When it died; None where it lives.
+        When it was marked dead; None if it is alive.
     digest
-        Its share in the digest of its part.
+        Its hash in the digest of its part.
     """
 
     update: messages.MemberUpdate
@@ -32,12 +34,12 @@
 
 
 class MemberRecords:
-    """Keep the records of all members and the digests of their parts.
+    """Records of all members, and the digest of each part of the table.
 
     Parameters
     ----------
     own_id
-        This process, whose record alone is told with a snapshot's digest.
+        This process; only its record is sent with a snapshot's digest.
     """
 
     def __init__(self, *, own_id: types.EntryVmId) -> None:
@@ -58,32 +60,36 @@
 
     @property
     def domains(self) -> tuple[types.FailureDomain, ...]:
-        """Domains that have members, in the order of their names."""
+        """Domains that have members, sorted by name."""
         return tuple(sorted(d for d, ids in self._ids_by_domain.items() if ids))
 
     def in_domain(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
-        """Return all members of `domain`, the dead included."""
+        """Return all members of `domain`, including dead ones."""
         return tuple(self._ids_by_domain.get(domain, ()))
 
     def view(self, entry_vm: types.EntryVmId) -> messages.MemberUpdate | None:
-        """Return the member as the owner sees it; leaving hides suspicion."""
+        """Return the member as the daemon sees it.
+
+        The state of a leaving suspect is LEAVING.
+        """
         record = self.by_id.get(entry_vm)
         if record is None:
             return None
         return _with_state(record, _view_state(record))
 
     def wire_update(self, entry_vm: types.EntryVmId) -> messages.MemberUpdate:
-        """Return what others are told; suspicion hides leaving.
+        """Return the record as sent to other members.
 
-        A suspected member must hear of it in order to refute it; when it
-        does, it says again that it is leaving.
+        The state of a leaving suspect is SUSPECT: the member must learn of
+        the suspicion to refute it, and its refutation has the state LEAVING.
         """
         record = self.by_id[entry_vm]
         update = _with_state(record, _wire_state(record))
-        # A snapshot's digest is for those who fetch it from the member, and
-        # it says that itself. Passed on, it would double a record's size.
+        # Only those who fetch the snapshot from the member need its digest,
+        # and the member sends that itself. Forwarding it would double the size
+        # of a record.
         if entry_vm != self._own_id and update.digest:
             update = dataclasses.replace(update, digest="")
         return update
@@ -96,21 +102,21 @@
         after: str,
         size: int,
     ) -> list[messages.MemberUpdate]:
-        """Return records of `parts` for `size` bytes.
+        """Return records of `parts` that fit into `size` bytes.
 
-        The order is the same at all members, so that a process can ask one
-        after the other and go on where the last page ended.
+        All members use the same order, so that a process can ask one member
+        after another and continue where the last page ended.
 
         Parameters
         ----------
         parts
             Parts of the table.
         domain
-            Whose members come first.
+            Domain whose members come first.
         after
             Member after which to begin; empty for the beginning.
         size
-            Room, in bytes.
+            Maximum size of the page in bytes.
         """
 
         def order(entry_vm: str) -> tuple[bool, str]:
@@ -142,7 +148,7 @@
     def replace_update(
         self, record: Record, update: messages.MemberUpdate
     ) -> None:
-        """Replace the record's data; the member may be in another domain."""
+        """Replace the record's update, which may change the domain."""
         del self._ids_by_domain[record.update.domain][update.entry_vm]
         record.update = update
         ids = self._ids_by_domain.setdefault(update.domain, {})
@@ -155,10 +161,10 @@
         del self._ids_by_domain[record.update.domain][entry_vm]
 
     def rehash(self, record: Record) -> None:
-        """Bring the digest up to date.
+        """Update the digest of the record's part.
 
-        The dead have none, since each process forgets them at its own time;
-        nor does suspicion, which passes.
+        Dead members are left out, since each process forgets them at its own
+        time. So are suspicions, which are temporary.
         """
         update = record.update
         part = digests.part_of(update.entry_vm)
