--- a/packages/membership/src/lagoonrun_membership/gossip.py
+++ b/packages/membership/src/lagoonrun_membership/gossip.py
@@ -1,7 +1,8 @@
-"""The membership protocol: events in, datagrams out. Pure: no I/O, no clock.
+"""The membership protocol: events in, datagrams out, no I/O and no clock.
 
-Probing follows SWIM. News travels on probes and answers; whatever it misses is
-found by digests of the tables, which probes carry.
+Failure detection follows SWIM: probes, indirect probes by helpers, suspicion
+and refutation. Updates are piggybacked on probes and acknowledgements. Probes
+also carry digests of the tables, which reveal updates that got lost.
 """
 
 import dataclasses
@@ -23,12 +24,12 @@
 from lagoonrun_protocol import hub, messages
 
 _ISOLATED_PERIODS = 2
-_FROZEN_PERIODS = 2
+_PAUSED_PERIODS = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfigurationAnnouncement:
-    """A member has a higher revision in force than this process."""
+    """A member announced a higher revision than the one in force here."""
 
     source: types.EntryVmId
     revision: types.Revision
@@ -36,7 +37,7 @@
 
 
 class GossipProtocol:
-    """One process's part of the membership protocol.
+    """The membership protocol as run by one process.
 
     Parameters
     ----------
@@ -46,8 +47,8 @@
         Addresses to join through.
     timing
         Times and limits.
-    random_source
-        Chooses targets.
+    rng
+        Random generator that chooses targets.
     now
         Clock reading in seconds.
     """
@@ -65,7 +66,7 @@
         self.upstreams = upstreams.UpstreamTable()
         self.shards = shards.ShardTable(domain=own.domain, timing=timing)
         self._timing = timing
-        self._random = rng
+        self._rng = rng
         self._composer = composer.DatagramComposer(
             members=self.members,
             upstreams=self.upstreams,
@@ -79,9 +80,9 @@
         self._outbox = outbox.Outbox(table=self.members)
         self._prober = prober.Prober(
             table=self.members,
-            datagrams=self._composer,
-            sending=self._outbox,
-            seed_book=self._seeds,
+            datagram_composer=self._composer,
+            datagram_outbox=self._outbox,
+            seed_list=self._seeds,
             timing=timing,
             rng=rng,
         )
@@ -89,76 +90,79 @@
         self._summaries: list[messages.ShardSummary] = []
         self._forgotten: list[types.EntryVmId] = []
         self._region_of: shards.RegionLookup = _one_region
-        self._urgent = False
+        self._has_urgent_news = False
         self._urgent_tokens = timing.urgent_burst
         self._next_period_at = now
-        self._last_heard_at = now
+        self._last_received_at = now
         self._refutations = 0
 
-    # What the owner asks.
+    # Queries and settings.
 
     def next_wakeup(self) -> float:
         """Return the clock reading at which `tick` is due."""
         return min(self._next_period_at, self._prober.next_deadline())
 
     def pop_configurations(self) -> tuple[ConfigurationAnnouncement, ...]:
-        """Return news of higher revisions, once."""
-        news = tuple(self._configurations)
+        """Return and clear the announcements of higher revisions."""
+        announcements = tuple(self._configurations)
         self._configurations.clear()
-        return news
+        return announcements
 
     def pop_summaries(self) -> tuple[messages.ShardSummary, ...]:
-        """Return newer summaries of other domains' shards, once."""
+        """Return and clear the new summaries of other domains' shards."""
         summaries = tuple(self._summaries)
         self._summaries.clear()
         return summaries
 
     def pop_forgotten(self) -> tuple[types.EntryVmId, ...]:
-        """Return members that were forgotten, once."""
+        """Return and clear the members that were forgotten."""
         forgotten = tuple(self._forgotten)
         self._forgotten.clear()
         return forgotten
 
     def add_seeds(self, addresses: Iterable[hub.PeerAddress]) -> None:
-        """Join through further addresses, as the platform's list shows."""
+        """Add addresses to join through, as listed by the platform."""
         self._seeds.add(addresses)
 
     def set_regions(self, region_of: shards.RegionLookup) -> None:
-        """Tell shards first to domains of the same region."""
+        """Set the region of each domain.
+
+        Shard summaries are sent to domains of the same region first.
+        """
         self._region_of = region_of
 
     def round_trip_to(self, domain: types.FailureDomain) -> float | None:
-        """Return the measured round trip in seconds; None if unknown."""
+        """Return the measured round-trip time in seconds, None if unknown."""
         return self._prober.round_trips.to(domain)
 
-    # What the owner announces. Each returns datagrams to be sent.
+    # Announcements. Each returns the datagrams to be sent.
 
     def announce_configuration(
         self, revision: types.Revision, digest: str, *, now: float
     ) -> list[outbox.OutgoingDatagram]:
-        """Tell others which revision is in force here."""
-        self._urgent |= revision > self.members.own.revision
+        """Announce the revision in force at this process."""
+        self._has_urgent_news |= revision > self.members.own.revision
         self.members.announce_configuration(revision, digest)
-        return self._finish(now)
+        return self._collect_datagrams(now)
 
     def announce_leaving(self, *, now: float) -> list[outbox.OutgoingDatagram]:
-        """Tell others that this process takes no more shards."""
+        """Announce that this process takes no more shards."""
         self.members.announce_leaving()
-        self._urgent = True
-        return self._finish(now)
+        self._has_urgent_news = True
+        return self._collect_datagrams(now)
 
     def announce_upstream(
         self, update: messages.UpstreamUpdate, *, now: float
     ) -> list[outbox.OutgoingDatagram]:
-        """Tell others what a source here says of an upstream."""
+        """Announce the state of an upstream as learned by this process."""
         self.upstreams.apply(update)
-        return self._finish(now)
+        return self._collect_datagrams(now)
 
     def announce_shutdown(self) -> list[outbox.OutgoingDatagram]:
-        """Return the last datagrams of a process that ends.
+        """Return datagrams that mark this process dead when it stops.
 
-        They spare the others the suspicion; if they are lost, probing finds
-        out.
+        They save the other members the suspicion timeout. If they are lost,
+        probing detects the death.
         """
         own = dataclasses.replace(
             self.members.own, state=messages.MemberState.DEAD
@@ -166,14 +170,14 @@
         message = messages.Ping(sequence=0, source=own.entry_vm, members=(own,))
         for target in self._prober.fan_out_targets():
             self._outbox.send(target, message)
-        return self._outbox.take()
+        return self._outbox.pop_datagrams()
 
     # Events.
 
     def tick(self, *, now: float) -> list[outbox.OutgoingDatagram]:
-        """Let time pass."""
-        self._recover_from_freeze(now)
-        self._note_isolation(now)
+        """Run everything that is due at `now`."""
+        self._recover_from_pause(now)
+        self._update_isolation(now)
         self.members.expire(now)
         self.shards.expire(now)
         self._prober.check_deadlines(now)
@@ -181,7 +185,7 @@
             self._next_period_at = now + self._timing.period_seconds
             self._start_period(now)
         self._prober.sync(now)
-        return self._finish(now)
+        return self._collect_datagrams(now)
 
     def receive(
         self,
@@ -191,34 +195,34 @@
         address: hub.PeerAddress,
         now: float,
     ) -> list[outbox.OutgoingDatagram]:
-        """Take in an authenticated datagram of `sender`."""
+        """Process an authenticated datagram from `sender`."""
         if sender == self.members.own.entry_vm:
             return []
-        self._last_heard_at = now
-        self._note_isolation(now)
+        self._last_received_at = now
+        self._update_isolation(now)
         if isinstance(message, messages.Ping):
-            self._take_ping(message, sender, address, now)
+            self._receive_ping(message, sender, address, now)
         elif isinstance(message, messages.Acknowledge):
-            self._take_acknowledge(message, sender, address, now)
+            self._receive_acknowledge(message, sender, address, now)
         elif isinstance(message, messages.PingRequest):
-            self._take_ping_request(message, sender, now)
-        return self._finish(now)
+            self._receive_ping_request(message, sender, now)
+        return self._collect_datagrams(now)
 
     # Time.
 
-    def _recover_from_freeze(self, now: float) -> None:
-        """Judge nobody by answers that this process slept through.
+    def _recover_from_pause(self, now: float) -> None:
+        """Discard pending probes and extend suspicions after a pause.
 
-        A process that was frozen wakes with all its probes and suspects past
-        their deadlines. Without this it would hold its peers for dead before
-        it reads a single datagram, and tell everyone so.
+        A process that was paused resumes with all its probes and suspicions
+        past their deadlines. Without this it would mark its peers dead before
+        it reads a single datagram, and report them dead to everyone.
         """
         late = now - self._next_period_at
-        if late < _FROZEN_PERIODS * self._timing.period_seconds:
+        if late < _PAUSED_PERIODS * self._timing.period_seconds:
             return
         self._prober.restart()
         self.members.postpone_suspicions(late)
-        self._last_heard_at = now
+        self._last_received_at = now
 
     def _start_period(self, now: float) -> None:
         self._urgent_tokens = min(
@@ -228,25 +232,26 @@
         self._send_summaries(now)
 
     def _send_summaries(self, now: float) -> None:
-        """Send own shards to one member of each domain that hears of them."""
+        """Send own shards to one member of each receiving domain."""
         if not self.shards.own(now):
             return
-        hearers = shards.receiving_domains(
+        receivers = shards.receiving_domains(
             self.members.own.domain,
             self._live_domains(),
             count=self._timing.summary_domains,
             region_of=self._region_of,
         )
-        for domain in hearers:
+        for domain in receivers:
             others = self.members.others_in(domain)
             if others:
-                target = self._random.choice(others)
+                target = self._rng.choice(others)
                 self._outbox.send(target, self._composer.own_summaries(now=now))
 
     def _live_domains(self) -> tuple[types.FailureDomain, ...]:
-        """Return the domains that can hear of shards, the own one included.
+        """Return the own domain and those with members that are not dead.
 
-        One that is cut off would take up a place and hear nothing.
+        A domain that is cut off would use up one of the `summary_domains` of
+        other domains without effect.
         """
         own = self.members.own.domain
         return tuple(
@@ -257,7 +262,7 @@
 
     # Datagrams.
 
-    def _take_ping(
+    def _receive_ping(
         self,
         message: messages.Ping,
         sender: types.EntryVmId,
@@ -266,7 +271,7 @@
     ) -> None:
         if message.source != sender:
             return
-        self._take_news(message, sender, now)
+        self._apply_updates(message, sender, now)
         if message.sequence:
             answer = self._composer.acknowledge(
                 sender,
@@ -277,7 +282,7 @@
             )
             self._outbox.send_to(address, answer)
 
-    def _take_acknowledge(
+    def _receive_acknowledge(
         self,
         message: messages.Acknowledge,
         sender: types.EntryVmId,
@@ -285,16 +290,16 @@
         now: float,
     ) -> None:
         if message.source != sender:
-            # A helper passes on that the target has answered it.
+            # A helper forwards the target's acknowledgement.
             self._prober.record_answer(message.sequence, message.source)
             return
-        self._take_news(message, sender, now)
-        relay = self._prober.pop_indirect(message.sequence)
-        if relay is not None:
-            passed_on = messages.Acknowledge(
-                sequence=relay.sequence, source=sender
+        self._apply_updates(message, sender, now)
+        indirect = self._prober.pop_indirect(message.sequence)
+        if indirect is not None:
+            forwarded = messages.Acknowledge(
+                sequence=indirect.sequence, source=sender
             )
-            self._outbox.send(relay.requester, passed_on)
+            self._outbox.send(indirect.requester, forwarded)
             return
         self._prober.record_direct_answer(message.sequence, sender, now)
         self._follow_up(message, sender, address, now)
@@ -306,10 +311,10 @@
         address: hub.PeerAddress,
         now: float,
     ) -> None:
-        """Go on with a member whose table differs, or that we accuse.
+        """Schedule a sync if tables differ; ping an accused sender.
 
-        A member that we hold for dead has answered a rejoining probe: it must
-        hear of it to refute it.
+        A sender that is marked dead here has answered a rejoin probe. It must
+        learn of its state in order to refute it.
         """
         if message.page_after:
             self._composer.page_after = message.page_after
@@ -318,7 +323,7 @@
             ping = self._composer.ping(sender, sequence=0, now=now)
             self._outbox.send_to(address, ping)
 
-    def _take_ping_request(
+    def _receive_ping_request(
         self,
         message: messages.PingRequest,
         sender: types.EntryVmId,
@@ -327,7 +332,7 @@
         if message.source == sender and self.members.knows(message.target):
             self._prober.probe_for(message, requester=sender, now=now)
 
-    def _take_news(
+    def _apply_updates(
         self,
         message: messages.Ping | messages.Acknowledge,
         sender: types.EntryVmId,
@@ -337,14 +342,14 @@
             is_direct = update.entry_vm == sender
             self.members.apply(update, direct=is_direct, now=now)
             if is_direct:
-                self._take_configuration(update)
+                self._record_configuration(update)
         self._prober.notify_disputed(now)
         for upstream in message.upstreams:
             self.upstreams.apply(upstream)
         for summary in message.shards:
             self.shards.apply(summary, now=now)
 
-    def _take_configuration(self, update: messages.MemberUpdate) -> None:
+    def _record_configuration(self, update: messages.MemberUpdate) -> None:
         if update.revision > self.members.own.revision:
             self._configurations.append(
                 ConfigurationAnnouncement(
@@ -360,10 +365,10 @@
         ours = self._composer.digests()
         return digests.differing_parts(ours, message.digests)
 
-    # News and sending.
+    # Sending.
 
-    def _finish(self, now: float) -> list[outbox.OutgoingDatagram]:
-        """Queue what is new, send what is urgent, return all datagrams."""
+    def _collect_datagrams(self, now: float) -> list[outbox.OutgoingDatagram]:
+        """Queue new updates, send urgent ones and return all datagrams."""
         refutations = self.members.refutations
         if refutations != self._refutations:
             self._refutations = refutations
@@ -372,22 +377,22 @@
         self._composer.forget(forgotten)
         self._forgotten += forgotten
         self._seeds.record_lost(self.members.pop_lost())
-        self._urgent |= self._composer.collect_news()
+        self._has_urgent_news |= self._composer.collect_news()
         self._summaries += self._composer.collect_summaries(now=now)
-        if self._urgent and self._urgent_tokens > 0:
-            self._urgent = False
+        if self._has_urgent_news and self._urgent_tokens > 0:
+            self._has_urgent_news = False
             self._urgent_tokens -= 1
             self._prober.fan_out(now)
-        return self._outbox.take()
+        return self._outbox.pop_datagrams()
 
-    def _note_isolation(self, now: float) -> None:
-        """Keep accusations to ourselves while we hear nobody.
+    def _update_isolation(self, now: float) -> None:
+        """Stop sending accusations while nothing is received.
 
-        Cut off one way, we would get no answers and accuse everyone, and the
-        accusations would still arrive: each member would have to refute, and
-        each refutation goes to the whole fleet.
+        If only incoming datagrams are lost, this process gets no answers and
+        accuses everyone, while its accusations still arrive. Each member would
+        have to refute them, and each refutation goes to the whole fleet.
         """
-        silence = now - self._last_heard_at
+        silence = now - self._last_received_at
         limit = _ISOLATED_PERIODS * self._timing.period_seconds
         self._composer.sends_accusations = silence <= limit
 
--- a/packages/membership/src/lagoonrun_membership/outbox.py
+++ b/packages/membership/src/lagoonrun_membership/outbox.py
@@ -1,4 +1,4 @@
-"""Datagrams that wait to be sent, addressed by member. Pure."""
+"""Datagrams to be sent, addressed by member: no I/O."""
 
 import dataclasses
 
@@ -9,19 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OutgoingDatagram:
-    """A datagram to be sent."""
+    """A message and the address to send it to."""
 
     address: hub.PeerAddress
     message: messages.Message
 
 
 class Outbox:
-    """Collect datagrams until the socket's owner takes them.
+    """Collects datagrams until they are sent.
 
     Parameters
     ----------
     table
-        Where members are reached.
+        Members with their addresses.
     """
 
     def __init__(self, *, table: members.MemberTable) -> None:
@@ -29,7 +29,7 @@
         self._outgoing: list[OutgoingDatagram] = []
 
     def send(self, target: types.EntryVmId, message: messages.Message) -> None:
-        """Address `message` to a member; do nothing if it is not known."""
+        """Address `message` to a member; do nothing if it is unknown."""
         view = self._table.view(target)
         if view is not None:
             address = hub.PeerAddress(host=view.peer_host, port=view.peer_port)
@@ -38,13 +38,13 @@
     def send_to(
         self, address: hub.PeerAddress, message: messages.Message
     ) -> None:
-        """Address `message` to whoever is at `address`."""
+        """Queue `message` for `address`, whichever member is there."""
         self._outgoing.append(
             OutgoingDatagram(address=address, message=message)
         )
 
-    def take(self) -> list[OutgoingDatagram]:
-        """Return the datagrams, once."""
+    def pop_datagrams(self) -> list[OutgoingDatagram]:
+        """Return and clear the datagrams."""
         outgoing = self._outgoing
         self._outgoing = []
         return outgoing
--- a/packages/membership/src/lagoonrun_membership/prober.py
+++ b/packages/membership/src/lagoonrun_membership/prober.py
@@ -1,8 +1,9 @@
-"""Whom this process probes, and what it makes of missing answers. Pure.
+"""Probing of members and handling of missing answers: no I/O, no clock.
 
-Each period it probes one member of its own domain, and at a rate that falls
-with the fleet's size one of another domain. Now and then it tries the dead and
-the seeds. A process that lacks much of the table asks on at once.
+Each period, a process probes one member of its own domain and, at a rate that
+falls with the fleet's size, one of another domain. Every few periods it probes
+a dead member and a seed. A process whose table is incomplete requests more of
+it without waiting for the next period.
 """
 
 import math
@@ -22,49 +23,49 @@
 
 _MAXIMUM_SYNCS = 64
 _SEED_PROBES = 2
-_CONDEMNED_PROBES = 4
+_MAXIMUM_DISPUTED_PROBES = 4
 
 
 class Prober:
-    """Send probes and judge them.
+    """Sends probes and suspects members that don't answer.
 
     Parameters
     ----------
     table
         The members.
-    datagrams
-        Fills the probes.
-    sending
-        Takes the probes.
-    seed_book
+    datagram_composer
+        Composes the probes.
+    datagram_outbox
+        Collects the datagrams to be sent.
+    seed_list
         Addresses to join through.
     timing
         Periods and timeouts.
-    random_source
-        Chooses targets.
+    rng
+        Random generator that chooses targets.
 
     Attributes
     ----------
     round_trips
-        To other domains, as the answers show.
+        Measured round-trip times to domains.
     """
 
     def __init__(
         self,
         *,
         table: members.MemberTable,
-        datagrams: composer.DatagramComposer,
-        sending: outbox.Outbox,
-        seed_book: seeds.SeedList,
+        datagram_composer: composer.DatagramComposer,
+        datagram_outbox: outbox.Outbox,
+        seed_list: seeds.SeedList,
         timing: timings.Timing,
         rng: random.Random,
     ) -> None:
         self._table = table
-        self._composer = datagrams
-        self._outbox = sending
-        self._seeds = seed_book
+        self._composer = datagram_composer
+        self._outbox = datagram_outbox
+        self._seeds = seed_list
         self._timing = timing
-        self._random = rng
+        self._rng = rng
         self._schedule = probes.ProbeSchedule(table=table, rng=rng)
         self._pending = probes.PendingProbes()
         self.round_trips = round_trips.RoundTrips()
@@ -74,11 +75,11 @@
         self._period = 0
 
     def next_deadline(self) -> float:
-        """Return when `judge` or `sync` has something to do."""
+        """Return when `check_deadlines` or `sync` is due next."""
         return min(self._next_sync_at, self._pending.next_deadline())
 
     def restart(self) -> None:
-        """Forget probes whose answers were slept through, and catch up."""
+        """Discard pending probes after a pause and sync like a joiner."""
         self._pending.clear()
         self._is_joining = True
 
@@ -87,30 +88,30 @@
         self._period += 1
         self._syncs_left = min(_MAXIMUM_SYNCS, self._syncs_left + 1)
         self._probe(self._schedule.next_in_own_domain(), now)
-        bridge = self._timing.cross_domain_periods_for(len(self._table))
-        if self._period % bridge == 0:
+        interval = self._timing.cross_domain_periods_for(len(self._table))
+        if self._period % interval == 0:
             self._probe(self._schedule.next_in_other_domains(), now)
         self._rejoin(now)
 
     def record_own_suspicion(self) -> None:
-        """Count that others suspected this process."""
+        """Record that others suspected this process."""
         self._pending.record_miss()
 
     def record_answer(self, sequence: int, source: types.EntryVmId) -> None:
-        """Take in that a helper had an answer to an own probe."""
+        """Record that a helper received an answer to an own probe."""
         self._pending.record_answer(sequence, source)
 
     def record_direct_answer(
         self, sequence: int, source: types.EntryVmId, now: float
     ) -> None:
-        """Take in a target's own answer, which measures the way to it."""
+        """Record a target's own answer and the round-trip time to it."""
         probe = self._pending.record_answer(sequence, source)
         view = self._table.view(source)
         if probe is not None and view is not None:
             self.round_trips.record(view.domain, now - probe.sent_at)
 
     def pop_indirect(self, sequence: int) -> probes.IndirectProbe | None:
-        """Return for whom a probe was made, once."""
+        """Return and remove the request behind an indirect probe."""
         return self._pending.pop_indirect(sequence)
 
     def probe_for(
@@ -120,7 +121,7 @@
         requester: types.EntryVmId,
         now: float,
     ) -> None:
-        """Probe a member in another one's stead."""
+        """Probe a member on behalf of `requester`."""
         sequence = self._send_ping(message.target, now)
         self._pending.add_indirect(
             sequence,
@@ -130,23 +131,24 @@
         )
 
     def notify_disputed(self, now: float) -> None:
-        """Tell members at once that somebody holds them for dead.
+        """Probe members at once that others report dead.
 
-        After a cut heals, each side brings the verdicts of its own; those
-        condemned would otherwise hear of it too late to refute it. The number
-        is bounded, so that one datagram does not call forth a flood.
+        After a network partition heals, each side reports members of the
+        other dead. Those members would otherwise learn of it too late to
+        refute it. The number is limited so that one datagram doesn't cause a
+        burst of probes.
         """
-        condemned = self._table.pop_disputed()
-        for target in condemned[:_CONDEMNED_PROBES]:
+        disputed = self._table.pop_disputed()
+        for target in disputed[:_MAXIMUM_DISPUTED_PROBES]:
             self._send_ping(target, now)
 
     def record_difference(self, differing: tuple[int, ...], now: float) -> None:
-        """Ask on soon if this process lacks much of the table.
+        """Schedule a sync if this process lacks much of the table.
 
-        A process that has just joined or woken asks on until its table is
-        whole, instead of learning a part a period. A joined one is not in a
-        hurry over news that is on its way to it anyway, or one join would
-        make the whole fleet ask each other.
+        A process that has just joined or resumed syncs until its table is
+        complete, instead of getting one part of it per period. A process that
+        has joined doesn't sync over a few updates, which reach it anyway;
+        otherwise one join would make the whole fleet sync.
         """
         if not differing:
             self._is_joining = False
@@ -156,14 +158,14 @@
             )
 
     def fan_out(self, now: float) -> None:
-        """Send news at once to some members."""
+        """Send urgent updates at once to a sample of the members."""
         for target in self.fan_out_targets():
             self._outbox.send(
                 target, self._composer.ping(target, sequence=0, now=now)
             )
 
     def fan_out_targets(self) -> list[types.EntryVmId]:
-        """Return members that urgent news is sent to."""
+        """Return a random sample of members to send urgent updates to."""
         own_domain = self._timing.fan_out_own_domain
         others = self._timing.fan_out_other_domains
         return self._schedule.own_domain_sample(
@@ -171,7 +173,7 @@
         ) + self._schedule.other_domains_sample(others)
 
     def check_deadlines(self, now: float) -> None:
-        """Ask others about unanswered probes, and suspect who failed them."""
+        """Request indirect probes, or suspect targets that failed those too."""
         for probe in self._pending.pop_direct_timeouts(now):
             self._ask_helpers(probe)
         for probe in self._pending.pop_failed(now):
@@ -180,10 +182,10 @@
             self._table.suspect(probe.target, now=now)
 
     def sync(self, now: float) -> None:
-        """Ask a random member for more of its table.
+        """Request more of the table from a random member.
 
-        The number in a row is bounded and the members vary, so that a fleet
-        that starts at once does not overrun its seeds.
+        The number of consecutive syncs is limited and the members vary, so
+        that a whole fleet starting at once doesn't overload its seeds.
         """
         if now < self._next_sync_at:
             return
@@ -194,7 +196,7 @@
         if not targets or self._syncs_left == 0:
             return
         self._syncs_left -= 1
-        target = self._random.choice(targets)
+        target = self._rng.choice(targets)
         self._send_ping(target, now)
 
     def _is_alive(self, entry_vm: types.EntryVmId) -> bool:
@@ -214,41 +216,42 @@
         if target is None:
             return
         sequence = self._send_ping(target, now)
-        stretch = self._pending.timeout_factor
+        factor = self._pending.timeout_factor
         self._pending.add(
             probes.Probe(
                 sequence=sequence,
                 target=target,
                 sent_at=now,
                 direct_deadline=now
-                + self._timing.direct_timeout_seconds * stretch,
-                deadline=now + self._timing.period_seconds * stretch,
+                + self._timing.direct_timeout_seconds * factor,
+                deadline=now + self._timing.period_seconds * factor,
             )
         )
 
     def _rejoin(self, now: float) -> None:
-        """Probe a dead member and a seed now and then.
+        """Probe a dead member and a seed every few periods.
 
-        Nobody probes the dead. After a cut that outlasted the suspicion, each
-        side would hold the other for dead for ever; so either side tries, and
-        the answer carries what is believed of the one who asked.
+        Dead members are not probed otherwise. After a network partition that
+        outlasted the suspicion timeout, each side would consider the other
+        dead forever. With these probes, either side finds the other again, and
+        the answer carries the state that the other side has for the prober.
         """
         is_alone = len(self._table) == 1
         if not is_alone and self._period % self._timing.rejoin_periods:
             return
         dead = self._table.dead
         if dead:
-            target = self._random.choice(dead)
+            target = self._rng.choice(dead)
             self._send_ping(target, now)
-        unknown = self._seeds.addresses_to_try(self._table)
-        count = min(len(unknown), _SEED_PROBES if is_alone else 1)
-        for address in self._random.sample(unknown, count):
+        addresses = self._seeds.addresses_to_try(self._table)
+        count = min(len(addresses), _SEED_PROBES if is_alone else 1)
+        for address in self._rng.sample(addresses, count):
             sequence = self._pending.next_sequence()
             message = self._composer.ping(None, sequence=sequence, now=now)
             self._outbox.send_to(address, message)
 
     def _send_ping(self, target: types.EntryVmId, now: float) -> int:
-        """Send a probe that is to be answered; return its number."""
+        """Send a probe that requests an answer; return its sequence."""
         sequence = self._pending.next_sequence()
         self._outbox.send(
             target, self._composer.ping(target, sequence=sequence, now=now)
