--- a/packages/membership/src/lagoonrun_membership/composer.py
+++ b/packages/membership/src/lagoonrun_membership/composer.py
@@ -1,4 +1,4 @@
-"""Fill datagrams with news, within their size. Pure: no I/O, no clock."""
+"""Composition of datagrams within their maximum size: no I/O, no clock."""
 
 from collections.abc import Iterable
 
@@ -15,42 +15,45 @@
 from lagoonrun_protocol import datagrams, messages
 
 _BODY_BYTES = datagrams.MAXIMUM_DATAGRAM_BYTES - datagrams.OVERHEAD_BYTES - 64
-"""Room for the body beside the stamp, the tag and a sender's name."""
+"""Bytes left for the body after the stamp, the tag and the sender's id."""
 
 _FIXED_BYTES = 176
-"""Envelope, sequence, digests and two names, at most."""
+"""Upper bound for the envelope, the sequence, the digests and two ids."""
 
 _SHARD_BYTES = 320
 _UPSTREAM_BYTES = 320
 _SMALL_PAGE_BYTES = 400
-_FAR_APART_PARTS = 4
+_DIVERGED_PARTS = 4
 
 _URGENT_STATES = (messages.MemberState.LEAVING, messages.MemberState.DEAD)
 _ACCUSED_STATES = (messages.MemberState.SUSPECT, messages.MemberState.DEAD)
 
 
 def is_diverged(differing: tuple[int, ...]) -> bool:
-    """Return whether two tables differ in most of their parts."""
-    return len(differing) >= _FAR_APART_PARTS
+    """Return whether two tables differ in about half of their parts."""
+    return len(differing) >= _DIVERGED_PARTS
 
 
 class DatagramComposer:
-    """Choose what each datagram carries.
+    """Chooses what each datagram carries.
+
+    "News" are the updates that other members should still receive; an
+    "accusation" is an update with the state SUSPECT or DEAD.
 
     Parameters
     ----------
     members, upstreams, shards
-        The tables that news is taken from.
+        The tables that the updates are taken from.
     timing
-        How often news is repeated.
+        How often each update is sent.
 
     Attributes
     ----------
-    tells_accusations
-        Whether suspicion and death are told; off while this process hears
-        nobody, since then it is more likely at fault than all others.
+    sends_accusations
+        Whether accusations are sent; False while this process receives
+        nothing, since it is then more likely to be at fault than all others.
     page_after
-        Member after which the next answer's page should begin.
+        Member after which the page in the next answer should begin.
     """
 
     def __init__(
@@ -78,11 +81,11 @@
         )
 
     def digests(self) -> tuple[int, ...]:
-        """Return the digests of the members' parts and of the upstreams."""
+        """Return a digest per part of the member table and the upstreams'."""
         return (*self._members.records.digests, self._upstreams.digest)
 
     def is_accused(self, entry_vm: types.EntryVmId) -> bool:
-        """Return whether a member should hear what is believed of it."""
+        """Return whether a member is suspect or dead in the own table."""
         if not self._members.knows(entry_vm):
             return False
         return (
@@ -90,12 +93,12 @@
         )
 
     def collect_news(self) -> bool:
-        """Queue what the tables have learned.
+        """Queue the tables' new updates for sending.
 
         Returns
         -------
         bool
-            Whether some of it should not wait for the next probe.
+            Whether some of them should not wait for the next probe.
         """
         is_urgent = False
         for entry_vm in self._members.pop_news():
@@ -114,7 +117,7 @@
         return is_urgent
 
     def forget(self, forgotten: Iterable[types.EntryVmId]) -> None:
-        """Send no news of members that were forgotten."""
+        """Drop the queued updates of members that were forgotten."""
         for entry_vm in forgotten:
             self._member_news.discard(entry_vm)
 
@@ -131,11 +134,11 @@
     def ping(
         self, target: types.EntryVmId | None, *, sequence: int, now: float
     ) -> messages.Ping:
-        """Return a probe with news; `target` is None where it is unknown."""
-        own, room = self._opening(target)
-        summaries, room = self._take_shards(target, room, now)
-        upstream_news, room = self._take_upstreams(room)
-        member_news = self._take_members(room)
+        """Return a probe with updates; `target` is None if it is unknown."""
+        own, remaining = self._first_records(target)
+        summaries, remaining = self._select_shards(target, remaining, now)
+        upstream_news, remaining = self._select_upstreams(remaining)
+        member_news = self._select_members(remaining)
         return messages.Ping(
             sequence=sequence,
             source=self._members.own.entry_vm,
@@ -155,23 +158,23 @@
         page_after: str,
         now: float,
     ) -> messages.Acknowledge:
-        """Return an answer with news and with what `target` seems to lack.
+        """Return an answer with updates and records that `target` may lack.
 
-        In calm it is nearly empty: the own record and the digests are left
-        out where the target has them already.
+        In steady state it is nearly empty: the own record and the digests are
+        left out if the target has them already.
         """
-        own, room = self._opening(target)
+        own, remaining = self._first_records(target)
         if not self._lacks_own(target, differing):
             own = own[1:]
-        summaries, room = self._take_shards(target, room, now)
-        upstream_news, room = self._take_upstreams(room)
+        summaries, remaining = self._select_shards(target, remaining, now)
+        upstream_news, remaining = self._select_upstreams(remaining)
         if digests.MEMBER_PARTS in differing:
-            leaving = self._upstreams.page(size=min(room, _UPSTREAM_BYTES))
-            room -= sum(map(sizes.of_upstream, leaving))
+            leaving = self._upstreams.page(size=min(remaining, _UPSTREAM_BYTES))
+            remaining -= sum(map(sizes.of_upstream, leaving))
             upstream_news = [*upstream_news, *leaving]
-        member_news = self._take_members(room)
-        room -= sum(map(sizes.of_member, member_news))
-        page = self._page(target, differing, after=page_after, room=room)
+        member_news = self._select_members(remaining)
+        remaining -= sum(map(sizes.of_member, member_news))
+        page = self._page(target, differing, after=page_after, size=remaining)
         return messages.Acknowledge(
             sequence=sequence,
             source=self._members.own.entry_vm,
@@ -183,12 +186,12 @@
         )
 
     def own_summaries(self, *, now: float) -> messages.Ping:
-        """Return a datagram with this process's shards, without an answer."""
-        room = _BODY_BYTES - _FIXED_BYTES
+        """Return a ping with this process's shards that needs no answer."""
+        remaining = _BODY_BYTES - _FIXED_BYTES
         fitting = []
         for summary in self._shards.own(now):
-            room -= sizes.of_shard(summary)
-            if room < 0:
+            remaining -= sizes.of_shard(summary)
+            if remaining < 0:
                 break
             fitting.append(summary)
         return messages.Ping(
@@ -197,13 +200,13 @@
             shards=tuple(fitting),
         )
 
-    def _opening(
+    def _first_records(
         self, target: types.EntryVmId | None
     ) -> tuple[list[messages.MemberUpdate], int]:
-        """Return the first records of a datagram and the room after them.
+        """Return the first records of a datagram and the bytes left.
 
-        The own record lets whoever does not know us learn of us; the target's
-        lets it refute what is believed of it.
+        The own record introduces this process to members that don't know it.
+        An accused target's record lets it refute the accusation.
         """
         records = [self._members.own]
         if (
@@ -212,43 +215,43 @@
             and self.is_accused(target)
         ):
             records.append(self._members.records.wire_update(target))
-        room = _BODY_BYTES - _FIXED_BYTES
-        return records, room - sum(map(sizes.of_member, records))
+        remaining = _BODY_BYTES - _FIXED_BYTES
+        return records, remaining - sum(map(sizes.of_member, records))
 
     def _lacks_own(
         self, target: types.EntryVmId, differing: tuple[int, ...]
     ) -> bool:
-        """Return whether `target` may not have our record as it is."""
+        """Return whether `target` may lack the own record as it is now."""
         own = self._members.own
         view = self._members.view(target)
         if view is None or view.revision < own.revision:
             return True
         return digests.part_of(own.entry_vm) in differing
 
-    def _take_members(self, room: int) -> list[messages.MemberUpdate]:
+    def _select_members(self, size: int) -> list[messages.MemberUpdate]:
         transmissions = self._timing.transmissions_for(len(self._members))
-        return self._member_news.take(size=room, transmissions=transmissions)
+        return self._member_news.select(size=size, transmissions=transmissions)
 
-    def _take_upstreams(
-        self, room: int
+    def _select_upstreams(
+        self, size: int
     ) -> tuple[list[messages.UpstreamUpdate], int]:
         transmissions = self._timing.transmissions_for(len(self._members))
-        news = self._upstream_news.take(
-            size=min(room, _UPSTREAM_BYTES), transmissions=transmissions
+        news = self._upstream_news.select(
+            size=min(size, _UPSTREAM_BYTES), transmissions=transmissions
         )
-        return news, room - sum(map(sizes.of_upstream, news))
+        return news, size - sum(map(sizes.of_upstream, news))
 
-    def _take_shards(
-        self, target: types.EntryVmId | None, room: int, now: float
+    def _select_shards(
+        self, target: types.EntryVmId | None, size: int, now: float
     ) -> tuple[list[messages.ShardSummary], int]:
-        """Return summaries, which are passed on within the own domain only."""
+        """Return summaries, which are forwarded in the own domain only."""
         view = self._members.view(target) if target is not None else None
         if view is None or view.domain != self._members.own.domain:
-            return [], room
-        # News that everyone passes on that often has reached a domain.
+            return [], size
+        # Updates that each member sends this often have reached the domain.
         peers = len(self._members.others_in(view.domain))
-        queued = self._shard_news.take(
-            size=min(room, _SHARD_BYTES),
+        queued = self._shard_news.select(
+            size=min(size, _SHARD_BYTES),
             transmissions=max(1, peers.bit_length()),
         )
         news = [
@@ -257,7 +260,7 @@
             if (summary := self._shards.other_domain_summary(item.shard, now))
             is not None
         ]
-        return news, room - sum(map(sizes.of_shard, news))
+        return news, size - sum(map(sizes.of_shard, news))
 
     def _page(
         self,
@@ -265,17 +268,17 @@
         differing: tuple[int, ...],
         *,
         after: str,
-        room: int,
+        size: int,
     ) -> list[messages.MemberUpdate]:
         """Return records that `target` may lack, its own domain's first.
 
         A process that has just joined can rank its domain's shards only once
-        it knows its domain.
+        it knows the members of the domain.
         """
         parts = tuple(n for n in differing if n < digests.MEMBER_PARTS)
         view = self._members.view(target) or self._members.own
         if not is_diverged(differing):
-            room = min(room, _SMALL_PAGE_BYTES)
+            size = min(size, _SMALL_PAGE_BYTES)
         return self._members.records.page(
-            parts, domain=view.domain, after=after, size=room
+            parts, domain=view.domain, after=after, size=size
         )
--- a/packages/membership/src/lagoonrun_membership/seeds.py
+++ b/packages/membership/src/lagoonrun_membership/seeds.py
@@ -1,4 +1,4 @@
-"""Addresses to join through, and which of them lead to no known member."""
+"""Addresses to join through, without those of known members."""
 
 import collections
 from collections.abc import Iterable
@@ -8,18 +8,18 @@
 from lagoonrun_protocol import hub, messages
 
 _MAXIMUM_ADDED = 1024
-_LOST_OF_A_DOMAIN = 8
+_MAXIMUM_LOST_PER_DOMAIN = 8
 
 
 class SeedList:
-    """Seeds of the settings and those that were added later.
+    """Seeds of the settings, seeds added later and lost members.
 
     Parameters
     ----------
     own
-        Address of this process, which is no seed.
+        Address of this process, which is never a seed.
     configured
-        Addresses from the settings; kept for good.
+        Addresses from the settings, which are never dropped.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         ] = {}
 
     def add(self, addresses: Iterable[hub.PeerAddress]) -> None:
-        """Join through further addresses.
+        """Add addresses to join through.
 
-        The oldest addresses added give way to new ones, since those of
-        replaced VMs would pile up.
+        The oldest added addresses are dropped, since those of replaced VMs
+        would accumulate.
         """
         for address in addresses:
             self._added.pop(address, None)
@@ -45,16 +45,17 @@
             del self._added[next(iter(self._added))]
 
     def record_lost(self, forgotten: Iterable[messages.MemberUpdate]) -> None:
-        """Remember where forgotten members were, a few of each domain.
+        """Keep the addresses of forgotten members, a few per domain.
 
-        Regions that lose each other for an hour forget each other's members,
-        and seeds of long ago may be gone. With nobody left to try, the fleet
-        would stay split after the cut; of a few members of a domain, one will
-        most likely be there still.
+        Regions that are partitioned for an hour forget each other's members,
+        and old seeds may be gone. Without an address to try, the fleet would
+        stay split after the partition; of a few members per domain, one most
+        likely still exists.
         """
         for update in forgotten:
             lost = self._lost_by_domain.setdefault(
-                update.domain, collections.deque(maxlen=_LOST_OF_A_DOMAIN)
+                update.domain,
+                collections.deque(maxlen=_MAXIMUM_LOST_PER_DOMAIN),
             )
             lost.append(
                 hub.PeerAddress(host=update.peer_host, port=update.peer_port)
@@ -63,9 +64,9 @@
     def addresses_to_try(
         self, table: members.MemberTable
     ) -> list[hub.PeerAddress]:
-        """Return the seeds at which no member of `table` lives.
+        """Return the seeds that are not the address of a live member.
 
-        With them, where members of domains were that have none any more.
+        Lost members are included if their domain has no live member.
         """
         known = {self._own}
         domains = set()
--- a/packages/membership/src/lagoonrun_membership/sizes.py
+++ b/packages/membership/src/lagoonrun_membership/sizes.py
@@ -1,7 +1,7 @@
-"""Upper bounds of the bytes that records take in a packed datagram.
+"""Upper bounds of the size of records in a packed datagram.
 
-Packing drops the zero bytes of each word of eight and adds a tag byte, so that
-small numbers are short. The bounds are checked by a test against the codec.
+Packing drops the zero bytes of each eight-byte word and adds a tag byte, so
+small numbers are short. A test checks the bounds against the codec.
 """
 
 from lagoonrun_protocol import messages
@@ -12,7 +12,7 @@
 
 
 def of_member(update: messages.MemberUpdate) -> int:
-    """Return the most bytes of a member's record."""
+    """Return the maximum size of a member's record in bytes."""
     texts = (
         update.entry_vm,
         update.domain,
@@ -30,13 +30,13 @@
 
 
 def of_upstream(update: messages.UpstreamUpdate) -> int:
-    """Return the most bytes of an upstream's record."""
+    """Return the maximum size of an upstream's record in bytes."""
     numbers = (update.incarnation,)
     return _of_texts((update.upstream,)) + _of_numbers(numbers) + _FLAG_BYTES
 
 
 def of_shard(summary: messages.ShardSummary) -> int:
-    """Return the most bytes of a shard's summary."""
+    """Return the maximum size of a shard's summary in bytes."""
     numbers = (
         summary.free,
         summary.lowest_waiting_tier,
--- a/packages/membership/src/lagoonrun_membership/timing.py
+++ b/packages/membership/src/lagoonrun_membership/timing.py
@@ -1,4 +1,4 @@
-"""Times and limits of the membership, with what each was chosen for."""
+"""Times and limits of the membership."""
 
 import dataclasses
 import math
@@ -6,40 +6,42 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Timing:
-    """Times in seconds and counts of the membership protocol.
+    """Times in seconds and limits of the membership protocol.
 
     Parameters
     ----------
     period_seconds
-        Between two probes of one process.
+        Interval between two probes by one process.
     direct_timeout_seconds
         Wait for an answer before other members are asked to probe.
     indirect_members
-        Members asked to probe in our stead.
+        Number of members asked for an indirect probe.
     suspicion_seconds
-        Least time between suspicion and death in a domain of up to ten.
-    verdict_seconds
-        Time left to refute when others already hold a member for dead.
+        Minimum time between suspicion and death, as in a domain of up to ten
+        members.
+    dispute_seconds
+        Time to refute a death that other members report.
     forget_seconds
-        Time for which the dead are remembered, so that old news does not
+        Time for which dead members are remembered, so that old updates don't
         bring them back.
-    hold_seconds, maximum_hold_seconds
-        First and longest time for which a member that came back from the
-        dead gets no shard.
+    hold_down_seconds, maximum_hold_down_seconds
+        First and longest hold-down: the time for which a member that returned
+        after being marked dead gets no shard.
     flap_half_life_seconds
-        Time in which half of a member's flaps are forgiven.
+        Half-life of a member's flap count.
     rejoin_periods
-        Periods between two probes of the dead and the seeds.
+        Periods between two probes of dead members and seeds.
     fan_out_own_domain, fan_out_other_domains
-        Members that urgent news is sent to at once.
+        Number of members that urgent updates are sent to at once.
     urgent_burst
-        Urgent sendings saved up at most; one more is earned each period.
-    sync_seconds
-        Between two probes of a process whose table differs much.
+        Maximum number of urgent fan-outs in a burst; one more is allowed each
+        period.
+    sync_interval_seconds
+        Interval between two syncs of a process whose table differs much.
     summary_maximum_age_seconds
-        Age at which a shard's summary is no longer used.
+        Age from which a shard's summary is no longer used.
     summary_domains
-        Domains whose shards one domain hears of.
+        Number of other domains whose shard summaries a domain receives.
     """
 
     period_seconds: float = 1.0
@@ -60,17 +62,17 @@
     summary_domains: int = 4
 
     def suspicion_for(self, members: int) -> float:
-        """Return how long one of `members` may take to refute, in seconds.
+        """Return the time to refute a suspicion among `members`, in seconds.
 
-        News needs a number of periods that grows with the logarithm of the
-        members that pass it on.
+        The number of periods that an update needs to reach all members grows
+        with the logarithm of their number.
         """
         return self.suspicion_seconds * max(1.0, math.log10(max(1, members)))
 
     def transmissions_for(self, members: int) -> int:
-        """Return how often each of `members` passes one piece of news on."""
+        """Return how often each of `members` sends one update."""
         return 4 * math.ceil(math.log10(members + 1))
 
     def cross_domain_periods_for(self, members: int) -> int:
-        """Return the periods between two probes of other domains."""
+        """Return the number of periods between two cross-domain probes."""
         return max(1, round(members / 128))
--- a/packages/membership/src/lagoonrun_membership/updates.py
+++ b/packages/membership/src/lagoonrun_membership/updates.py
@@ -1,11 +1,11 @@
-"""News that travels on datagrams sent anyway, each a bounded number of times."""
+"""Queue of updates that are piggybacked a limited number of times each."""
 
 import dataclasses
 from collections.abc import Callable, Hashable
 from typing import Generic, TypeVar
 
 MAXIMUM_ENTRIES = 64
-"""Most pieces of news in a queue."""
+"""Maximum number of updates in a queue."""
 
 _Item = TypeVar("_Item")
 
@@ -13,22 +13,23 @@
 @dataclasses.dataclass(kw_only=True)
 class _Entry(Generic[_Item]):
     item: _Item
-    sent: int
+    sent_count: int
     order: int
 
 
 class UpdateQueue(Generic[_Item]):
-    """News by key; the newest and least sent goes first.
+    """Updates by key; the least often sent, then the newest, go first.
 
-    Newer news of a key takes the place of the older, so that the queue holds
-    at most one entry for each member, upstream or shard. When it is full, what
-    was sent most often gives way: a fleet that starts at once would otherwise
-    repeat its joins for minutes, which the digests make up for sooner.
+    A newer update of a key replaces the older, so that the queue has at most
+    one entry per member, upstream or shard. When it is full, the entry that
+    was sent most often is dropped: otherwise a fleet that starts all at once
+    would repeat its joins for minutes, although the digests reveal missing
+    ones sooner.
 
     Parameters
     ----------
     size_of
-        Bytes that an item takes in a datagram, at most.
+        Returns the maximum bytes of an item in a datagram.
     """
 
     def __init__(self, *, size_of: Callable[[_Item], int]) -> None:
@@ -37,31 +38,31 @@
         self._order = 0
 
     def __len__(self) -> int:
-        """Return the number of pieces of news still to be sent."""
+        """Return the number of updates still to be sent."""
         return len(self._entries_by_key)
 
     def add(self, key: Hashable, item: _Item) -> None:
-        """Send `item` from now on in place of older news of `key`."""
+        """Queue `item` in place of an older update of `key`."""
         self._order += 1
-        entry = _Entry(item=item, sent=0, order=self._order)
+        entry = _Entry(item=item, sent_count=0, order=self._order)
         self._entries_by_key[key] = entry
         if len(self._entries_by_key) > MAXIMUM_ENTRIES:
             last = max(self._entries_by_key, key=self._urgency)
             del self._entries_by_key[last]
 
     def discard(self, key: Hashable) -> None:
-        """Send nothing of `key` any more."""
+        """Remove the update of `key`."""
         self._entries_by_key.pop(key, None)
 
-    def take(self, *, size: int, transmissions: int) -> list[_Item]:
-        """Return items for one datagram.
+    def select(self, *, size: int, transmissions: int) -> list[_Item]:
+        """Return the items for one datagram and count them as sent.
 
         Parameters
         ----------
         size
-            Room in the datagram, in bytes.
+            Bytes left in the datagram.
         transmissions
-            Times that an item is sent in all.
+            Number of times to send an item before it is removed.
         """
         items = []
         for key in sorted(self._entries_by_key, key=self._urgency):
@@ -70,11 +71,11 @@
             if size < 0:
                 break
             items.append(entry.item)
-            entry.sent += 1
-            if entry.sent >= transmissions:
+            entry.sent_count += 1
+            if entry.sent_count >= transmissions:
                 del self._entries_by_key[key]
         return items
 
     def _urgency(self, key: Hashable) -> tuple[int, int]:
         entry = self._entries_by_key[key]
-        return (entry.sent, -entry.order)
+        return (entry.sent_count, -entry.order)
