--- a/packages/membership/src/lagoonrun_membership/__init__.py
+++ b/packages/membership/src/lagoonrun_membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of entry VMs and states of upstreams."""
+"""Membership of entry VMs and state of upstreams, by a SWIM protocol."""
--- a/packages/membership/src/lagoonrun_membership/listener.py
+++ b/packages/membership/src/lagoonrun_membership/listener.py
@@ -1,4 +1,4 @@
-"""What the membership tells its owner."""
+"""Callbacks of the membership."""
 
 from typing import Protocol
 
@@ -8,15 +8,15 @@
 
 
 class MembershipListener(Protocol):
-    """Receives changes. No call may block."""
+    """Receives changes of the membership. No method may block."""
 
     def on_member_changed(self, view: members.MemberView) -> None:
-        """Learn that a member is new or was changed, or its hold ended."""
+        """Receive a member that is new or changed or left hold-down."""
 
     def on_upstream_changed(
         self, upstream: types.UpstreamId, leaving: bool
     ) -> None:
-        """Learn that an upstream began or ceased to be leaving."""
+        """Receive an upstream that started or stopped leaving."""
 
     def on_configuration_announced(
         self,
@@ -24,7 +24,7 @@
         revision: types.Revision,
         digest: str,
     ) -> None:
-        """Learn that a member has a higher revision than this process."""
+        """Receive a revision that is higher than this process's."""
 
     def on_shard_summary(self, summary: messages.ShardSummary) -> None:
-        """Learn of a shard of another domain."""
+        """Receive a new summary of another domain's shard."""
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -1,9 +1,9 @@
-"""The membership of this process: its UDP socket and its timer."""
+"""The membership of this process, with its UDP socket and its timer."""
 
 import asyncio
 import dataclasses
 import logging
-import random as random_module
+import random
 from collections.abc import Callable, Iterable, Iterator, Mapping
 
 from lagoonrun_core import clock as clocks
@@ -20,9 +20,9 @@
 
 
 class Membership:
-    """Know the other entry VMs and tell them of this one.
+    """Membership of this process in the fleet of entry VMs.
 
-    It is the hub's address book. What is announced before `start` is lost.
+    It is the hub's address book. Announcements before `start` are lost.
 
     Parameters
     ----------
@@ -30,16 +30,16 @@
         The record of this process; `peer_host` and `peer_port` are where the
         hub listens. A `peer_port` of 0 becomes the port of the UDP socket.
     host, port
-        Address of the UDP socket. Peers send datagrams to the number of the
-        hub's port, so that both must be equal; port 0 lets the system choose.
+        Address of the UDP socket. Peers send datagrams to the port number of
+        the hub, so both must be equal; with port 0 the system chooses one.
     seeds
         Addresses to join through.
     key
         Shared secret that authenticates datagrams.
     clock
         Source of time.
-    random
-        Chooses targets.
+    rng
+        Random generator that chooses targets.
     listener
         Receives changes.
     timing
@@ -55,7 +55,7 @@
         seeds: Iterable[hub.PeerAddress],
         key: bytes,
         clock: clocks.Clock,
-        rng: random_module.Random,
+        rng: random.Random,
         listener: MembershipListener,
         timing: timings.Timing | None = None,
     ) -> None:
@@ -63,7 +63,7 @@
         self._port = port
         self._seeds = tuple(seeds)
         self._clock = clock
-        self._random = rng
+        self._rng = rng
         self._listener = listener
         self._timing = timing or timings.Timing()
         self._sealer = datagrams.DatagramSealer(
@@ -78,9 +78,9 @@
         )
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.Task[None] | None = None
-        self._earlier = asyncio.Event()
-        self._sleeps_until = float("-inf")
-        self._live_by_domain: dict[
+        self._deadline_moved = asyncio.Event()
+        self._wakes_at = float("-inf")
+        self._eligible_by_domain: dict[
             types.FailureDomain, tuple[types.EntryVmId, ...]
         ] = {}
         self._members_by_id: dict[types.EntryVmId, MemberView] | None = None
@@ -88,7 +88,7 @@
         self._rejections = 0
         self._rejections_logged_at = float("-inf")
 
-    # Life.
+    # Lifecycle.
 
     async def start(self, *, port: int | None = None) -> None:
         """Open the socket and join.
@@ -96,7 +96,7 @@
         Parameters
         ----------
         port
-            Takes the place of the constructor's, once the hub knows its own.
+            Replaces the constructor's port, once the hub's port is known.
         """
         if port is not None:
             self._port = port
@@ -111,11 +111,11 @@
             own = dataclasses.replace(own, peer_port=self._port)
         self._gossip = self._new_gossip(own)
         self._members_by_id = None
-        self._live_by_domain.clear()
+        self._eligible_by_domain.clear()
         self._timer = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Take leave of the others and close the socket."""
+        """Announce the shutdown to other members and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
             await asyncio.gather(self._timer, return_exceptions=True)
@@ -123,7 +123,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    # What the owner asks.
+    # Queries.
 
     @property
     def port(self) -> int:
@@ -132,7 +132,7 @@
 
     @property
     def members_by_id(self) -> Mapping[types.EntryVmId, MemberView]:
-        """All members, this process and the dead included."""
+        """All members, including this process and dead members."""
         if self._members_by_id is None:
             self._members_by_id = self._gossip.members.views_by_id()
         return self._members_by_id
@@ -141,9 +141,9 @@
     def summaries_by_shard(
         self,
     ) -> Mapping[types.ShardId, messages.ShardSummary]:
-        """Fresh summaries of other domains' shards and of the own ones.
+        """Fresh summaries of the own shards and those of other domains.
 
-        Each is made up with its present age when it is looked up.
+        Each lookup returns the summary with its present age.
         """
         return self._summaries_by_shard
 
@@ -154,66 +154,67 @@
     def eligible_in(
         self, domain: types.FailureDomain
     ) -> tuple[types.EntryVmId, ...]:
-        """Return the members of `domain` that may be given shards, by name.
+        """Return the members of `domain` that may dispatch shards, sorted.
 
-        Without the leaving, the dead, and those that came back from the dead
-        a moment ago.
+        Members that are leaving, dead or in hold-down are left out.
         """
-        live = self._live_by_domain.get(domain)
-        if live is None:
-            live = self._gossip.members.eligible_in(domain)
-            self._live_by_domain[domain] = live
-        return live
+        eligible = self._eligible_by_domain.get(domain)
+        if eligible is None:
+            eligible = self._gossip.members.eligible_in(domain)
+            self._eligible_by_domain[domain] = eligible
+        return eligible
 
     def address_of(self, entry_vm: types.EntryVmId) -> hub.PeerAddress | None:
-        """Return where a member's hub listens; None if it is dead."""
+        """Return the address of a member's hub; None if it is dead."""
         view = self._gossip.members.view(entry_vm)
         if view is None or view.state is messages.MemberState.DEAD:
             return None
         return hub.PeerAddress(host=view.peer_host, port=view.peer_port)
 
     def upstream_is_leaving(self, upstream: types.UpstreamId) -> bool:
-        """Return whether an upstream gets no new work."""
+        """Return whether an upstream is leaving and gets no new requests."""
         return self._gossip.upstreams.is_leaving(upstream)
 
     def round_trip_to(self, domain: types.FailureDomain) -> float | None:
-        """Return the measured round trip in seconds; None if unknown."""
+        """Return the measured round-trip time in seconds, None if unknown."""
         return self._gossip.round_trip_to(domain)
 
-    # What the owner announces.
+    # Settings and announcements.
 
     def set_regions(self, region_of: shards.RegionLookup) -> None:
-        """Tell shards first to domains of the same region.
+        """Set the region of each domain.
 
-        Set from each configuration that comes into force. While entry VMs
-        have different ones, some domains hear of more or fewer others.
+        Shard summaries are sent to domains of the same region first. The
+        lookup is set from each configuration that comes into force; while
+        entry VMs have different ones, some domains receive the summaries of
+        more or fewer other domains.
         """
         self._gossip.set_regions(region_of)
 
     def add_seeds(self, addresses: Iterable[hub.PeerAddress]) -> None:
-        """Join through further addresses, as the platform's list shows."""
+        """Add addresses to join through, as listed by the platform."""
         self._gossip.add_seeds(addresses)
 
     def announce_configuration(
         self, revision: types.Revision, digest: str
     ) -> None:
-        """Tell others which revision is in force here."""
+        """Announce the revision in force at this process."""
         now = self._clock.monotonic()
-        self._act(
+        self._send_and_publish(
             self._gossip.announce_configuration(revision, digest, now=now)
         )
 
     def announce_leaving(self) -> None:
-        """Tell others that this process takes no more shards."""
+        """Announce that this process takes no more shards."""
         now = self._clock.monotonic()
-        self._act(self._gossip.announce_leaving(now=now))
+        self._send_and_publish(self._gossip.announce_leaving(now=now))
 
     def announce_shards(
         self, summaries: Iterable[messages.ShardSummary]
     ) -> None:
         """Replace the summaries of the shards dispatched here.
 
-        Other domains hear of them with the next period.
+        They are sent to other domains with the next period.
         """
         now = self._clock.monotonic()
         self._gossip.shards.announce(summaries, now=now)
@@ -224,16 +225,16 @@
         incarnation: types.Incarnation,
         leaving: bool,
     ) -> None:
-        """Take in what the platform's list or the upstream itself says.
+        """Record the state that the platform or the upstream itself reports.
 
-        Leaving wins until a higher incarnation is reported, so that sources
-        may be reported again and again in any order.
+        Leaving wins until a higher incarnation is reported, so reports may be
+        repeated and come in any order.
         """
         update = messages.UpstreamUpdate(
             upstream=upstream, incarnation=incarnation, leaving=leaving
         )
         now = self._clock.monotonic()
-        self._act(self._gossip.announce_upstream(update, now=now))
+        self._send_and_publish(self._gossip.announce_upstream(update, now=now))
 
     # Events.
 
@@ -242,28 +243,28 @@
             own=own,
             seeds=self._seeds,
             timing=self._timing,
-            rng=self._random,
+            rng=self._rng,
             now=self._clock.monotonic(),
         )
 
     async def _run(self) -> None:
         while True:
             now = self._clock.monotonic()
-            self._sleeps_until = self._gossip.next_wakeup()
-            wait = self._sleeps_until - now
+            self._wakes_at = self._gossip.next_wakeup()
+            wait = self._wakes_at - now
             if wait > 0:
                 await self._sleep(wait)
                 continue
-            self._act(self._gossip.tick(now=now))
-            # A clock that stands still must not keep the loop from reading.
+            self._send_and_publish(self._gossip.tick(now=now))
+            # Yield, so that a clock that stands still doesn't block the loop.
             await asyncio.sleep(0)
 
     async def _sleep(self, seconds: float) -> None:
         """Sleep until a datagram makes the next deadline earlier."""
-        self._earlier.clear()
+        self._deadline_moved.clear()
         try:
             async with asyncio.timeout(seconds):
-                await self._earlier.wait()
+                await self._deadline_moved.wait()
         except TimeoutError:
             pass
 
@@ -281,10 +282,10 @@
             address=address,
             now=self._clock.monotonic(),
         )
-        self._act(outgoing)
+        self._send_and_publish(outgoing)
 
     def _reject(self, error: errors.LagoonrunError) -> None:
-        """Log a refused datagram; a flood of them makes one line a second."""
+        """Log a rejected datagram, with at most one line per second."""
         self._rejections += 1
         now = self._clock.monotonic()
         if now - self._rejections_logged_at < _REJECTION_LOG_SECONDS:
@@ -298,11 +299,13 @@
             rejected_datagrams=self._rejections,
         )
 
-    def _act(self, outgoing: list[outbox.OutgoingDatagram]) -> None:
+    def _send_and_publish(
+        self, outgoing: list[outbox.OutgoingDatagram]
+    ) -> None:
         self._send(outgoing)
         self._publish()
-        if self._gossip.next_wakeup() < self._sleeps_until:
-            self._earlier.set()
+        if self._gossip.next_wakeup() < self._wakes_at:
+            self._deadline_moved.set()
 
     def _send(self, outgoing: list[outbox.OutgoingDatagram]) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -315,28 +318,28 @@
 
     def _publish(self) -> None:
         for view in self._gossip.members.pop_changed():
-            self._live_by_domain.clear()
+            self._eligible_by_domain.clear()
             self._members_by_id = None
             self._log_state(view)
-            self._tell(self._listener.on_member_changed, view)
+            self._notify(self._listener.on_member_changed, view)
         for update in self._gossip.upstreams.pop_changed():
-            self._tell(
+            self._notify(
                 self._listener.on_upstream_changed,
                 update.upstream,
                 update.leaving,
             )
-        for news in self._gossip.pop_configurations():
-            self._tell(
+        for announcement in self._gossip.pop_configurations():
+            self._notify(
                 self._listener.on_configuration_announced,
-                news.source,
-                news.revision,
-                news.digest,
+                announcement.source,
+                announcement.revision,
+                announcement.digest,
             )
         for entry_vm in self._gossip.pop_forgotten():
             self._opener.forget(entry_vm)
             self._states_by_id.pop(entry_vm, None)
         for summary in self._gossip.pop_summaries():
-            self._tell(self._listener.on_shard_summary, summary)
+            self._notify(self._listener.on_shard_summary, summary)
 
     def _log_state(self, view: MemberView) -> None:
         if self._states_by_id.get(view.entry_vm) is view.state:
@@ -350,8 +353,8 @@
             incarnation=view.incarnation,
         )
 
-    def _tell(self, call: Callable[..., None], *arguments: object) -> None:
-        """Tell the listener; its fault must not end the membership."""
+    def _notify(self, call: Callable[..., None], *arguments: object) -> None:
+        """Call the listener; its exceptions must not stop the membership."""
         try:
             call(*arguments)
         except Exception as error:
@@ -364,7 +367,7 @@
 
 
 class _SummariesByShard(Mapping[types.ShardId, messages.ShardSummary]):
-    """Read the shard table as a mapping, one summary at a time."""
+    """A read-only mapping of the shard table, read one summary at a time."""
 
     def __init__(
         self,
@@ -392,7 +395,7 @@
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    """Hand datagrams on; a refused port of a dead peer is no error here."""
+    """Forwards datagrams; ICMP errors, as from a dead peer, are ignored."""
 
     def __init__(
         self, *, receive: Callable[[bytes, hub.PeerAddress], None]
--- a/packages/membership/src/lagoonrun_membership/ranking.py
+++ b/packages/membership/src/lagoonrun_membership/ranking.py
@@ -1,8 +1,8 @@
-"""Who does what among live entry VMs, by rendezvous hashing.
+"""Assignment of tasks to entry VMs by rendezvous hashing.
 
-Every entry VM computes the same ranking from the same candidates, without a
-message. When a candidate comes or goes, only the shards for which it ranks
-first move.
+Each entry VM computes the same ranking from the same candidates, without
+exchanging messages. When a candidate is added or removed, only the shards for
+which it ranks first move.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 from lagoonrun_core import types
 
 WATCHERS_PER_DOMAIN = 2
-"""Entry VMs of a domain that watch the configuration's head."""
+"""Number of entry VMs per domain that watch the configuration's head."""
 
 _WATCHER_PREFIX = "watch/"
 
@@ -20,7 +20,7 @@
 def rank_entry_vms(
     shard: types.ShardId, candidates: Iterable[types.EntryVmId]
 ) -> tuple[types.EntryVmId, ...]:
-    """Return `candidates`, best first, for the dispatcher of `shard`."""
+    """Return `candidates`, ranked as dispatchers of `shard`, best first."""
     return _ranked(shard, candidates)
 
 
@@ -29,8 +29,8 @@
 ) -> tuple[types.EntryVmId, ...]:
     """Return the entry VMs of `domain` that watch the configuration.
 
-    Two where there are as many candidates, so that the loss of one delays
-    nothing.
+    There are two, if there are as many candidates, so that the loss of one
+    causes no delay.
     """
     ranked = _ranked(_WATCHER_PREFIX + domain, candidates)
     return ranked[:WATCHERS_PER_DOMAIN]
@@ -42,8 +42,8 @@
     key_bytes = key.encode()
 
     def weight(entry_vm: types.EntryVmId) -> tuple[int, str]:
-        # Hashing the id first keeps keys that share a long prefix, as the
-        # shards of one pool do, from giving related orders.
+        # The hashed id as seed prevents similar rankings of keys that share a
+        # long prefix, such as the shards of one pool.
         seed = xxhash.xxh3_64_intdigest(entry_vm.encode())
         return (xxhash.xxh3_64_intdigest(key_bytes, seed=seed), entry_vm)
 
--- a/packages/membership/src/lagoonrun_membership/shards.py
+++ b/packages/membership/src/lagoonrun_membership/shards.py
@@ -1,12 +1,12 @@
-"""Summaries of shards, and how far each of them travels. Pure.
-
-An ingress asks the dispatchers of its own domain directly, so that summaries
-serve other domains only. A dispatcher sends its own to one member of each
-domain that is to hear of it, once a period; that member passes them on within
-its domain on datagrams sent anyway. Each domain hears of a bounded number of
-others, so that the cost does not grow with the fleet: those of its own region
-first, then one of each other region in turn, among equals by rendezvous
-hashing.
+"""Shard summaries and the domains that receive them: no I/O, no clock.
+
+An ingress asks the dispatchers of its own domain directly, so summaries serve
+other domains only. Once per period, a dispatcher sends its own to one member
+of each receiving domain; that member forwards them within its domain on
+datagrams sent anyway. Each domain receives the summaries of a limited number
+of others, so that the cost does not grow with the fleet: those of its own
+region first, then one of each other region in turn, each time ordered by
+rendezvous hashing.
 """
 
 import collections
@@ -28,10 +28,10 @@
 
 
 class RegionLookup(Protocol):
-    """Tells in which region a domain stands."""
+    """Looks up the region of a domain."""
 
     def __call__(self, domain: types.FailureDomain, /) -> types.Region:
-        """Return the region of `domain`; one name for all if unknown."""
+        """Return the region of `domain`; the same one for all if unknown."""
 
 
 def receiving_domains(
@@ -41,56 +41,58 @@
     count: int,
     region_of: RegionLookup,
 ) -> tuple[types.FailureDomain, ...]:
-    """Return the domains that are to hear of the shards of `domain`.
+    """Return the domains that receive the summaries of `domain`.
 
-    Each of `domains` hears of `count` others, those of its own region first.
-    With up to `count` + 1 domains everyone hears of everyone. Where there are
-    other regions, one place is theirs: a whole region that has no room needs
-    to know of one that has.
+    Each of `domains` receives those of `count` others, those of its own region
+    first. With up to `count` + 1 domains each receives those of all others. If
+    there are other regions, one of the `count` is from them: a whole region
+    without free capacity needs to know of one that has some.
     """
     known = tuple(domains)
     return tuple(
-        hearer
-        for hearer in known
-        if hearer != domain
-        and domain in _heard_by(hearer, known, count, region_of)
+        receiver
+        for receiver in known
+        if receiver != domain
+        and domain in _source_domains(receiver, known, count, region_of)
     )
 
 
-def _heard_by(
-    hearer: types.FailureDomain,
+def _source_domains(
+    receiver: types.FailureDomain,
     domains: tuple[types.FailureDomain, ...],
     count: int,
     region_of: RegionLookup,
 ) -> list[types.FailureDomain]:
     def weight(domain: types.FailureDomain) -> int:
-        return xxhash.xxh3_64_intdigest(f"{hearer}/{domain}".encode())
+        return xxhash.xxh3_64_intdigest(f"{receiver}/{domain}".encode())
 
-    others = sorted((d for d in domains if d != hearer), key=weight)
-    near = [d for d in others if region_of(d) == region_of(hearer)]
-    far = _in_turn([d for d in others if d not in near], region_of)
-    chosen = near[: count - 1 if far else count]
-    return chosen + far[: count - len(chosen)]
+    others = sorted((d for d in domains if d != receiver), key=weight)
+    same_region = [d for d in others if region_of(d) == region_of(receiver)]
+    other_regions = _interleave_regions(
+        [d for d in others if d not in same_region], region_of
+    )
+    chosen = same_region[: count - 1 if other_regions else count]
+    return chosen + other_regions[: count - len(chosen)]
 
 
-def _in_turn(
+def _interleave_regions(
     domains: Iterable[types.FailureDomain], region_of: RegionLookup
 ) -> list[types.FailureDomain]:
     """Return one domain of each region, then a second of each, and so on.
 
-    A region that is cut off then takes away the news of as few as can be.
+    The loss of a region then removes as few of the sources as possible.
     """
-    seen: collections.Counter[types.Region] = collections.Counter()
+    counts: collections.Counter[types.Region] = collections.Counter()
     turns: list[tuple[int, types.FailureDomain]] = []
     for domain in domains:
         region = region_of(domain)
-        turns.append((seen[region], domain))
-        seen[region] += 1
+        turns.append((counts[region], domain))
+        counts[region] += 1
     return [domain for _, domain in sorted(turns, key=lambda turn: turn[0])]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Dated:
+class _TimedSummary:
     summary: messages.ShardSummary
     made_at: float
 
@@ -103,7 +105,7 @@
     domain
         Domain of this process.
     timing
-        Greatest age of a summary.
+        Maximum age of a summary.
     """
 
     def __init__(
@@ -111,8 +113,8 @@
     ) -> None:
         self._domain = domain
         self._timing = timing
-        self._own: tuple[_Dated, ...] = ()
-        self._others_by_shard: dict[types.ShardId, _Dated] = {}
+        self._own: tuple[_TimedSummary, ...] = ()
+        self._others_by_shard: dict[types.ShardId, _TimedSummary] = {}
         self._changed: dict[types.ShardId, None] = {}
 
     def announce(
@@ -120,12 +122,12 @@
     ) -> None:
         """Replace the summaries of the shards dispatched by this process."""
         self._own = tuple(
-            _Dated(summary=summary, made_at=now - summary.age_seconds)
+            _TimedSummary(summary=summary, made_at=now - summary.age_seconds)
             for summary in summaries
         )
 
     def apply(self, summary: messages.ShardSummary, *, now: float) -> None:
-        """Take in a summary of another domain's shard if it is newer."""
+        """Apply a summary of another domain's shard if it is newer."""
         made_at = now - summary.age_seconds
         if domain_of(summary.shard) == self._domain:
             return
@@ -134,59 +136,59 @@
         known = self._others_by_shard.get(summary.shard)
         if known is not None and known.made_at >= made_at:
             return
-        self._others_by_shard[summary.shard] = _Dated(
+        self._others_by_shard[summary.shard] = _TimedSummary(
             summary=summary, made_at=made_at
         )
         self._changed[summary.shard] = None
 
     def expire(self, now: float) -> None:
-        """Forget summaries that are too old to decide by."""
-        for shard, dated in tuple(self._others_by_shard.items()):
-            if not self._is_fresh(dated.made_at, now):
+        """Remove summaries that are too old to use."""
+        for shard, timed in tuple(self._others_by_shard.items()):
+            if not self._is_fresh(timed.made_at, now):
                 del self._others_by_shard[shard]
                 self._changed.pop(shard, None)
 
     def own(self, now: float) -> tuple[messages.ShardSummary, ...]:
-        """Return this process's own summaries with their ages."""
+        """Return the fresh summaries of this process with their ages."""
         return tuple(
-            _aged(dated, now)
-            for dated in self._own
-            if self._is_fresh(dated.made_at, now)
+            _with_age(timed, now)
+            for timed in self._own
+            if self._is_fresh(timed.made_at, now)
         )
 
     def other_domain_summary(
         self, shard: types.ShardId, now: float
     ) -> messages.ShardSummary | None:
-        """Return another domain's summary with its age, if it is fresh."""
-        dated = self._others_by_shard.get(shard)
-        if dated is None or not self._is_fresh(dated.made_at, now):
+        """Return another domain's summary with its age, None if not fresh."""
+        timed = self._others_by_shard.get(shard)
+        if timed is None or not self._is_fresh(timed.made_at, now):
             return None
-        return _aged(dated, now)
+        return _with_age(timed, now)
 
     def get(
         self, shard: types.ShardId, now: float
     ) -> messages.ShardSummary | None:
-        """Return a fresh summary of any shard with its age, or None."""
-        for dated in self._own:
-            if dated.summary.shard == shard and self._is_fresh(
-                dated.made_at, now
+        """Return any shard's summary with its age, None if not fresh."""
+        for timed in self._own:
+            if timed.summary.shard == shard and self._is_fresh(
+                timed.made_at, now
             ):
-                return _aged(dated, now)
+                return _with_age(timed, now)
         return self.other_domain_summary(shard, now)
 
     def summary(
         self, shard: types.ShardId, now: float
     ) -> messages.ShardSummary | None:
-        """Return one shard's summary with its age, if it is fresh.
+        """Return one shard's summary with its age, None if not fresh.
 
-        Every request asks for a few; ageing all of them each time took
-        milliseconds with hundreds of shards.
+        Each request needs a few summaries; computing the ages of all of them
+        took milliseconds with hundreds of shards.
         """
-        for dated in self._own:
-            if dated.summary.shard == shard:
+        for timed in self._own:
+            if timed.summary.shard == shard:
                 return (
-                    _aged(dated, now)
-                    if self._is_fresh(dated.made_at, now)
+                    _with_age(timed, now)
+                    if self._is_fresh(timed.made_at, now)
                     else None
                 )
         return self.other_domain_summary(shard, now)
@@ -196,16 +198,16 @@
     ) -> dict[types.ShardId, messages.ShardSummary]:
         """Return all fresh summaries with their ages."""
         summaries = {
-            shard: _aged(dated, now)
-            for shard, dated in self._others_by_shard.items()
-            if self._is_fresh(dated.made_at, now)
+            shard: _with_age(timed, now)
+            for shard, timed in self._others_by_shard.items()
+            if self._is_fresh(timed.made_at, now)
         }
         for summary in self.own(now):
             summaries[summary.shard] = summary
         return summaries
 
     def pop_changed(self) -> tuple[types.ShardId, ...]:
-        """Return other domains' shards with newer summaries, once."""
+        """Return and clear other domains' shards with new summaries."""
         changed = tuple(self._changed)
         self._changed.clear()
         return changed
@@ -214,6 +216,6 @@
         return now - made_at < self._timing.summary_maximum_age_seconds
 
 
-def _aged(dated: _Dated, now: float) -> messages.ShardSummary:
-    age = max(0.0, now - dated.made_at)
-    return dataclasses.replace(dated.summary, age_seconds=age)
+def _with_age(timed: _TimedSummary, now: float) -> messages.ShardSummary:
+    age = max(0.0, now - timed.made_at)
+    return dataclasses.replace(timed.summary, age_seconds=age)
--- a/packages/membership/src/lagoonrun_membership/upstreams.py
+++ b/packages/membership/src/lagoonrun_membership/upstreams.py
@@ -1,9 +1,9 @@
-"""Which upstreams are leaving. Pure: no I/O, no clock.
+"""The upstreams that are leaving: no I/O, no clock.
 
-The platform's list, an upstream's own report and the word of peers are all
-taken in alike. Within one incarnation *leaving* from any source wins and is
-never taken back: the list lags, so that its "live" may be older. Only a newer
-incarnation, that is a new process of the upstream, is not leaving.
+The platform's list, an upstream's own report and updates from peers are
+applied alike. Within one incarnation, *leaving* from any source wins and is
+never revoked: the list lags, so its "live" may be older. Only a newer
+incarnation, which is a new process of the upstream, is not leaving.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 class UpstreamTable:
-    """The newest incarnation of each upstream and whether it is leaving."""
+    """Newest incarnation of each upstream, and whether it is leaving."""
 
     def __init__(self) -> None:
         self._records_by_id: collections.OrderedDict[
@@ -37,17 +37,17 @@
 
     @property
     def digest(self) -> int:
-        """Digest of the upstreams that are leaving."""
+        """Digest of the leaving upstreams."""
         return self._digest
 
     def is_leaving(self, upstream: types.UpstreamId) -> bool:
-        """Return whether the upstream gets no new work."""
+        """Return whether the upstream is leaving and gets no new requests."""
         return upstream in self._leaving
 
     def wire_update(
         self, upstream: types.UpstreamId
     ) -> messages.UpstreamUpdate:
-        """Return what others are told of an upstream."""
+        """Return the record of an upstream as sent to other members."""
         record = self._records_by_id[upstream]
         return messages.UpstreamUpdate(
             upstream=upstream,
@@ -56,7 +56,7 @@
         )
 
     def page(self, *, size: int) -> list[messages.UpstreamUpdate]:
-        """Return leaving upstreams for `size` bytes, others at each call."""
+        """Return the next leaving upstreams that fit into `size` bytes."""
         leaving = tuple(self._leaving)
         page = []
         for _ in leaving:
@@ -70,12 +70,12 @@
         return page
 
     def apply(self, update: messages.UpstreamUpdate) -> None:
-        """Take in what any source says of an upstream."""
+        """Apply an update about an upstream from any source."""
         record = self._records_by_id.get(update.upstream)
         if record is None:
-            record = self._meet(update)
+            record = self._add_record(update)
         if update.incarnation < record.incarnation:
-            # The sender missed that the upstream came back; tell it again.
+            # The sender missed the upstream's new incarnation; send it again.
             if update.leaving and not record.leaving:
                 self._news[update.upstream] = None
             return
@@ -88,27 +88,27 @@
         record.leaving = update.leaving
         self._toggle_digest(update.upstream, record)
         if record.leaving != was_leaving:
-            self._note_change(update.upstream, record)
+            self._record_change(update.upstream, record)
 
     def pop_news(self) -> tuple[types.UpstreamId, ...]:
-        """Return upstreams of which others should be told, once."""
+        """Return and clear the upstreams with updates to be sent."""
         news = tuple(self._news)
         self._news.clear()
         return news
 
     def pop_changed(self) -> tuple[messages.UpstreamUpdate, ...]:
-        """Return upstreams that began or ceased to be leaving, once."""
+        """Return and clear upstreams that started or stopped leaving."""
         changed = tuple(
             self.wire_update(upstream) for upstream in self._changed
         )
         self._changed.clear()
         return changed
 
-    def _meet(self, update: messages.UpstreamUpdate) -> _Record:
+    def _add_record(self, update: messages.UpstreamUpdate) -> _Record:
         record = _Record(incarnation=update.incarnation, leaving=False)
         self._records_by_id[update.upstream] = record
-        # Names of replaced upstreams pile up over months; the oldest ones
-        # that are not leaving go first, since they say nothing.
+        # Ids of replaced upstreams accumulate over months. The oldest ones
+        # that are not leaving are dropped first, since they carry no state.
         if len(self._records_by_id) > _MAXIMUM_UPSTREAMS:
             self._forget_oldest()
         return record
@@ -124,7 +124,9 @@
         self._news.pop(oldest, None)
         self._changed.pop(oldest, None)
 
-    def _note_change(self, upstream: types.UpstreamId, record: _Record) -> None:
+    def _record_change(
+        self, upstream: types.UpstreamId, record: _Record
+    ) -> None:
         if record.leaving:
             self._leaving[upstream] = None
         else:
