--- a/packages/membership/tests/conftest.py
+++ b/packages/membership/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: many members over an in-memory network, time by hand."""
+"""Shared fixtures: members on an in-memory network with a manual clock."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 
 def make_update(entry_vm, *, domain="north", incarnation=1, **fields):
-    """Return a member's record with an address made of its name."""
+    """Return a member's record with its id as host name."""
     values = {
         "state": messages.MemberState.ALIVE,
         "peer_host": entry_vm,
@@ -33,9 +33,10 @@
 
 
 class Network:
-    """Datagrams between members: delayed, lost and cut as a test says.
+    """Network that delays, drops and blocks datagrams as a test configures.
 
-    Every datagram passes through the codec and must fit its size.
+    Each datagram passes through the codec and must not exceed the maximum
+    size.
     """
 
     def __init__(self, *, seed=1, timing=None, protocol=gossip.GossipProtocol):
@@ -47,12 +48,12 @@
         self.changes_by_id = {}
         self.loss = 0.0
         self.delay_by_receiver = {}
-        self.cuts = set()
-        self.frozen = set()
-        self.datagrams = 0
+        self.partitioned_pairs = set()
+        self.paused = set()
+        self.datagram_count = 0
         self._order = itertools.count()
         self._in_flight = []
-        self._frozen_datagrams = {}
+        self._paused_datagrams = {}
 
     def start(self, entry_vm, *, domain="north", incarnation=1, seeds=()):
         """Start a member that joins through `seeds`."""
@@ -78,7 +79,7 @@
         return [name for name, _ in names]
 
     def introduce_all(self):
-        """Have everyone know everyone, as long after the start."""
+        """Make all members known to each other, as long after the start."""
         own = [node.members.own for node in self.nodes_by_id.values()]
         for node in self.nodes_by_id.values():
             for update in own:
@@ -86,46 +87,46 @@
             node.members.pop_news()
 
     def kill(self, entry_vm):
-        """End a member without a word."""
+        """Remove a member without any notice."""
         del self.nodes_by_id[entry_vm]
 
-    def freeze(self, entry_vm):
-        """Stop a process; what is sent to it waits in its socket."""
-        self.frozen.add(entry_vm)
-        self._frozen_datagrams[entry_vm] = []
+    def pause(self, entry_vm):
+        """Pause a process; datagrams to it wait in its socket."""
+        self.paused.add(entry_vm)
+        self._paused_datagrams[entry_vm] = []
 
     def resume(self, entry_vm, *, timer_first=True):
-        """Let a process go on, with its timer or its socket first."""
-        self.frozen.discard(entry_vm)
+        """Resume a process, which runs its timer or its socket first."""
+        self.paused.discard(entry_vm)
         if timer_first:
-            self.act(entry_vm, self.nodes_by_id[entry_vm].tick(now=self.now))
-        for sender, message in self._frozen_datagrams.pop(entry_vm):
+            self.send(entry_vm, self.nodes_by_id[entry_vm].tick(now=self.now))
+        for sender, message in self._paused_datagrams.pop(entry_vm):
             self._deliver(sender, entry_vm, message)
 
-    def cut(self, senders, receivers, *, both_ways=True):
-        """Lose what `senders` send to `receivers`."""
-        self.cuts |= set(itertools.product(senders, receivers))
+    def partition(self, senders, receivers, *, both_ways=True):
+        """Drop all datagrams from `senders` to `receivers`."""
+        self.partitioned_pairs |= set(itertools.product(senders, receivers))
         if both_ways:
-            self.cuts |= set(itertools.product(receivers, senders))
+            self.partitioned_pairs |= set(itertools.product(receivers, senders))
 
     def heal(self):
-        """End all cuts."""
-        self.cuts.clear()
+        """Deliver datagrams between all members again."""
+        self.partitioned_pairs.clear()
 
     @property
     def now(self):
         """The clock's reading."""
         return self.clock.monotonic()
 
-    def act(self, sender, outgoing):
-        """Send what a member's protocol returned."""
+    def send(self, sender, outgoing):
+        """Send the datagrams that a member's protocol returned."""
         for item in outgoing:
             body = codec.encode(item.message)
             size = datagrams.OVERHEAD_BYTES + len(sender) + len(body)
             assert size <= datagrams.MAXIMUM_DATAGRAM_BYTES
-            self.datagrams += 1
+            self.datagram_count += 1
             receiver = item.address.host
-            if (sender, receiver) in self.cuts:
+            if (sender, receiver) in self.partitioned_pairs:
                 continue
             if self.random.random() < self.loss:
                 continue
@@ -143,13 +144,13 @@
             )
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the clock by `seconds`."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self._step(end)
 
     def run_until(self, condition, *, within):
-        """Let time pass until `condition()`; return the seconds it took."""
+        """Run until `condition()` holds; return the seconds it took."""
         start = self.now
         while not condition():
             took = self.now - start
@@ -158,12 +159,12 @@
         return self.now - start
 
     def states(self, viewer):
-        """Return the states that a member believes, by id."""
+        """Return the states in a member's table, by id."""
         views = self.nodes_by_id[viewer].members.views_by_id()
         return {entry_vm: view.state for entry_vm, view in views.items()}
 
     def everyone_sees(self, state, entry_vms, *, viewers=None):
-        """Return whether all viewers believe `state` of all `entry_vms`."""
+        """Return whether all viewers have all `entry_vms` in `state`."""
         return all(
             self.states(viewer).get(entry_vm) is state
             for viewer in (viewers or self.nodes_by_id)
@@ -171,14 +172,14 @@
         )
 
     def all_alive(self, viewers=None):
-        """Return whether all members see all running ones alive."""
+        """Return whether all viewers see each other alive."""
         viewers = viewers or tuple(self.nodes_by_id)
         return self.everyone_sees(
             messages.MemberState.ALIVE, viewers, viewers=viewers
         )
 
     def describe(self):
-        """Return who is not seen alive by whom, for failures."""
+        """Return who is not seen alive by whom, for failure messages."""
         return [
             (viewer, entry_vm, getattr(states.get(entry_vm), "value", None))
             for viewer in self.nodes_by_id
@@ -192,7 +193,7 @@
             [
                 node.next_wakeup()
                 for name, node in self.nodes_by_id.items()
-                if name not in self.frozen
+                if name not in self.paused
             ]
             + [self._in_flight[0][0] if self._in_flight else end, end]
         )
@@ -201,26 +202,26 @@
             _, _, sender, receiver, message = heapq.heappop(self._in_flight)
             self._deliver(sender, receiver, message)
         for name, node in tuple(self.nodes_by_id.items()):
-            if name not in self.frozen and node.next_wakeup() <= self.now:
-                self.act(name, node.tick(now=self.now))
-                self._note_changes(name, node)
+            if name not in self.paused and node.next_wakeup() <= self.now:
+                self.send(name, node.tick(now=self.now))
+                self._record_changes(name, node)
 
     def _deliver(self, sender, receiver, message):
-        if receiver in self.frozen:
-            self._frozen_datagrams[receiver].append((sender, message))
+        if receiver in self.paused:
+            self._paused_datagrams[receiver].append((sender, message))
             return
         node = self.nodes_by_id.get(receiver)
         if node is not None:
             address = hub.PeerAddress(host=sender, port=_PORT)
-            self.act(
+            self.send(
                 receiver,
                 node.receive(
                     message, sender=sender, address=address, now=self.now
                 ),
             )
-            self._note_changes(receiver, node)
+            self._record_changes(receiver, node)
 
-    def _note_changes(self, name, node):
+    def _record_changes(self, name, node):
         self.changes_by_id[name] += [
             (self.now, view) for view in node.members.pop_changed()
         ]
@@ -228,13 +229,13 @@
 
 @pytest.fixture
 def make_network():
-    """Return the constructor of networks."""
+    """Return the class Network."""
     return Network
 
 
 @pytest.fixture
 def network():
-    """Return a network of eight members in three domains, all joined."""
+    """Return a network of nine members in three domains, all joined."""
     network = Network()
     network.start_fleet(domains=("north", "south", "west"), per_domain=3)
     network.run_until(network.all_alive, within=15.0)
@@ -243,5 +244,5 @@
 
 @pytest.fixture
 def update():
-    """Return the maker of members' records."""
+    """Return `make_update`."""
     return make_update
--- a/packages/membership/tests/test_fleet.py
+++ b/packages/membership/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Any sequence of failures ends in agreement once they are over."""
+"""Members agree on all states after any sequence of failures."""
 
 import hypothesis
 from hypothesis import stateful, strategies
@@ -11,7 +11,7 @@
 
 
 class FleetMachine(stateful.RuleBasedStateMachine):
-    """Kill, freeze, cut, restart and stop members of two domains."""
+    """Kill, pause, isolate, restart and stop members of two domains."""
 
     def __init__(self, network):
         super().__init__()
@@ -34,39 +34,39 @@
         self.network.run(seconds)
 
     @stateful.rule(data=strategies.data(), both_ways=strategies.booleans())
-    def cut(self, data, both_ways):
-        """Cut one member or one domain off."""
+    def partition(self, data, both_ways):
+        """Isolate one member or one domain."""
         name = self._running(data)
         names = sorted(self.network.nodes_by_id)
         whole_domain = data.draw(strategies.booleans())
         prefix = name.rsplit("-", 1)[0] if whole_domain else name
         inside = [n for n in names if n.startswith(prefix)]
         outside = [n for n in names if n not in inside]
-        self.network.cut(inside, outside, both_ways=both_ways)
+        self.network.partition(inside, outside, both_ways=both_ways)
 
     @stateful.rule()
     def heal(self):
-        """End all cuts."""
+        """Deliver datagrams between all members again."""
         self.network.heal()
 
     @stateful.rule(data=strategies.data())
-    def freeze_or_resume(self, data):
-        """Stop a process, or let it go on."""
+    def pause_or_resume(self, data):
+        """Pause a running process or resume a paused one."""
         name = self._running(data)
-        if name in self.network.frozen:
+        if name in self.network.paused:
             timer_first = data.draw(strategies.booleans())
             self.network.resume(name, timer_first=timer_first)
         else:
-            self.network.freeze(name)
+            self.network.pause(name)
 
     @stateful.precondition(lambda self: len(self.network.nodes_by_id) > 2)
     @stateful.rule(data=strategies.data())
     def kill(self, data):
-        """Take a VM away without a word."""
+        """Remove a VM without any notice."""
         name = self._running(data)
         self.killed[name] = name.split("-")[1]
         self.leaving.discard(name)
-        self.network.frozen.discard(name)
+        self.network.paused.discard(name)
         self.network.kill(name)
 
     @stateful.precondition(lambda self: self.killed)
@@ -84,17 +84,20 @@
 
     @stateful.rule(data=strategies.data())
     def leave(self, data):
-        """Tell a member to stop; it stays until it is killed."""
+        """Announce that a member is leaving; it runs until it is killed."""
         name = self._running(data)
         node = self.network.nodes_by_id[name]
-        if name not in self.network.frozen:
+        if name not in self.network.paused:
             self.leaving.add(name)
             outgoing = node.announce_leaving(now=self.network.now)
-            self.network.act(name, outgoing)
+            self.network.send(name, outgoing)
 
     @stateful.invariant()
-    def nobody_invents_or_resurrects(self):
-        """Only a member raises its incarnation; only so the dead return."""
+    def only_members_raise_their_incarnation(self):
+        """Check that only a member itself raises its incarnation.
+
+        A dead member returns only with a higher one.
+        """
         nodes_by_id = self.network.nodes_by_id
         for viewer, node in nodes_by_id.items():
             for name, view in node.members.views_by_id().items():
@@ -108,8 +111,8 @@
                     assert view.incarnation > self.dead_by_pair[pair]
 
     def teardown(self):
-        """End all failures and expect agreement within a bounded time."""
-        for name in sorted(self.network.frozen):
+        """End all failures and require agreement within a time limit."""
+        for name in sorted(self.network.paused):
             self.network.resume(name)
         self.network.heal()
         self.network.run_until(self._agreed, within=_CONVERGENCE_SECONDS)
--- a/packages/membership/tests/test_gossip.py
+++ b/packages/membership/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Members agree within a bounded time, whatever happens to some of them."""
+"""Members agree within a time limit in spite of failures of some."""
 
 import pytest
 
@@ -19,10 +19,10 @@
 
 
 def test_joiner_knows_its_own_domain_first(make_network):
-    """A VM joins a fleet whose table fills many datagrams.
+    """Guards against a joiner that waits long to know its own domain.
 
-    It can dispatch and rank shards once it knows its domain; the rest of the
-    fleet may take longer.
+    The table of the fleet fills many datagrams. A joiner can dispatch and rank
+    shards once it knows its domain; the rest may take longer.
     """
     network = make_network()
     domains = [f"domain-{n}" for n in range(8)]
@@ -36,34 +36,35 @@
     network.run_until(lambda: len(joiner) == 97, within=4.0)
 
 
-def test_member_that_others_condemn_is_told_at_once(network, update):
-    """A cut heals, and the far side tells that a near member is dead.
+def test_member_reported_dead_is_probed_at_once(network, update):
+    """Guards against a live member that learns too late of its death report.
 
-    The member can refute only what it hears of, and has little time. Whoever
-    holds it alive tells it at once, instead of at the next probe.
+    After a partition heals, the other side reports it dead, and it has little
+    time to refute. Members that see it alive probe it at once, instead of
+    waiting for the next period.
     """
     node = network.nodes_by_id["vm-north-0"]
-    verdict = update(
+    report = update(
         "vm-south-1", domain="south", state=messages.MemberState.DEAD
     )
-    news = messages.Ping(sequence=0, source="vm-west-0", members=(verdict,))
+    ping = messages.Ping(sequence=0, source="vm-west-0", members=(report,))
     outgoing = node.receive(
-        news,
+        ping,
         sender="vm-west-0",
         address=hub.PeerAddress(host="vm-west-0", port=9000),
         now=network.now,
     )
-    told = [item for item in outgoing if item.address.host == "vm-south-1"]
-    assert told
+    sent = [item for item in outgoing if item.address.host == "vm-south-1"]
+    assert sent
     states = {
-        record.entry_vm: record.state for record in told[0].message.members
+        record.entry_vm: record.state for record in sent[0].message.members
     }
     assert states["vm-south-1"] is messages.MemberState.SUSPECT
-    assert told[0].message.sequence != 0
+    assert sent[0].message.sequence != 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_nobody_is_held_for_dead_in_calm(make_network, seed):
+def test_no_member_is_marked_dead_in_steady_state(make_network, seed):
     network = make_network(seed=seed)
     network.loss = 0.05
     names = network.start_fleet(domains=("north", "south"), per_domain=4)
@@ -76,14 +77,14 @@
         for _, view in changes
         if view.state is _DEAD
     ]
-    assert not dead, f"{dead} of {names} were held for dead"
+    assert not dead, f"{dead} of {names} were marked dead"
 
 
-def test_killed_member_is_held_for_dead(network):
-    """A VM is taken away without a word while it dispatches shards.
+def test_killed_member_is_marked_dead(network):
+    """A VM that dispatches shards disappears without any notice.
 
-    Ingresses lose their link at once, but the ranking moves only when the
-    membership says so: everyone must agree within a bounded time.
+    Ingresses lose their connection at once, but the ranking changes only with
+    the membership, so all members must agree within a time limit.
     """
     network.kill("vm-north-1")
     viewers = ("vm-north-0", "vm-north-2")
@@ -97,14 +98,14 @@
 
 
 @pytest.mark.parametrize("timer_first", [True, False])
-def test_frozen_member_comes_back(network, timer_first):
-    """A VM is paused by its host, held for dead, and goes on after a while.
+def test_paused_member_returns(network, timer_first):
+    """A VM is paused by its host, is marked dead and resumes later.
 
-    It wakes with all its deadlines passed and its socket full. It must not
-    hold the others for dead, and its own death must be refuted, since nobody
-    else can say that it is alive.
+    It resumes with all its deadlines passed and its socket full. It must not
+    mark the others dead, and it must refute its own death, which no other
+    member can do.
     """
-    network.freeze("vm-north-1")
+    network.pause("vm-north-1")
     network.run_until(
         lambda: network.everyone_sees(
             _DEAD,
@@ -121,37 +122,37 @@
     }
 
 
-def test_short_freeze_accuses_nobody(network):
-    network.freeze("vm-north-1")
+def test_short_pause_accuses_no_other_member(network):
+    network.pause("vm-north-1")
     network.run(4.0)
     for changes in network.changes_by_id.values():
         changes.clear()
     network.resume("vm-north-1")
     network.run(10.0)
     assert network.all_alive()
-    blamed = {
+    accused = {
         view.entry_vm
         for changes in network.changes_by_id.values()
         for _, view in changes
         if view.state in (_DEAD, messages.MemberState.SUSPECT)
     }
-    assert blamed <= {"vm-north-1"}
+    assert accused <= {"vm-north-1"}
 
 
-def test_two_members_frozen_at_once_spare_each_other(network):
-    """A host pauses two of its VMs while one of them suspects the other.
+def test_two_paused_members_do_not_mark_each_other_dead(network):
+    """A host pauses two of its VMs while the first suspects the second.
 
-    The other wakes first and refutes, with the answer waiting in the first
-    one's socket. The first wakes with the suspicion's deadline long past; it
-    must read before it judges, or it would move shards for nothing.
+    The second resumes earlier and refutes; its answer waits in the first one's
+    socket. The first resumes long after the suspicion's deadline. It must read
+    its socket before it marks the second dead, or shards move needlessly.
     """
     first, second = "vm-north-1", "vm-north-2"
-    network.freeze(second)
+    network.pause(second)
     network.run_until(
         lambda: network.states(first)[second] is messages.MemberState.SUSPECT,
         within=10.0,
     )
-    network.freeze(first)
+    network.pause(first)
     network.run(0.5)
     network.resume(second)
     network.run(8.0)
@@ -161,11 +162,11 @@
     assert _DEAD not in {v.state for _, v in changes if v.entry_vm == second}
 
 
-def test_slow_member_accuses_hardly_anyone(network):
-    """A VM is starved of processor time and reads everything late.
+def test_slow_member_causes_few_refutations(network):
+    """A VM lacks processor time and reads all datagrams late.
 
-    All its probes seem to fail. Others would have to refute again and again;
-    its own misses tell it to wait longer instead.
+    All its probes seem to fail, and others would have to refute its suspicions
+    again and again. Its misses must lengthen its timeouts instead.
     """
     network.delay_by_receiver["vm-north-1"] = 1.2
     network.run(20.0)
@@ -180,18 +181,18 @@
 
 
 @pytest.mark.parametrize("deaf", [True, False], ids=["deaf", "mute"])
-def test_one_way_cut_excludes_one_and_spares_the_rest(network, deaf):
-    """A firewall rule drops datagrams to (or from) one VM only.
+def test_one_way_loss_affects_only_one_member(network, deaf):
+    """A firewall rule drops the datagrams to (deaf) or from (mute) one VM.
 
-    A deaf VM gets no answers and accuses everyone, and its accusations
-    arrive. The others must hold it for dead, keep each other alive, and not
-    be kept busy with refuting. When the cut heals, all are alive again.
+    A deaf VM gets no answers and accuses everyone, and its accusations arrive.
+    The others must mark it dead, see each other alive and not spend their time
+    on refutations. Without the rule, all are alive again.
     """
     others = [name for name in network.nodes_by_id if name != "vm-north-1"]
     if deaf:
-        network.cut(others, ["vm-north-1"], both_ways=False)
+        network.partition(others, ["vm-north-1"], both_ways=False)
     else:
-        network.cut(["vm-north-1"], others, both_ways=False)
+        network.partition(["vm-north-1"], others, both_ways=False)
     before = _refutations(network, others)
     network.run_until(
         lambda: network.everyone_sees(_DEAD, ["vm-north-1"], viewers=others),
@@ -208,19 +209,19 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_domain_cut_off_and_healed(make_network, seed):
-    """A failure domain is cut off from the others for a minute.
+def test_domain_partition_heals(make_network, seed):
+    """A failure domain is partitioned from the others for a minute.
 
-    Inside it, all stay alive and go on. Outside, its members are held for
-    dead. After the cut, everyone is alive again within seconds, and nobody
-    is held for dead on either side because of what the other side believed.
+    Inside it, all members stay alive. Outside, they are marked dead. After the
+    partition, all are alive again within seconds, and no member is marked dead
+    by its own side because of reports from the other side.
     """
     network = make_network(seed=seed)
     network.start_fleet(domains=("north", "south", "west"), per_domain=4)
     network.run_until(network.all_alive, within=15.0)
     south = [name for name in network.nodes_by_id if "south" in name]
     rest = [name for name in network.nodes_by_id if "south" not in name]
-    network.cut(south, rest)
+    network.partition(south, rest)
     network.run(60.0)
     assert network.everyone_sees(_DEAD, south, viewers=rest)
     assert network.everyone_sees(_DEAD, rest, viewers=south)
@@ -236,11 +237,11 @@
         assert not died & set(side)
 
 
-def test_cut_heals_without_seeds(make_network):
-    """The seeds were replaced long ago when a cut of minutes heals.
+def test_partition_heals_without_seeds(make_network):
+    """A partition of minutes heals after the seeds were replaced.
 
-    Each side holds the other for dead and probes only the living. One of
-    them has to try the dead, or the fleet stays split for ever.
+    Each side considers the other dead and probes only live members. One side
+    has to probe dead members, or the fleet stays split forever.
     """
     network = make_network()
     network.start("vm-seed", domain="north")
@@ -249,22 +250,22 @@
         network.start(f"vm-{n}", domain=domain, seeds=("vm-seed",))
     network.run_until(network.all_alive, within=15.0)
     network.kill("vm-seed")
-    network.cut(["vm-0", "vm-2"], ["vm-1", "vm-3"])
+    network.partition(["vm-0", "vm-2"], ["vm-1", "vm-3"])
     network.run(60.0)
     assert network.everyone_sees(_DEAD, ["vm-1"], viewers=["vm-0"])
     network.heal()
     network.run_until(network.all_alive, within=25.0)
 
 
-def test_join_during_a_cut(network):
-    """A VM starts in a domain that is cut off from its seeds.
+def test_join_during_a_partition(network):
+    """A VM starts in a domain that is partitioned from most of its seeds.
 
-    It knows one peer of its own domain by the platform's list. When the cut
-    heals, it is known everywhere.
+    It knows one peer of its own domain from the platform's list. When the
+    partition heals, all members must know it.
     """
     south = [name for name in network.nodes_by_id if "south" in name]
     rest = [name for name in network.nodes_by_id if "south" not in name]
-    network.cut([*south, "vm-south-new"], rest)
+    network.partition([*south, "vm-south-new"], rest)
     network.run(30.0)
     network.start(
         "vm-south-new",
@@ -278,8 +279,8 @@
     network.run_until(network.all_alive, within=15.0)
 
 
-def test_seeds_that_are_dead_at_start_are_tried_again(make_network):
-    """A whole fleet starts in an unlucky order: the seeds come last."""
+def test_seeds_that_start_late_are_retried(make_network):
+    """A whole fleet starts, and the seeds start last."""
     network = make_network()
     network.start("vm-2", seeds=("vm-0", "vm-1"))
     network.start("vm-3", seeds=("vm-0", "vm-1"))
@@ -288,14 +289,14 @@
     network.run_until(network.all_alive, within=10.0)
 
 
-def test_leaving_member_gets_no_shard_at_once(network):
-    """A VM is told to stop and has streams to finish.
+def test_leaving_member_is_ineligible_at_once(network):
+    """A VM is stopping and still has streams to finish.
 
-    Its domain must rank it out at once, not at the next probe, and its
-    refutations of suspicions must not bring it back into the ranking.
+    Its domain must remove it from the ranking at once, not with the next
+    probe, and refuting a suspicion must not bring it back.
     """
     leaving = network.nodes_by_id["vm-north-1"]
-    network.act("vm-north-1", leaving.announce_leaving(now=network.now))
+    network.send("vm-north-1", leaving.announce_leaving(now=network.now))
     took = network.run_until(
         lambda: all(
             "vm-north-1"
@@ -306,7 +307,7 @@
         within=1.0,
     )
     assert took < 0.5
-    network.freeze("vm-north-1")
+    network.pause("vm-north-1")
     network.run(2.5)
     network.resume("vm-north-1")
     network.run_until(
@@ -314,11 +315,11 @@
     )
 
 
-def test_farewell_spares_the_suspicion(network):
+def test_shutdown_notice_avoids_the_suspicion(network):
     leaving = network.nodes_by_id["vm-north-1"]
-    network.act("vm-north-1", leaving.announce_leaving(now=network.now))
+    network.send("vm-north-1", leaving.announce_leaving(now=network.now))
     network.run(0.05)
-    network.act("vm-north-1", leaving.announce_shutdown())
+    network.send("vm-north-1", leaving.announce_shutdown())
     network.kill("vm-north-1")
     viewers = [name for name in network.nodes_by_id if "north" in name]
     took = network.run_until(
@@ -328,17 +329,18 @@
     assert took < 0.5
 
 
-def test_flapping_member_takes_shards_ever_more_rarely(network):
-    """A VM's link fails and heals every fifteen seconds.
+def test_hold_down_grows_with_each_flap(network):
+    """A VM's link fails and recovers every fifteen seconds.
 
-    Each return would move shards to it and each loss away again, and every
-    ingress would register its work anew. The hold grows with each flap.
+    Without the hold-down, each return would move shards to the VM and each
+    loss would move them away, and all ingresses would register their requests
+    again.
     """
     others = [name for name in network.nodes_by_id if name != "vm-north-1"]
     viewer = network.nodes_by_id["vm-north-0"]
-    holds = []
+    hold_downs = []
     for _ in range(4):
-        network.cut(others, ["vm-north-1"])
+        network.partition(others, ["vm-north-1"])
         network.run(15.0)
         network.heal()
         network.run_until(network.all_alive, within=20.0)
@@ -347,8 +349,8 @@
             lambda: "vm-north-1" in viewer.members.eligible_in("north"),
             within=70.0,
         )
-        holds.append(network.now - back_at)
-    assert holds[-1] > 2 * holds[0]
+        hold_downs.append(network.now - back_at)
+    assert hold_downs[-1] > 2 * hold_downs[0]
 
 
 def test_restarted_member_is_alive_with_its_new_incarnation(network):
@@ -369,10 +371,10 @@
 
 
 def test_restart_with_a_clock_set_back(network):
-    """A VM is replaced under its name, and its clock is behind.
+    """A VM is replaced under the same id, and its clock is behind.
 
-    Its incarnation is lower than its predecessor's. It must go above it, or
-    nobody would ever believe that it is alive.
+    Its incarnation is lower than its predecessor's. It must exceed it, or all
+    members would consider it dead forever.
     """
     network.start(
         "vm-north-7", domain="north", incarnation=500, seeds=("vm-north-0",)
@@ -387,16 +389,16 @@
 
 
 def test_leaving_upstream_is_known_everywhere_within_a_second(network):
-    """An upstream says at one entry VM that it leaves; the platform is down.
+    """An upstream tells one entry VM that it leaves; the platform is down.
 
-    No entry VM may send it new work after three seconds, so the news does
-    not wait for probes.
+    No entry VM may send it new requests after three seconds, so the update
+    must not wait for probes.
     """
     reporter = network.nodes_by_id["vm-west-2"]
     update = messages.UpstreamUpdate(
         upstream="runner-1", incarnation=4, leaving=True
     )
-    network.act(
+    network.send(
         "vm-west-2", reporter.announce_upstream(update, now=network.now)
     )
     network.run_until(
@@ -426,19 +428,19 @@
     )
 
 
-def test_revision_is_told_to_everyone(network):
+def test_revision_reaches_every_member(network):
     first = network.nodes_by_id["vm-west-0"]
     outgoing = first.announce_configuration(7, "digest", now=network.now)
-    network.act("vm-west-0", outgoing)
+    network.send("vm-west-0", outgoing)
     waiting = {name for name in network.nodes_by_id if name != "vm-west-0"}
 
     def adopt():
         for name in tuple(waiting):
             node = network.nodes_by_id[name]
-            for news in node.pop_configurations():
-                assert (news.revision, news.digest) == (7, "digest")
+            for announced in node.pop_configurations():
+                assert (announced.revision, announced.digest) == (7, "digest")
                 waiting.discard(name)
-                network.act(
+                network.send(
                     name,
                     node.announce_configuration(7, "digest", now=network.now),
                 )
@@ -448,11 +450,11 @@
     network.run_until(adopt, within=4.0)
 
 
-def test_summary_reaches_other_domains_and_grows_old(network):
-    """A dispatcher's shard has room while another domain overflows.
+def test_summary_reaches_other_domains_and_expires(network):
+    """A dispatcher's shard has free capacity while another domain overflows.
 
-    Ingresses of other domains need to know within seconds; when the
-    dispatcher's domain is cut off, its summary must not be believed for long.
+    Ingresses of other domains need to know this within seconds. Without newer
+    summaries, as when the domain is partitioned, the last one must expire.
     """
     summary = messages.ShardSummary(
         shard="scans@north/0",
--- a/packages/membership/tests/test_members.py
+++ b/packages/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The member table against an oracle that replays all it has heard."""
+"""The member table against an oracle that replays all updates."""
 
 import dataclasses
 
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass
-class _Heard:
-    """One thing the oracle heard of one member."""
+class _Received:
+    """One update that the oracle received about a member."""
 
     at: float
     state: messages.MemberState
@@ -28,38 +28,40 @@
     direct: bool
 
 
-def _replay(heard, now):
-    """Return (state, incarnation) after all that was heard, or None.
+def _replay(received, now):
+    """Return (state, incarnation) after all updates, or None.
 
-    The plain meaning of the rules, worked out from scratch: the highest
-    incarnation counts; within it leaving and death are never taken back.
+    The rules are applied from scratch: the highest incarnation counts, and
+    within it LEAVING and DEAD are never revoked.
     """
     incarnation = None
     leaving = dead = False
     until = None
-    for news in heard:
-        if until is not None and news.at >= until:
+    for update in received:
+        if until is not None and update.at >= until:
             dead, until = True, None
-        if incarnation is None and news.state is _DEAD:
+        if incarnation is None and update.state is _DEAD:
             continue
-        if incarnation is not None and news.incarnation < incarnation:
+        if incarnation is not None and update.incarnation < incarnation:
             continue
-        if incarnation is None or news.incarnation > incarnation:
-            still_dead = dead and news.state is _DEAD
+        if incarnation is None or update.incarnation > incarnation:
+            still_dead = dead and update.state is _DEAD
             dead, until = still_dead, None
-            if news.state in (_ALIVE, _LEAVING):
+            if update.state in (_ALIVE, _LEAVING):
                 leaving = False
-            incarnation = news.incarnation
+            incarnation = update.incarnation
         if dead:
             continue
-        leaving |= news.state is _LEAVING
-        if news.state is _SUSPECT and until is None:
-            until = news.at + _TIMING.suspicion_seconds
-        elif news.state is _DEAD and (news.direct or leaving):
+        leaving |= update.state is _LEAVING
+        if update.state is _SUSPECT and until is None:
+            until = update.at + _TIMING.suspicion_seconds
+        elif update.state is _DEAD and (update.direct or leaving):
             dead, until = True, None
-        elif news.state is _DEAD:
-            verdict = news.at + _TIMING.dispute_seconds
-            until = verdict if until is None else min(until, verdict)
+        elif update.state is _DEAD:
+            disputed_until = update.at + _TIMING.dispute_seconds
+            until = (
+                disputed_until if until is None else min(until, disputed_until)
+            )
     if incarnation is None:
         return None
     if dead or (until is not None and now >= until):
@@ -70,7 +72,7 @@
 
 
 class MemberTableMachine(stateful.RuleBasedStateMachine):
-    """Hear anything of two members, in any order, and let time pass."""
+    """Applies any updates about two members in any order, as time passes."""
 
     def __init__(self):
         super().__init__()
@@ -78,7 +80,7 @@
         self.table = members.MemberTable(
             own=_update("self", _ALIVE, 1), timing=_TIMING
         )
-        self.heard_by_name = {name: [] for name in _NAMES}
+        self.received_by_name = {name: [] for name in _NAMES}
         self.dead_at_by_name = {}
 
     @stateful.rule(
@@ -87,42 +89,42 @@
         incarnation=strategies.integers(1, 4),
         direct=strategies.booleans(),
     )
-    def hear(self, name, state, incarnation, direct):
-        """Take in any news, old and new."""
+    def receive_update(self, name, state, incarnation, direct):
+        """Apply any update, old or new."""
         self.table.apply(
             _update(name, state, incarnation), direct=direct, now=self.now
         )
-        self.heard_by_name[name].append(
-            _Heard(self.now, state, incarnation, direct)
+        self.received_by_name[name].append(
+            _Received(self.now, state, incarnation, direct)
         )
 
     @stateful.rule(name=strategies.sampled_from(_NAMES))
     def miss_answer(self, name):
-        """Suspect a member by an own probe."""
-        known = _replay(self.heard_by_name[name], self.now)
+        """Suspect a member after an unanswered probe."""
+        known = _replay(self.received_by_name[name], self.now)
         self.table.suspect(name, now=self.now)
         if known is not None:
-            self.heard_by_name[name].append(
-                _Heard(self.now, _SUSPECT, known[1], False)
+            self.received_by_name[name].append(
+                _Received(self.now, _SUSPECT, known[1], False)
             )
 
     @stateful.rule(seconds=strategies.sampled_from([0.1, 1.0, 2.5, 3.0]))
     def let_time_pass(self, seconds):
-        """Advance and expire."""
+        """Advance the time and expire deadlines."""
         self.now += seconds
         self.table.expire(self.now)
 
     @stateful.invariant()
     def agrees_with_the_oracle(self):
-        """State and incarnation are those of the replay."""
-        for name, heard in self.heard_by_name.items():
+        """Compare state and incarnation with the replay."""
+        for name, received in self.received_by_name.items():
             view = self.table.view(name)
             found = view and (view.state, view.incarnation)
-            assert found == _replay(heard, self.now)
+            assert found == _replay(received, self.now)
 
     @stateful.invariant()
-    def no_dead_member_is_brought_back_by_old_news(self):
-        """Who was dead is alive only in a higher incarnation."""
+    def no_old_update_brings_a_dead_member_back(self):
+        """Check that dead members return only in a higher incarnation."""
         for name in _NAMES:
             view = self.table.view(name)
             if view is None:
@@ -133,8 +135,8 @@
                 assert view.incarnation > self.dead_at_by_name[name]
 
     @stateful.invariant()
-    def digests_are_those_of_a_fresh_table(self):
-        """Compare digests kept up by steps with those made at once."""
+    def digests_equal_those_of_a_fresh_table(self):
+        """Compare the incremental digests with those of a fresh table."""
         fresh = members.MemberTable(own=self.table.own, timing=_TIMING)
         for name in _NAMES:
             view = self.table.view(name)
@@ -183,7 +185,7 @@
         (_SUSPECT, 4, 5),
     ],
 )
-def test_own_incarnation_goes_above_accusations(
+def test_own_incarnation_exceeds_accusations(
     table, state, incarnation, expected
 ):
     table.apply(_update("self", state, incarnation), direct=False, now=0.0)
@@ -191,7 +193,7 @@
     assert table.own.state is _ALIVE
 
 
-def test_refutation_while_leaving_says_leaving(table):
+def test_refutation_while_leaving_has_state_leaving(table):
     table.announce_leaving()
     assert (table.own.state, table.own.incarnation) == (_LEAVING, 6)
     table.apply(_update("self", _SUSPECT, 6), direct=False, now=0.0)
@@ -210,10 +212,10 @@
 
 
 def test_dead_members_are_forgotten_and_not_learned_again(table):
-    """Names of replaced VMs must not pile up.
+    """Guards against ids of replaced VMs that accumulate.
 
-    If members taught each other the dead, everyone would remind everyone
-    else of them for ever.
+    If members learned the dead from each other, they would keep reminding each
+    other of them forever.
     """
     table.apply(_update("vm-1", _ALIVE, 1), direct=True, now=0.0)
     table.apply(_update("vm-1", _DEAD, 1), direct=True, now=0.0)
@@ -223,7 +225,7 @@
     assert table.view("vm-1") is None
 
 
-def test_pages_go_round_the_whole_table_own_domain_first(table):
+def test_pages_cover_the_whole_table_own_domain_first(table):
     for n in range(60):
         domain = "south" if n % 6 == 0 else "west"
         update = _update(f"vm-{n}", _ALIVE, 1, domain=domain)
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Memberships and hubs on loopback sockets, with short periods."""
+"""Memberships and hubs on loopback sockets, with short protocol periods."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class RecordingListener:
-    """Keep what the membership tells, and let a test wait for it."""
+    """Records the membership's calls and lets a test wait for them."""
 
     def __init__(self):
         self._changed = asyncio.Event()
@@ -32,45 +32,45 @@
         self.summaries = []
 
     def on_member_changed(self, view):
-        """Wake the test."""
+        """Wake the waiting test."""
         self._changed.set()
 
     def on_upstream_changed(self, upstream, leaving):
-        """Keep the change."""
+        """Record the change."""
         self.upstreams.append((upstream, leaving))
         self._changed.set()
 
     def on_configuration_announced(self, source, revision, digest):
-        """Keep the announcement."""
+        """Record the announcement."""
         self.configurations.append((source, revision, digest))
         self._changed.set()
 
     def on_shard_summary(self, summary):
-        """Keep the summary."""
+        """Record the summary."""
         self.summaries.append(summary)
         self._changed.set()
 
     async def until(self, condition):
-        """Return once `condition()` holds, looked at after each change."""
+        """Wait until `condition()` holds, checked after each change."""
         async with asyncio.timeout(_WAIT_SECONDS):
             while not condition():
                 self._changed.clear()
                 await self._changed.wait()
 
 
-class SilentHandler:
-    """Take messages and losses."""
+class RecordingHandler:
+    """Records the hub's messages and lost links."""
 
     def __init__(self):
         self.received = asyncio.Queue()
         self.lost = asyncio.Queue()
 
     def on_message(self, sender, message):
-        """Keep the message."""
+        """Record the message."""
         self.received.put_nowait((sender, message))
 
     def on_link_lost(self, peer):
-        """Keep the loss."""
+        """Record the lost link."""
         self.lost.put_nowait(peer)
 
 
@@ -79,7 +79,7 @@
 
     def __init__(self, entry_vm, *, domain, key, seeds, incarnation):
         self.listener = RecordingListener()
-        self.handler = SilentHandler()
+        self.handler = RecordingHandler()
         self.clock = clocks.SystemClock()
         self.membership = memberships.Membership(
             self_view=memberships.MemberView(
@@ -115,29 +115,29 @@
         )
 
     async def start(self):
-        """Start the hub, then the membership at its port number."""
+        """Start the hub, then the membership on the same port number."""
         await self.hub.start()
         await self.membership.start(port=self.hub.port)
 
     async def close(self):
-        """Close both."""
+        """Close the membership and the hub."""
         await self.membership.close()
         await self.hub.close()
 
     @property
     def address(self):
-        """Where the node is reached."""
+        """Address of the node."""
         return hub.PeerAddress(host="127.0.0.1", port=self.membership.port)
 
     def sees(self, entry_vm, state=messages.MemberState.ALIVE):
-        """Return whether the node believes `state` of a member."""
+        """Return whether the node has a member in `state`."""
         view = self.membership.members_by_id.get(entry_vm)
         return view is not None and view.state is state
 
 
 @pytest.fixture
 async def start_node():
-    """Return a function that starts a node and knows the first as a seed."""
+    """Return a function that starts a node with the first one as a seed."""
     nodes = []
 
     async def start(entry_vm, *, domain="north", key=_KEY, incarnation=1):
@@ -171,7 +171,7 @@
     return queue
 
 
-async def test_nodes_meet_and_exchange_messages(start_node):
+async def test_nodes_join_and_exchange_messages(start_node):
     first = await start_node("vm-1")
     second = await start_node("vm-2", domain="south")
     await first.listener.until(lambda: first.sees("vm-2"))
@@ -206,19 +206,21 @@
             )
         ]
     )
-    told = second.listener
-    await told.until(lambda: ("vm-1", 5, "digest") in told.configurations)
-    await told.until(lambda: ("runner-1", True) in told.upstreams)
-    await told.until(lambda: told.summaries)
+    received = second.listener
+    await received.until(
+        lambda: ("vm-1", 5, "digest") in received.configurations
+    )
+    await received.until(lambda: ("runner-1", True) in received.upstreams)
+    await received.until(lambda: received.summaries)
     assert second.membership.upstream_is_leaving("runner-1")
     assert "scans@north/0" in second.membership.summaries_by_shard
 
 
-async def test_abruptly_ended_peer_is_lost_then_dead(start_node):
+async def test_killed_peer_is_lost_then_dead(start_node):
     """A VM with a dispatcher is killed while it is connected.
 
-    The hub tells of the lost link at once, the membership of the death soon
-    after; the address is then unknown and `send` says no.
+    The hub reports the lost link at once, the membership the death soon after.
+    Then the address is unknown and `send` returns False.
     """
     first = await start_node("vm-1")
     second = await start_node("vm-2")
@@ -236,7 +238,7 @@
     assert not first.hub.send("vm-2", messages.SnapshotRequest(revision=1))
 
 
-async def test_closed_membership_says_farewell(start_node):
+async def test_closed_membership_announces_its_shutdown(start_node):
     first = await start_node("vm-1")
     second = await start_node("vm-2")
     await first.listener.until(lambda: first.sees("vm-2"))
@@ -250,27 +252,27 @@
     await first.listener.until(lambda: first.sees("vm-2", _DEAD))
 
 
-async def test_another_key_is_refused(start_node, rejections):
-    """A VM is started with an old key and tries to join.
+async def test_another_key_is_rejected(start_node, rejections):
+    """A VM with an old key tries to join.
 
-    It must stay unknown; the refusal is a log line 601.
+    It must stay unknown, and the rejection is logged with number 601.
     """
     first = await start_node("vm-1")
     stranger = await start_node("vm-2", key=b"another key")
-    refused = await asyncio.wait_for(rejections.get(), _WAIT_SECONDS)
-    assert "wrong tag" in refused["detail"]
-    assert refused["peer"]
+    rejected = await asyncio.wait_for(rejections.get(), _WAIT_SECONDS)
+    assert "wrong tag" in rejected["detail"]
+    assert rejected["peer"]
     assert set(first.membership.members_by_id) == {"vm-1"}
     assert set(stranger.membership.members_by_id) == {"vm-2"}
 
 
-async def test_replayed_and_arbitrary_datagrams_are_refused(
+async def test_replayed_and_arbitrary_datagrams_are_rejected(
     start_node, rejections
 ):
-    """Someone repeats a recorded heartbeat, and sends arbitrary bytes.
+    """An attacker replays a recorded datagram and sends arbitrary bytes.
 
-    The recorded one counts once. What is refused changes nothing, and peers
-    go on being heard.
+    The recorded datagram counts once. Rejected datagrams change nothing, and
+    those of peers are still received.
     """
     first = await start_node("vm-1")
     sealer = datagrams.DatagramSealer(key=_KEY, sender="vm-9", incarnation=4)
@@ -280,11 +282,11 @@
         asyncio.DatagramProtocol,
         remote_addr=(first.address.host, first.address.port),
     )
-    source = random.Random(5)
+    rng = random.Random(5)
     transport.sendto(recorded)
     transport.sendto(recorded)
     for _ in range(200):
-        transport.sendto(source.randbytes(source.randrange(1, 600)))
+        transport.sendto(rng.randbytes(rng.randrange(1, 600)))
     await asyncio.wait_for(rejections.get(), _WAIT_SECONDS)
     second = await start_node("vm-2")
     await first.listener.until(lambda: first.sees("vm-2"))
--- a/packages/membership/tests/test_ranking.py
+++ b/packages/membership/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Rankings agree, spread the shards and move few of them."""
+"""Rankings agree, spread the shards evenly and move few of them."""
 
 import collections
 
@@ -23,15 +23,15 @@
     assert all(0.7 * fair < counts[vm] < 1.3 * fair for vm in _VMS)
 
 
-def test_loss_moves_only_the_shards_of_the_lost():
-    left = _VMS[1:]
+def test_loss_moves_only_shards_of_the_lost_candidate():
+    remaining = _VMS[1:]
     for shard in _SHARDS:
         before = ranking.rank_entry_vms(shard, _VMS)
-        after = ranking.rank_entry_vms(shard, left)
+        after = ranking.rank_entry_vms(shard, remaining)
         assert after == tuple(vm for vm in before if vm != _VMS[0])
 
 
-def test_two_watchers_where_there_are_two():
+def test_up_to_two_watchers_are_chosen():
     assert len(ranking.choose_watchers("north", _VMS)) == 2
     assert ranking.choose_watchers("north", _VMS[:1]) == _VMS[:1]
     assert ranking.choose_watchers("north", ()) == ()
--- a/packages/membership/tests/test_regions.py
+++ b/packages/membership/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Regions that lose each other for long, over an in-memory network."""
+"""Long partitions between regions, on an in-memory network."""
 
 import pytest
 
@@ -39,43 +39,43 @@
 
 
 def _datagrams_per_second(network, seconds):
-    before = network.datagrams
+    before = network.datagram_count
     network.run(seconds)
-    return (network.datagrams - before) / seconds
+    return (network.datagram_count - before) / seconds
 
 
-def test_lost_regions_cost_little_and_heal_within_seconds(four_regions):
-    """A region loses the three others for some minutes.
+def test_region_partition_costs_little_and_heals_within_seconds(four_regions):
+    """A region is partitioned from the three others for some minutes.
 
-    Inside it nobody is held for dead, and the members on both sides go on at
-    their usual cost: the far ones are tried rarely. When the way is back, all
-    know each other within seconds, without a burst of datagrams.
+    Inside it, no member is marked dead. Both sides send about as many
+    datagrams as before, since dead members are probed rarely. After the
+    partition, all know each other within seconds, without a burst.
     """
     network = four_regions
-    calm = _datagrams_per_second(network, 30.0)
+    steady = _datagrams_per_second(network, 30.0)
     west = _in_region(network, "west")
     rest = [name for name in network.nodes_by_id if name not in west]
-    network.cut(west, rest)
+    network.partition(west, rest)
     network.run(60.0)
     assert network.everyone_sees(_DEAD, rest, viewers=west)
     assert network.everyone_sees(_DEAD, west, viewers=rest)
     assert network.all_alive(west)
     assert network.all_alive(rest)
-    cut = _datagrams_per_second(network, 60.0)
+    partitioned = _datagrams_per_second(network, 60.0)
     network.heal()
-    before = network.datagrams
+    before = network.datagram_count
     took = network.run_until(network.all_alive, within=10.0)
-    healing = (network.datagrams - before) / took
-    assert cut <= 1.5 * calm
-    assert healing <= 3 * calm
+    healing = (network.datagram_count - before) / took
+    assert partitioned <= 1.5 * steady
+    assert healing <= 3 * steady
 
 
-def test_regions_that_forgot_each_other_find_each_other_again(make_network):
-    """Two regions lose each other for longer than the dead are remembered.
+def test_regions_that_forgot_each_other_rejoin(make_network):
+    """A partition of two regions lasts until each forgets the other's members.
 
-    The seeds of both were replaced long ago. Each side has forgotten every
-    member of the other, has nobody to try any more, and the fleet would stay
-    split for ever after the cut.
+    The seeds of both were replaced long ago. Without the addresses of lost
+    members, neither side would have anyone to probe, and the fleet would stay
+    split forever.
     """
     network = make_network()
     network.start("vm-seed", domain="east-a")
@@ -83,10 +83,10 @@
         network.start(f"vm-{n}", domain=domain, seeds=("vm-seed",))
     network.run_until(network.all_alive, within=15.0)
     network.kill("vm-seed")
-    network.cut(["vm-0", "vm-2"], ["vm-1", "vm-3"])
+    network.partition(["vm-0", "vm-2"], ["vm-1", "vm-3"])
     network.run(network.timing.forget_seconds + 60.0)
     assert set(network.states("vm-0")) == {"vm-0", "vm-2"}
-    # One of the lost members was replaced meanwhile.
+    # One of the lost members is replaced during the partition.
     network.kill("vm-3")
     network.start("vm-4", domain="west-a", seeds=("vm-1",))
     network.run(10.0)
@@ -94,16 +94,17 @@
     network.run_until(network.all_alive, within=25.0)
 
 
-def test_cut_off_region_takes_no_place_among_those_heard_of(four_regions):
-    """A far region is lost while the dispatchers tell of their shards' room.
+def test_partitioned_region_does_not_count_as_a_source(four_regions):
+    """A region is partitioned while dispatchers announce free capacity.
 
-    Each domain hears of four others. Were the lost domains still counted,
-    some would hear of fewer, and their requests be refused beside free room.
+    Each domain receives the summaries of four others. If the lost domains
+    still counted, some would receive fewer, and their requests would be
+    refused although there is free capacity.
     """
     network = four_regions
     west = _in_region(network, "west")
     rest = [name for name in network.nodes_by_id if name not in west]
-    network.cut(west, rest)
+    network.partition(west, rest)
     network.run(40.0)
     for name in rest:
         if name.endswith("-0"):
--- a/packages/membership/tests/test_shards.py
+++ b/packages/membership/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""Summaries of shards go where they are needed, and the newest wins."""
+"""Shard summaries reach the domains that need them; the newest wins."""
 
 from lagoonrun_membership import shards
 from lagoonrun_membership import timing as timings
@@ -9,42 +9,42 @@
     return ""
 
 
-def test_domains_hear_of_a_bounded_number_of_others():
+def test_domains_receive_from_a_limited_number_of_others():
     domains = [f"domain-{n}" for n in range(30)]
-    heard = dict.fromkeys(domains, 0)
+    source_counts = dict.fromkeys(domains, 0)
     for domain in domains:
-        for hearer in shards.receiving_domains(
+        for receiver in shards.receiving_domains(
             domain, domains, count=4, region_of=_one_region
         ):
-            heard[hearer] += 1
-    assert set(heard.values()) == {4}
+            source_counts[receiver] += 1
+    assert set(source_counts.values()) == {4}
     few = domains[:4]
     for domain in few:
-        hearers = shards.receiving_domains(
+        receivers = shards.receiving_domains(
             domain, few, count=4, region_of=_one_region
         )
-        assert set(hearers) == set(few) - {domain}
+        assert set(receivers) == set(few) - {domain}
 
 
-def test_domains_of_one_region_hear_of_each_other_first():
+def test_domains_receive_from_their_own_region_first():
     domains = [f"domain-{n}" for n in range(12)]
     regions_by_domain = {d: str(n % 3) for n, d in enumerate(domains)}
     for domain in domains:
-        hearers = shards.receiving_domains(
+        receivers = shards.receiving_domains(
             domain,
             domains,
             count=4,
             region_of=regions_by_domain.__getitem__,
         )
-        near = {
+        same_region = {
             other
             for other in domains
             if regions_by_domain[other] == regions_by_domain[domain]
         }
-        assert near - {domain} <= set(hearers)
+        assert same_region - {domain} <= set(receivers)
 
 
-def test_newest_summary_wins_whatever_way_it_took():
+def test_newest_summary_wins_in_any_order():
     table = shards.ShardTable(domain="south", timing=timings.Timing())
 
     def summary(free, age):
@@ -68,7 +68,7 @@
     assert table.summary("scans@north/0", 113.0) is None
 
 
-def test_single_summaries_are_those_of_the_whole_table():
+def test_single_summaries_equal_those_of_the_whole_table():
     table = shards.ShardTable(domain="south", timing=timings.Timing())
 
     def summary(shard, age):
@@ -90,31 +90,33 @@
             assert table.summary(shard, now) == whole.get(shard)
 
 
-def test_own_region_is_heard_first_and_then_each_other_in_turn():
+def test_other_regions_follow_the_own_region_in_turn():
     regions = {f"domain-{n}": f"region-{n % 4}" for n in range(10)}
-    heard = {hearer: set() for hearer in regions}
+    sources_by_receiver = {receiver: set() for receiver in regions}
     for domain in regions:
-        for hearer in shards.receiving_domains(
+        for receiver in shards.receiving_domains(
             domain, regions, count=4, region_of=regions.get
         ):
-            heard[hearer].add(domain)
-    for hearer, domains in heard.items():
-        own = {d for d in regions if regions[d] == regions[hearer]} - {hearer}
+            sources_by_receiver[receiver].add(domain)
+    for receiver, domains in sources_by_receiver.items():
+        own = {d for d in regions if regions[d] == regions[receiver]} - {
+            receiver
+        }
         assert own <= domains
-        far = [regions[d] for d in domains - own]
+        other_regions = [regions[d] for d in domains - own]
         assert len(domains) == 4
-        assert len(set(far)) == min(len(far), 3)
+        assert len(set(other_regions)) == min(len(other_regions), 3)
 
 
-def test_one_place_is_left_for_other_regions():
+def test_one_slot_is_left_for_other_regions():
     regions = dict.fromkeys((f"domain-{n}" for n in range(9)), "large")
     regions["domain-9"] = "small"
-    heard = [
-        hearer
-        for hearer in regions
-        if hearer
+    receivers = [
+        receiver
+        for receiver in regions
+        if receiver
         in shards.receiving_domains(
             "domain-9", regions, count=4, region_of=regions.get
         )
     ]
-    assert len(heard) == 9
+    assert len(receivers) == 9
