--- a/packages/policy/src/lagoonrun_policy/admission.py
+++ b/packages/policy/src/lagoonrun_policy/admission.py
@@ -37,33 +37,35 @@
     def __init__(
         self,
         *,
-        shared: shard.Shard,
-        book: slots.SlotBook,
+        shard_state: shard.ShardState,
+        slot_accounting: slots.SlotAccounting,
         emit: Callable[[messages.Action], None],
     ) -> None:
-        self._shard = shared
-        self._slots = book
+        self._shard = shard_state
+        self._slots = slot_accounting
         self._emit = emit
 
-    def admits(
+    def admit(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         now: float,
     ) -> bool:
         """Return whether an arrival may wait; refuse it or others if not."""
         expected_wait = self._expected_wait(state, waiting, now)
-        margin = self._shard.margins_of(state, now).best
+        expected_service_seconds = self._shard.service_estimates(
+            state, now
+        ).best
         remaining = waiting.deadline - now
-        if expected_wait + margin > remaining:
-            expected_wait = self._make_way_in_time(
+        if expected_wait + expected_service_seconds > remaining:
+            expected_wait = self._refuse_overtaken(
                 state, waiting, expected_wait, now
             )
         sheddable = self._shard.sheddable_below(state)
         reason = decision.refusal_reason(
             phase=decision.Phase.ARRIVAL,
             remaining_seconds=remaining,
-            expected_service_seconds=margin,
+            expected_service_seconds=expected_service_seconds,
             expected_wait_seconds=expected_wait,
             queue_length=state.queue.length,
             queue_capacity=state.capacity,
@@ -71,14 +73,14 @@
         )
         # Only such requests can have runners that are all ruled out.
         request = waiting.request
-        stuck = (
+        may_lack_upstream = (
             bool(request.excluded)
             or bool(request.model)
             or not self._shard.pool.any_usable()
         )
-        if reason is not outcomes.Reason.NONE or stuck:
+        if reason is not outcomes.Reason.NONE or may_lack_upstream:
             verdict, record = records.decide(
-                shared=self._shard,
+                shard_state=self._shard,
                 waiting=waiting,
                 state=state,
                 phase=decision.Phase.ARRIVAL,
@@ -89,13 +91,13 @@
                 self._emit(records.refusal(waiting, verdict, record))
                 return False
         if state.queue.length >= state.capacity:
-            self._shed_below(state, now)
+            self._shed_lower_tier(state, now)
         return True
 
-    def _make_way_in_time(
+    def _refuse_overtaken(
         self,
         state: class_state.ClassState,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         expected_wait: float,
         now: float,
     ) -> float:
@@ -105,16 +107,16 @@
         missed their target; refusing the fresh one in their favour would
         lose its target as well.
         """
-        overtaken = state.queue.first_late(
+        overtaken = state.queue.earliest_late(
             waiting.request.organisation,
-            late_before=self._shard.late_before(state, now),
+            target_cutoff=self._shard.target_cutoff(state, now),
         )
         if overtaken is None or overtaken.deadline >= waiting.deadline:
             return expected_wait
-        if waiting.target_deadline < self._shard.late_before(state, now):
+        if waiting.target_deadline < self._shard.target_cutoff(state, now):
             return expected_wait
         verdict, record = records.decide(
-            shared=self._shard,
+            shard_state=self._shard,
             waiting=overtaken,
             state=state,
             phase=decision.Phase.OVERTAKEN,
@@ -130,7 +132,7 @@
     def _expected_wait(
         self,
         state: class_state.ClassState,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         now: float,
     ) -> float:
         if (
@@ -143,7 +145,9 @@
         ahead = state.queue.ahead_of(waiting.request.organisation)
         return _WAIT_CONFIDENCE * self._shard.drain_seconds(state, ahead, now)
 
-    def _shed_below(self, state: class_state.ClassState, now: float) -> None:
+    def _shed_lower_tier(
+        self, state: class_state.ClassState, now: float
+    ) -> None:
         for lowest in sorted(
             self._shard.classes, key=lambda c: c.policy.tier, reverse=True
         ):
@@ -151,11 +155,11 @@
                 return
             if lowest.sheddable == 0:
                 continue
-            shed = lowest.queue.last_to_serve()
+            shed = lowest.queue.shed_candidate()
             if shed is None:
                 continue
             verdict, record = records.decide(
-                shared=self._shard,
+                shard_state=self._shard,
                 waiting=shed,
                 state=lowest,
                 phase=decision.Phase.SHED,
@@ -171,7 +175,7 @@
         for state in self._shard.classes:
             if state.queue.length == 0:
                 continue
-            margin = self._shard.margins_of(state, now).best
+            margin = self._shard.service_estimates(state, now).best
             while True:
                 earliest = state.queue.earliest()
                 if earliest is None:
@@ -180,7 +184,7 @@
                 if usable and remaining > 0 and margin <= remaining:
                     break
                 verdict, record = records.decide(
-                    shared=self._shard,
+                    shard_state=self._shard,
                     waiting=earliest,
                     state=state,
                     phase=decision.Phase.EXPIRY,
--- a/packages/policy/src/lagoonrun_policy/affinity.py
+++ b/packages/policy/src/lagoonrun_policy/affinity.py
@@ -26,7 +26,7 @@
             ],
         ] = {}
 
-    def served(
+    def record_served(
         self,
         *,
         organisation: types.OrganisationId,
@@ -49,7 +49,7 @@
         if len(prefixes) > _PREFIXES_PER_ORGANISATION:
             prefixes.popitem(last=False)
 
-    def shares(
+    def cache_likelihoods(
         self,
         *,
         organisation: types.OrganisationId,
--- a/packages/policy/src/lagoonrun_policy/class_state.py
+++ b/packages/policy/src/lagoonrun_policy/class_state.py
@@ -4,7 +4,7 @@
 from lagoonrun_policy import fair_queue, features, messages
 
 _TOKEN_SMOOTHING = 0.05
-_FIRST_TOKEN_ESTIMATE = 1.0
+_INITIAL_EXPECTED_TOKENS = 1.0
 
 
 class ClassState:
@@ -36,13 +36,13 @@
         self.running = 0
         self.floor_running = 0
         self.floor_credit = 0.0
-        self.last_granted = 0
-        self.expected_tokens = _FIRST_TOKEN_ESTIMATE
+        self.last_grant_sequence = 0
+        self.expected_tokens = _INITIAL_EXPECTED_TOKENS
 
     @property
-    def order(self) -> tuple[int, int]:
+    def service_order(self) -> tuple[int, int]:
         """Strict by tier; classes of one tier take turns."""
-        return (self.policy.tier, self.last_granted)
+        return (self.policy.tier, self.last_grant_sequence)
 
     @property
     def capacity(self) -> int:
--- a/packages/policy/src/lagoonrun_policy/room.py
+++ b/packages/policy/src/lagoonrun_policy/concurrency_limit.py
@@ -7,7 +7,7 @@
 
 from lagoonrun_core import types
 
-MINIMUM_ROOM = 1.0
+MIN_LIMIT = 1.0
 
 _FIRST_TOKEN_TOLERANCE = 3.0
 _TOKEN_TOLERANCE = 2.5
@@ -18,7 +18,7 @@
 _BASELINE_WINDOW_SECONDS = 120.0
 
 
-class AdaptiveRoom:
+class AdaptiveConcurrencyLimit:
     """Additive increase, multiplicative decrease on two latencies.
 
     Parameters
@@ -29,23 +29,23 @@
 
     def __init__(self, *, slots: int) -> None:
         self._slots = slots
-        self._room = float(slots)
+        self._limit = float(slots)
         self._first_token_by_profile: dict[types.ProfileName, _Latency] = {}
         self._per_token = _Latency(
             tolerance=_TOKEN_TOLERANCE, slack=_TOKEN_SLACK_SECONDS
         )
-        self._hold = 0
+        self._ignored_answers = 0
 
     @property
-    def limit(self) -> float:
+    def value(self) -> float:
         """Most requests at once, as of now."""
-        return self._room
+        return self._limit
 
     def set_slots(self, slots: int) -> None:
         """Take over a new declaration."""
         if slots != self._slots:
             self._slots = slots
-            self._room = float(slots)
+            self._limit = float(slots)
 
     def observe(
         self,
@@ -80,17 +80,17 @@
             slow = first_token.is_slow(first_token_seconds, now)
         if seconds_per_token > 0:
             slow = self._per_token.is_slow(seconds_per_token, now) or slow
-        if self._hold > 0:
+        if self._ignored_answers > 0:
             # The answers that were running when the room was cut still show
             # the old load; cutting on each of them would overshoot.
-            self._hold -= 1
+            self._ignored_answers -= 1
             return
         if slow:
-            self._room = max(MINIMUM_ROOM, self._room * _DECREASE)
-            self._hold = int(self._room)
-        elif in_flight >= int(self._room):
-            grown = self._room + 1.0 / self._room
-            self._room = min(float(self._slots), grown)
+            self._limit = max(MIN_LIMIT, self._limit * _DECREASE)
+            self._ignored_answers = int(self._limit)
+        elif in_flight >= int(self._limit):
+            grown = self._limit + 1.0 / self._limit
+            self._limit = min(float(self._slots), grown)
 
 
 class _Latency:
@@ -100,20 +100,20 @@
         self._tolerance = tolerance
         self._slack = slack
         self._smoothed: float | None = None
-        self._lowest = 0.0
-        self._next_lowest = 0.0
+        self._baseline = 0.0
+        self._next_baseline = 0.0
         self._rotate_at = 0.0
 
     def is_slow(self, value: float, now: float) -> bool:
         if self._smoothed is None:
-            self._smoothed = self._lowest = self._next_lowest = value
+            self._smoothed = self._baseline = self._next_baseline = value
             self._rotate_at = now + _BASELINE_WINDOW_SECONDS
             return False
         self._smoothed += _SMOOTHING * (value - self._smoothed)
         if now >= self._rotate_at:
-            self._lowest = self._next_lowest
-            self._next_lowest = self._smoothed
+            self._baseline = self._next_baseline
+            self._next_baseline = self._smoothed
             self._rotate_at = now + _BASELINE_WINDOW_SECONDS
-        self._lowest = min(self._lowest, self._smoothed)
-        self._next_lowest = min(self._next_lowest, self._smoothed)
-        return self._smoothed > self._tolerance * self._lowest + self._slack
+        self._baseline = min(self._baseline, self._smoothed)
+        self._next_baseline = min(self._next_baseline, self._smoothed)
+        return self._smoothed > self._tolerance * self._baseline + self._slack
--- a/packages/policy/src/lagoonrun_policy/cutting.py
+++ b/packages/policy/src/lagoonrun_policy/cutting.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 
 from lagoonrun_core import outcomes, types
-from lagoonrun_policy import class_state, ledger, messages, shard, slots
+from lagoonrun_policy import class_state, messages, permit_table, shard, slots
 
-_PATIENCE_FRACTION = 0.25
+_WAIT_FRACTION = 0.25
 """Part of the target that a request waits before others are cut for it."""
 
 
@@ -29,12 +29,12 @@
     def __init__(
         self,
         *,
-        shared: shard.Shard,
-        book: slots.SlotBook,
+        shard_state: shard.ShardState,
+        slot_accounting: slots.SlotAccounting,
         emit: Callable[[messages.Action], None],
     ) -> None:
-        self._shard = shared
-        self._slots = book
+        self._shard = shard_state
+        self._slots = slot_accounting
         self._emit = emit
 
     def cut_for_waiting(self, now: float) -> None:
@@ -51,8 +51,8 @@
         earliest = state.queue.earliest()
         if earliest is None:
             return None
-        patience = _PATIENCE_FRACTION * state.policy.target_seconds
-        return earliest.arrived_at + patience
+        allowed_wait = _WAIT_FRACTION * state.policy.target_seconds
+        return earliest.arrived_at + allowed_wait
 
     def _cut_for(self, state: class_state.ClassState) -> None:
         running = self._slots.permits.running_by_key.values()
@@ -62,12 +62,12 @@
         )
         if lowest <= state.policy.tier:
             return
-        under_way = sum(r.cut for r in running)
+        cuts_in_progress = sum(r.cut for r in running)
         victims = sorted(
             (r for r in running if self._may_cut(r, lowest)),
             key=lambda r: (r.tokens, r.key.request_id, r.key.attempt_id),
         )
-        for victim in victims[: max(0, state.queue.length - under_way)]:
+        for victim in victims[: max(0, state.queue.length - cuts_in_progress)]:
             victim.cut = True
             self._emit(
                 messages.Cut(
@@ -78,7 +78,9 @@
                 )
             )
 
-    def _may_cut(self, running: ledger.Running, lowest: types.Tier) -> bool:
+    def _may_cut(
+        self, running: permit_table.RunningPermit, lowest: types.Tier
+    ) -> bool:
         """Return whether the work may be cut.
 
         Only the lowest tier that runs: cutting a middle one while a lower
--- a/packages/policy/src/lagoonrun_policy/decision.py
+++ b/packages/policy/src/lagoonrun_policy/decision.py
@@ -60,14 +60,14 @@
     REFUSE = "refuse"
 
 
-_COMPUTED = frozenset(
+_COMPUTED_EXCLUSIONS = frozenset(
     {
         Exclusion.FULL.value,
         Exclusion.TOO_SLOW.value,
         Exclusion.TOO_SLOW_FOR_TARGET.value,
     }
 )
-_LASTING = frozenset(
+_PERMANENT_EXCLUSIONS = frozenset(
     {
         Exclusion.LEAVING.value,
         Exclusion.GONE.value,
@@ -120,7 +120,7 @@
     differences: tuple[str, ...] = ()
 
 
-def weigh(
+def score_candidate(
     *,
     upstream: types.UpstreamId,
     in_flight: int,
@@ -217,7 +217,9 @@
         queue_capacity=inputs.queue_capacity,
         lower_tier_waiting=inputs.lower_tier_waiting,
     )
-    if reason is outcomes.Reason.NONE and _none_lasts(inputs.candidates):
+    if reason is outcomes.Reason.NONE and _all_excluded_permanently(
+        inputs.candidates
+    ):
         reason = outcomes.Reason.NO_UPSTREAM
     if reason is not outcomes.Reason.NONE:
         return Verdict(
@@ -233,7 +235,7 @@
 
 def check(record: messages.DecisionRecord) -> Agreement:
     """Decide again from a record's inputs and compare."""
-    candidates = tuple(_weigh_again(c, record) for c in record.candidates)
+    candidates = tuple(_rescore(c, record) for c in record.candidates)
     recomputed = decide(
         DecisionInputs(
             key=record.key,
@@ -316,8 +318,10 @@
     return best
 
 
-def _none_lasts(candidates: tuple[messages.Candidate, ...]) -> bool:
-    return all(c.exclusion in _LASTING for c in candidates)
+def _all_excluded_permanently(
+    candidates: tuple[messages.Candidate, ...],
+) -> bool:
+    return all(c.exclusion in _PERMANENT_EXCLUSIONS for c in candidates)
 
 
 def _retry_after(inputs: DecisionInputs, reason: outcomes.Reason) -> float:
@@ -331,11 +335,11 @@
     return base * (1.0 + _RETRY_JITTER * spread)
 
 
-def _weigh_again(
+def _rescore(
     candidate: messages.Candidate, record: messages.DecisionRecord
 ) -> messages.Candidate:
-    given = candidate.exclusion
-    return weigh(
+    recorded = candidate.exclusion
+    return score_candidate(
         upstream=candidate.upstream,
         in_flight=candidate.in_flight,
         room=candidate.room,
@@ -347,7 +351,7 @@
         expected_service_seconds=candidate.expected_service_seconds,
         remaining_seconds=record.remaining_seconds,
         target_budget_seconds=record.target_budget_seconds,
-        exclusion="" if given in _COMPUTED else given,
+        exclusion="" if recorded in _COMPUTED_EXCLUSIONS else recorded,
     )
 
 
--- a/packages/policy/src/lagoonrun_policy/estimates.py
+++ b/packages/policy/src/lagoonrun_policy/estimates.py
@@ -23,7 +23,7 @@
 _REFRESH_SECONDS = 0.25
 
 
-class DecayingQuantiles:
+class WindowedQuantiles:
     """High and typical quantile of the last one to two windows.
 
     At the end of a window the values of the one before are dropped. So a
@@ -101,12 +101,12 @@
     """Durations per class over the shard, and per class and runner."""
 
     def __init__(self) -> None:
-        self._by_profile: dict[types.ProfileName, DecayingQuantiles] = {}
+        self._by_profile: dict[types.ProfileName, WindowedQuantiles] = {}
         self._first_token_by_profile: dict[
-            types.ProfileName, DecayingQuantiles
+            types.ProfileName, WindowedQuantiles
         ] = {}
         self._by_runner: dict[
-            types.UpstreamId, dict[types.ProfileName, DecayingQuantiles]
+            types.UpstreamId, dict[types.ProfileName, WindowedQuantiles]
         ] = {}
 
     def record(
@@ -131,7 +131,7 @@
                 self._first_token_by_profile, profile, _POOL_WINDOW_SECONDS
             ).add(first_token_seconds, now=now)
 
-    def record_at_least(
+    def record_lower_bound(
         self,
         *,
         profile: types.ProfileName,
@@ -161,7 +161,7 @@
         profile: types.ProfileName,
         upstream: types.UpstreamId,
         now: float,
-        pace: float = 1.0,
+        slowdown: float = 1.0,
     ) -> float | None:
         """Return the high quantile at a runner, or None while unknown.
 
@@ -175,9 +175,9 @@
                 return value
         shared = self._by_profile.get(profile)
         value = shared.high(now=now) if shared is not None else None
-        return value * pace if value is not None else None
+        return value * slowdown if value is not None else None
 
-    def shared_high(
+    def shard_high(
         self, *, profile: types.ProfileName, now: float
     ) -> float | None:
         """Return the shard's high quantile, or None while unknown."""
@@ -221,23 +221,25 @@
 
 
 def _entry(
-    by_profile: dict[types.ProfileName, DecayingQuantiles],
+    by_profile: dict[types.ProfileName, WindowedQuantiles],
     profile: types.ProfileName,
     window_seconds: float,
-) -> DecayingQuantiles:
+) -> WindowedQuantiles:
     entry = by_profile.get(profile)
     if entry is None:
-        entry = DecayingQuantiles(window_seconds=window_seconds)
+        entry = WindowedQuantiles(window_seconds=window_seconds)
         by_profile[profile] = entry
     return entry
 
 
 def _value_or_zero(
-    entry: DecayingQuantiles | None, now: float, which: str
+    entry: WindowedQuantiles | None, now: float, statistic: str
 ) -> float:
     if entry is None:
         return 0.0
     value = (
-        entry.typical(now=now) if which == "typical" else entry.mean(now=now)
+        entry.typical(now=now)
+        if statistic == "typical"
+        else entry.mean(now=now)
     )
     return value if value is not None else 0.0
--- a/packages/policy/src/lagoonrun_policy/fair_queue.py
+++ b/packages/policy/src/lagoonrun_policy/fair_queue.py
@@ -13,12 +13,12 @@
 from lagoonrun_core import types
 from lagoonrun_policy import messages
 
-_EVERYONE = types.OrganisationId("")
+_SHARED_ACCOUNT = types.OrganisationId("")
 _COMPACT_ABOVE = 256
 
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
-class Waiting:
+class WaitingRequest:
     """A request that waits for a runner.
 
     Parameters
@@ -45,9 +45,9 @@
 
     weight: float
     virtual_time: float
-    in_time: list[tuple[float, int, Waiting]]
-    late: list[tuple[float, int, Waiting]]
-    by_sequence: dict[int, Waiting]
+    in_time: list[tuple[float, int, WaitingRequest]]
+    late: list[tuple[float, int, WaitingRequest]]
+    by_sequence: dict[int, WaitingRequest]
 
 
 class FairQueue:
@@ -80,9 +80,9 @@
         self._fair = fair
         self._target_first = target_first
         self._accounts: dict[types.OrganisationId, _Account] = {}
-        self._order: list[tuple[float, types.OrganisationId]] = []
+        self._service_order: list[tuple[float, types.OrganisationId]] = []
         self._virtual_now = 0.0
-        self._deadlines: list[tuple[float, int, Waiting]] = []
+        self._deadlines: list[tuple[float, int, WaitingRequest]] = []
         self.length = 0
         self._active_weight = 0.0
         self._latest_deadline = float("-inf")
@@ -103,15 +103,15 @@
             if account.by_sequence:
                 self._active_weight += account.weight
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingRequest) -> None:
         """Add a request; it goes with those in time for the target."""
-        organisation = self._account_name(waiting)
+        organisation = self._account_key(waiting)
         account = self._account(organisation)
         if not account.by_sequence:
             self._activate(organisation, account)
         waiting.queued = True
         account.by_sequence[waiting.sequence] = waiting
-        self._push_in_order(account, waiting)
+        self._push_request(account, waiting)
         heapq.heappush(
             self._deadlines, (waiting.deadline, waiting.sequence, waiting)
         )
@@ -119,7 +119,7 @@
         self._latest_deadline = max(self._latest_deadline, waiting.deadline)
         self._compact_deadlines()
 
-    def pop(self, *, late_before: float) -> Waiting | None:
+    def pop(self, *, target_cutoff: float) -> WaitingRequest | None:
         """Take the next request in order of service.
 
         Parameters
@@ -128,25 +128,25 @@
             A request whose target lies before this instant can no longer meet
             it and yields to those of its organisation that can.
         """
-        while self._order:
-            virtual_time, organisation = self._order[0]
+        while self._service_order:
+            virtual_time, organisation = self._service_order[0]
             account = self._accounts[organisation]
             stale = virtual_time != account.virtual_time
             if stale or not account.by_sequence:
-                heapq.heappop(self._order)
+                heapq.heappop(self._service_order)
                 continue
-            waiting = self._next_of(account, late_before)
+            waiting = self._next_request(account, target_cutoff)
             self._virtual_now = max(self._virtual_now, virtual_time)
             self.remove(waiting)
             return waiting
         return None
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Take out a request wherever it stands; nothing if it is not in."""
         if not waiting.queued:
             return
         waiting.queued = False
-        account = self._accounts[self._account_name(waiting)]
+        account = self._accounts[self._account_key(waiting)]
         del account.by_sequence[waiting.sequence]
         self.length -= 1
         if not account.by_sequence:
@@ -155,7 +155,7 @@
             self._active_weight -= account.weight
         if self.length == 0:
             self._deadlines.clear()
-            self._order.clear()
+            self._service_order.clear()
             self._active_weight = 0.0
             self._latest_deadline = float("-inf")
 
@@ -166,7 +166,7 @@
         account = self._account(organisation)
         account.virtual_time += tokens / account.weight
         if account.by_sequence:
-            self._push_order(organisation, account)
+            self._push_organisation(organisation, account)
 
     def ahead_of(self, organisation: types.OrganisationId) -> int:
         """Return an upper bound of the requests served before a new one."""
@@ -178,23 +178,25 @@
         rounds = (own + 1) * max(1.0, self._active_weight / weight)
         return min(self.length, int(rounds))
 
-    def earliest(self) -> Waiting | None:
+    def earliest(self) -> WaitingRequest | None:
         """Return the request whose deadline comes first."""
         while self._deadlines and not self._deadlines[0][2].queued:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][2] if self._deadlines else None
 
-    def first_late(
-        self, organisation: types.OrganisationId, *, late_before: float
-    ) -> Waiting | None:
+    def earliest_late(
+        self, organisation: types.OrganisationId, *, target_cutoff: float
+    ) -> WaitingRequest | None:
         """Return an organisation's late request with the least time left."""
-        account = self._accounts.get(organisation if self._fair else _EVERYONE)
+        account = self._accounts.get(
+            organisation if self._fair else _SHARED_ACCOUNT
+        )
         if account is None or not account.by_sequence or not self._target_first:
             return None
-        self._split_by_target(account, late_before)
+        self._split_by_target(account, target_cutoff)
         return account.late[0][2] if account.late else None
 
-    def last_to_serve(self) -> Waiting | None:
+    def shed_candidate(self) -> WaitingRequest | None:
         """Return the newest request of the most backlogged organisation."""
         accounts = [a for a in self._accounts.values() if a.by_sequence]
         if not accounts:
@@ -205,12 +207,12 @@
         )
         return account.by_sequence[max(account.by_sequence)]
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingRequest]:
         for account in self._accounts.values():
             yield from account.by_sequence.values()
 
-    def _account_name(self, waiting: Waiting) -> types.OrganisationId:
-        return waiting.request.organisation if self._fair else _EVERYONE
+    def _account_key(self, waiting: WaitingRequest) -> types.OrganisationId:
+        return waiting.request.organisation if self._fair else _SHARED_ACCOUNT
 
     def _account(self, organisation: types.OrganisationId) -> _Account:
         account = self._accounts.get(organisation)
@@ -235,24 +237,26 @@
         # starts level with those being served and cannot lock them out.
         account.virtual_time = max(account.virtual_time, self._virtual_now)
         self._active_weight += account.weight
-        self._push_order(organisation, account)
+        self._push_organisation(organisation, account)
 
-    def _push_order(
+    def _push_organisation(
         self, organisation: types.OrganisationId, account: _Account
     ) -> None:
-        heapq.heappush(self._order, (account.virtual_time, organisation))
-        if len(self._order) > _COMPACT_ABOVE + 4 * len(self._accounts):
-            self._rebuild_order()
+        heapq.heappush(
+            self._service_order, (account.virtual_time, organisation)
+        )
+        if len(self._service_order) > _COMPACT_ABOVE + 4 * len(self._accounts):
+            self._rebuild_service_order()
 
-    def _rebuild_order(self) -> None:
-        self._order = [
+    def _rebuild_service_order(self) -> None:
+        self._service_order = [
             (account.virtual_time, organisation)
             for organisation, account in self._accounts.items()
             if account.by_sequence
         ]
-        heapq.heapify(self._order)
+        heapq.heapify(self._service_order)
 
-    def _push_in_order(self, account: _Account, waiting: Waiting) -> None:
+    def _push_request(self, account: _Account, waiting: WaitingRequest) -> None:
         key = (
             waiting.target_deadline if self._target_first else waiting.sequence
         )
@@ -261,18 +265,20 @@
             account.in_time = [i for i in account.in_time if i[2].queued]
             heapq.heapify(account.in_time)
 
-    def _next_of(self, account: _Account, late_before: float) -> Waiting:
-        self._split_by_target(account, late_before)
+    def _next_request(
+        self, account: _Account, target_cutoff: float
+    ) -> WaitingRequest:
+        self._split_by_target(account, target_cutoff)
         heap = account.in_time if account.in_time else account.late
         return heap[0][2]
 
-    def _split_by_target(self, account: _Account, late_before: float) -> None:
+    def _split_by_target(self, account: _Account, target_cutoff: float) -> None:
         in_time = account.in_time
         while in_time:
             waiting = in_time[0][2]
             if not waiting.queued:
                 heapq.heappop(in_time)
-            elif self._target_first and waiting.target_deadline < late_before:
+            elif self._target_first and waiting.target_deadline < target_cutoff:
                 heapq.heappop(in_time)
                 item = (waiting.deadline, waiting.sequence, waiting)
                 heapq.heappush(account.late, item)
--- a/packages/policy/src/lagoonrun_policy/floors.py
+++ b/packages/policy/src/lagoonrun_policy/floors.py
@@ -18,11 +18,11 @@
 MAXIMUM_TOTAL_SHARE = 0.5
 """All floors together never take more than this part of the grants."""
 
-_MOST_CREDIT = 1.0
+_MAX_CREDIT = 1.0
 _ROUNDING = 1e-9
 
 
-def scale(classes: Iterable[class_state.ClassState]) -> float:
+def share_scale(classes: Iterable[class_state.ClassState]) -> float:
     """Return the factor that keeps all shares together below the maximum."""
     total = sum(c.policy.floor_share for c in classes)
     return min(1.0, MAXIMUM_TOTAL_SHARE / total) if total > 0 else 1.0
@@ -48,7 +48,7 @@
     return min(below, MAXIMUM_TOTAL_SHARE)
 
 
-def earn(
+def earn_credit(
     granted: class_state.ClassState,
     classes: Sequence[class_state.ClassState],
     factor: float,
@@ -58,18 +58,18 @@
         passed_over = state is not granted and state.queue.length > 0
         if passed_over and state.policy.tier >= granted.policy.tier:
             earned = state.floor_credit + state.policy.floor_share * factor
-            state.floor_credit = min(_MOST_CREDIT, earned)
+            state.floor_credit = min(_MAX_CREDIT, earned)
 
 
-def due(
-    classes: Sequence[class_state.ClassState], total_room: int
+def class_due(
+    classes: Sequence[class_state.ClassState], total_capacity: int
 ) -> class_state.ClassState | None:
     """Return the class whose credit pays for the next grant, if any."""
     for state in classes:
         if (
             state.queue.length > 0
-            and state.floor_credit >= _MOST_CREDIT - _ROUNDING
-            and state.floor_running < _slots(state, total_room)
+            and state.floor_credit >= _MAX_CREDIT - _ROUNDING
+            and state.floor_running < _slot_limit(state, total_capacity)
         ):
             return state
     return None
@@ -79,9 +79,9 @@
     state: class_state.ClassState,
     classes: Sequence[class_state.ClassState],
     *,
-    total_room: int,
+    total_capacity: int,
     services: estimates.ServiceTimes,
-    margin_by_class: dict[class_state.ClassState, float],
+    expected_service_by_class: dict[class_state.ClassState, float],
     now: float,
 ) -> bool:
     """Return whether a grant to `state` makes no higher request miss a limit.
@@ -99,22 +99,26 @@
     for c in classes:
         if c.running == 0 and c.queue.length == 0:
             continue
-        high = services.shared_high(profile=c.policy.name, now=now)
+        high = services.shard_high(profile=c.policy.name, now=now)
         if high is None:
             return False
         longest = max(longest, high)
     waiting = sum(c.queue.length for c in higher)
-    rounds = 1 + math.ceil(waiting / max(1, total_room - 1))
+    rounds = 1 + math.ceil(waiting / max(1, total_capacity - 1))
     needed = longest * rounds
-    return all(_slack(c, margin_by_class[c], now) > needed for c in higher)
+    return all(
+        _slack(c, expected_service_by_class[c], now) > needed for c in higher
+    )
 
 
-def _slack(state: class_state.ClassState, margin: float, now: float) -> float:
+def _slack(
+    state: class_state.ClassState, expected_service_seconds: float, now: float
+) -> float:
     earliest = state.queue.earliest()
     if earliest is None:
         return math.inf
-    return earliest.deadline - margin - now
+    return earliest.deadline - expected_service_seconds - now
 
 
-def _slots(state: class_state.ClassState, total_room: int) -> int:
-    return max(1, int(state.policy.floor_share * total_room))
+def _slot_limit(state: class_state.ClassState, total_capacity: int) -> int:
+    return max(1, int(state.policy.floor_share * total_capacity))
--- a/packages/policy/src/lagoonrun_policy/granting.py
+++ b/packages/policy/src/lagoonrun_policy/granting.py
@@ -8,8 +8,8 @@
     decision,
     fair_queue,
     floors,
-    ledger,
     messages,
+    permit_table,
     records,
     runners,
     shard,
@@ -39,18 +39,18 @@
     def __init__(
         self,
         *,
-        shared: shard.Shard,
-        book: slots.SlotBook,
+        shard_state: shard.ShardState,
+        slot_accounting: slots.SlotAccounting,
         emit: Callable[[messages.Action], None],
     ) -> None:
-        self._shard = shared
-        self._slots = book
+        self._shard = shard_state
+        self._slots = slot_accounting
         self._emit = emit
         self._sequence = 0
 
-    def settle_at_once(
+    def decide_on_arrival(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         now: float,
     ) -> bool:
@@ -62,7 +62,7 @@
             False if it has to wait.
         """
         verdict, record = records.decide(
-            shared=self._shard,
+            shard_state=self._shard,
             waiting=waiting,
             state=state,
             phase=decision.Phase.ARRIVAL,
@@ -84,7 +84,7 @@
     def _grant_one(self, free: list[runners.RunnerState], now: float) -> bool:
         in_order = sorted(
             (c for c in self._shard.classes if c.queue.length > 0),
-            key=lambda c: c.order,
+            key=lambda c: c.service_order,
         )
         if len(in_order) > 1:
             floor = self._floor_due(in_order[1:], now)
@@ -103,10 +103,10 @@
     ) -> class_state.ClassState | None:
         if not self._shard.switches.floors:
             return None
-        room = self._shard.pool.total_room()
-        due = floors.due(passed_over, room)
-        if due is not None:
-            return due
+        total_capacity = self._shard.pool.total_capacity()
+        class_due = floors.class_due(passed_over, total_capacity)
+        if class_due is not None:
+            return class_due
         for state in passed_over:
             if self._is_urgent(state, now) and self._is_harmless(state, now):
                 return state
@@ -116,18 +116,22 @@
         earliest = state.queue.earliest()
         if earliest is None or state.floor_running > 0:
             return False
-        margin = self._shard.margins_of(state, now).best
-        slack = earliest.deadline - margin - now
-        return slack < _URGENT_FRACTION * (state.policy.limit_seconds - margin)
+        expected_service_seconds = self._shard.service_estimates(
+            state, now
+        ).best
+        slack = earliest.deadline - expected_service_seconds - now
+        return slack < _URGENT_FRACTION * (
+            state.policy.limit_seconds - expected_service_seconds
+        )
 
     def _is_harmless(self, state: class_state.ClassState, now: float) -> bool:
         return floors.is_harmless(
             state,
             self._shard.classes,
-            total_room=self._shard.pool.total_room(),
+            total_capacity=self._shard.pool.total_capacity(),
             services=self._shard.services,
-            margin_by_class={
-                c: self._shard.margins_of(c, now).best
+            expected_service_by_class={
+                c: self._shard.service_estimates(c, now).best
                 for c in self._shard.classes
             },
             now=now,
@@ -147,24 +151,25 @@
         Runners that fit a request which the scan did not reach are added to
         `kept`: a lower class does not get what a higher one could use.
         """
-        margins = self._shard.margins_of(state, now).by_id
+        expected_service_by_id = self._shard.service_estimates(state, now).by_id
         longest = state.queue.latest_deadline - now
         usable = [
             r.id
             for r in free
-            if r.id not in kept and margins.get(r.id, 0.0) <= longest
+            if r.id not in kept
+            and expected_service_by_id.get(r.id, 0.0) <= longest
         ]
         if not usable:
             return False
-        skipped: list[fair_queue.Waiting] = []
+        skipped: list[fair_queue.WaitingRequest] = []
         granted = False
-        late_before = self._shard.late_before(state, now)
+        target_cutoff = self._shard.target_cutoff(state, now)
         while len(skipped) < _SCAN_LIMIT:
-            waiting = state.queue.pop(late_before=late_before)
+            waiting = state.queue.pop(target_cutoff=target_cutoff)
             if waiting is None:
                 break
             verdict, record = records.decide(
-                shared=self._shard,
+                shard_state=self._shard,
                 waiting=waiting,
                 state=state,
                 phase=decision.Phase.TURN,
@@ -190,7 +195,7 @@
 
     def _grant(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         verdict: decision.Verdict,
         record: messages.DecisionRecord,
@@ -204,7 +209,7 @@
             record=record,
         )
         self._emit(grant)
-        running = ledger.Running(
+        running = permit_table.RunningPermit(
             key=request.key,
             ingress=request.ingress,
             state=state,
@@ -216,16 +221,18 @@
         )
         self._slots.occupy(running)
         self._slots.charge(running, state.expected_tokens)
-        self._shard.pool.affinity.served(
+        self._shard.pool.affinity.record_served(
             organisation=request.organisation,
             prefix=request.prefix_hash,
             upstream=verdict.upstream,
             now=now,
         )
         self._sequence += 1
-        state.last_granted = self._sequence
+        state.last_grant_sequence = self._sequence
         if record.floor_grant:
             state.floor_credit = max(0.0, state.floor_credit - 1.0)
             return
         if self._shard.switches.floors:
-            floors.earn(state, self._shard.classes, self._shard.floor_scale)
+            floors.earn_credit(
+                state, self._shard.classes, self._shard.floor_scale
+            )
--- a/packages/policy/src/lagoonrun_policy/health.py
+++ b/packages/policy/src/lagoonrun_policy/health.py
@@ -4,12 +4,12 @@
 
 FAILURES_TO_EJECT = 3
 _FIRST_EJECTION_SECONDS = 1.0
-_LONGEST_EJECTION_SECONDS = 30.0
+_MAX_EJECTION_SECONDS = 30.0
 _PACE_SMOOTHING = 0.2
 _PACE_HALF_LIFE_SECONDS = 10.0
-_PACE_MINIMUM_SAMPLES = 5
+_MIN_PACE_SAMPLES = 5
 
-_FAULTS = frozenset(
+_RUNNER_FAULTS = frozenset(
     {
         outcomes.Reason.UPSTREAM_CONNECT,
         outcomes.Reason.UPSTREAM_CLOSED,
@@ -20,9 +20,9 @@
 )
 
 
-def is_fault(reason: outcomes.Reason) -> bool:
+def is_runner_fault(reason: outcomes.Reason) -> bool:
     """Return whether the reason speaks against the runner itself."""
-    return reason in _FAULTS
+    return reason in _RUNNER_FAULTS
 
 
 class RunnerHealth:
@@ -55,20 +55,20 @@
         """Return whether its ejection is over but no probe has succeeded."""
         return self._ejected_until is not None and now >= self._ejected_until
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Take in an answer: the runner is believed again."""
         self._failures = 0
         self._ejections = 0
         self._ejected_until = None
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Take in a fault of the runner."""
         self._failures += 1
 
     def eject(self, now: float) -> None:
         """Take the runner out, for twice as long each time in a row."""
         seconds = min(
-            _LONGEST_EJECTION_SECONDS,
+            _MAX_EJECTION_SECONDS,
             _FIRST_EJECTION_SECONDS * 2.0 ** min(self._ejections, 16),
         )
         self._ejections += 1
@@ -85,7 +85,7 @@
     @property
     def pace(self) -> float | None:
         """Smoothed seconds per token; None with too few observations."""
-        enough = self._pace_samples >= _PACE_MINIMUM_SAMPLES
+        enough = self._pace_samples >= _MIN_PACE_SAMPLES
         return self._pace if enough else None
 
     def straggler_factor(self, median_pace: float | None, now: float) -> float:
--- a/packages/policy/src/lagoonrun_policy/naive.py
+++ b/packages/policy/src/lagoonrun_policy/naive.py
@@ -27,7 +27,7 @@
         self, *, policy: messages.ShardPolicy, rng: random.Random
     ) -> None:
         self._policy = policy
-        self._view = _View(policy=policy, rng=rng)
+        self._view = _LocalView(policy=policy, rng=rng)
 
     def handle(
         self, event: messages.Event, *, now: float
@@ -36,15 +36,15 @@
         if isinstance(event, messages.PolicyChanged):
             self._policy = event.policy
         if not isinstance(event, messages.PermitRequested):
-            self._view.take(event)
+            self._view.apply(event)
             return []
         profile = self._policy.classes_by_name.get(event.profile)
         if profile is None:
             return [self._refusal(event, outcomes.Reason.UNCONFIGURED)]
-        upstream = self._view.better_of_two(event.excluded)
+        upstream = self._view.less_loaded_of_two(event.excluded)
         if upstream is None:
             return [self._refusal(event, outcomes.Reason.NO_UPSTREAM)]
-        self._view.sent(event.key, upstream)
+        self._view.record_sent(event.key, upstream)
         grant = messages.Grant(
             key=event.key,
             ingress=event.ingress,
@@ -109,7 +109,7 @@
         )
 
 
-class _View:
+class _LocalView:
     """What one entry VM knows by itself."""
 
     def __init__(
@@ -124,7 +124,7 @@
         self._own_by_id: dict[types.UpstreamId, int] = {}
         self._upstream_by_key: dict[messages.PermitKey, types.UpstreamId] = {}
 
-    def take(self, event: messages.Event) -> None:
+    def apply(self, event: messages.Event) -> None:
         match event:
             case messages.LoadReported():
                 load = event.running + event.waiting
@@ -140,11 +140,13 @@
             case _:
                 pass
 
-    def sent(self, key: messages.PermitKey, upstream: types.UpstreamId) -> None:
+    def record_sent(
+        self, key: messages.PermitKey, upstream: types.UpstreamId
+    ) -> None:
         self._upstream_by_key[key] = upstream
         self._own_by_id[upstream] = self._own_by_id.get(upstream, 0) + 1
 
-    def better_of_two(
+    def less_loaded_of_two(
         self,
         excluded: Sequence[types.UpstreamId],
         room: Callable[[messages.Runner], int] | None = None,
--- a/packages/policy/src/lagoonrun_policy/ledger.py
+++ b/packages/policy/src/lagoonrun_policy/permit_table.py
@@ -6,13 +6,13 @@
 from lagoonrun_core import types
 from lagoonrun_policy import class_state, fair_queue, messages
 
-_ENDED_KEYS = 4096
+_MAX_ENDED_KEYS = 4096
 _GONE_GRACE_SECONDS = 3.0
 _SILENCE_SECONDS = 60.0
 
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
-class Running:
+class RunningPermit:
     """Granted work that holds a slot.
 
     Parameters
@@ -43,15 +43,15 @@
 
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
-class Queued:
+class QueuedPermit:
     """A waiting request and the class whose queue it is in."""
 
-    waiting: fair_queue.Waiting
+    waiting: fair_queue.WaitingRequest
     state: class_state.ClassState
     missed_digests: int = 0
 
 
-class Ledger:
+class PermitTable:
     """Permits of one shard.
 
     Keys that have ended are kept for a while: a message that comes late must
@@ -59,58 +59,58 @@
     """
 
     def __init__(self) -> None:
-        self.queued_by_key: dict[messages.PermitKey, Queued] = {}
-        self.running_by_key: dict[messages.PermitKey, Running] = {}
+        self.queued_by_key: dict[messages.PermitKey, QueuedPermit] = {}
+        self.running_by_key: dict[messages.PermitKey, RunningPermit] = {}
         self._keys_by_ingress: dict[
             types.EntryVmId, set[messages.PermitKey]
         ] = {}
-        self._heard_at: dict[types.EntryVmId, float] = {}
+        self._last_contact: dict[types.EntryVmId, float] = {}
         self._gone_at: dict[types.EntryVmId, float] = {}
         self._ended: collections.OrderedDict[messages.PermitKey, None] = (
             collections.OrderedDict()
         )
 
-    def add_queued(self, key: messages.PermitKey, queued: Queued) -> None:
+    def add_queued(self, key: messages.PermitKey, queued: QueuedPermit) -> None:
         """Note a waiting request."""
         self.queued_by_key[key] = queued
-        self._keys_of(queued.waiting.request.ingress).add(key)
+        self._key_set(queued.waiting.request.ingress).add(key)
 
-    def remove_queued(self, key: messages.PermitKey) -> Queued | None:
+    def remove_queued(self, key: messages.PermitKey) -> QueuedPermit | None:
         """Forget a waiting request; None if there is none."""
         queued = self.queued_by_key.pop(key, None)
         if queued is not None:
             self._drop_key(queued.waiting.request.ingress, key)
         return queued
 
-    def add_running(self, running: Running) -> None:
+    def add_running(self, running: RunningPermit) -> None:
         """Note granted work."""
         self.running_by_key[running.key] = running
-        self._keys_of(running.ingress).add(running.key)
+        self._key_set(running.ingress).add(running.key)
 
-    def remove_running(self, key: messages.PermitKey) -> Running | None:
+    def remove_running(self, key: messages.PermitKey) -> RunningPermit | None:
         """Forget granted work; None if there is none."""
         running = self.running_by_key.pop(key, None)
         if running is not None:
             self._drop_key(running.ingress, key)
         return running
 
-    def note_ended(self, key: messages.PermitKey) -> None:
+    def record_ended(self, key: messages.PermitKey) -> None:
         """Remember that nothing of this permit is to come."""
         self._ended[key] = None
-        if len(self._ended) > _ENDED_KEYS:
+        if len(self._ended) > _MAX_ENDED_KEYS:
             self._ended.popitem(last=False)
 
     def has_ended(self, key: messages.PermitKey) -> bool:
         """Return whether the permit is known to be over."""
         return key in self._ended
 
-    def hear(self, ingress: types.EntryVmId, now: float) -> None:
+    def record_contact(self, ingress: types.EntryVmId, now: float) -> None:
         """Note a sign of life of an ingress."""
-        self._heard_at[ingress] = now
+        self._last_contact[ingress] = now
 
-    def note_gone(self, ingress: types.EntryVmId, now: float) -> None:
+    def record_gone(self, ingress: types.EntryVmId, now: float) -> None:
         """Note that an ingress was declared dead."""
-        self._heard_at.pop(ingress, None)
+        self._last_contact.pop(ingress, None)
         self._gone_at[ingress] = now
 
     def may_register(self, ingress: types.EntryVmId, now: float) -> bool:
@@ -127,7 +127,7 @@
         del self._gone_at[ingress]
         return True
 
-    def silent(self, now: float) -> list[types.EntryVmId]:
+    def silent_ingresses(self, now: float) -> list[types.EntryVmId]:
         """Return the ingresses that hold permits but have not been heard.
 
         A request may be granted just after its ingress was declared dead;
@@ -136,7 +136,8 @@
         return [
             ingress
             for ingress in self._keys_by_ingress
-            if now - self._heard_at.setdefault(ingress, now) > _SILENCE_SECONDS
+            if now - self._last_contact.setdefault(ingress, now)
+            > _SILENCE_SECONDS
         ]
 
     def keys_of(self, ingress: types.EntryVmId) -> list[messages.PermitKey]:
@@ -144,7 +145,7 @@
         keys = self._keys_by_ingress.get(ingress, set())
         return sorted(keys, key=lambda k: (k.request_id, k.attempt_id))
 
-    def _keys_of(self, ingress: types.EntryVmId) -> set[messages.PermitKey]:
+    def _key_set(self, ingress: types.EntryVmId) -> set[messages.PermitKey]:
         return self._keys_by_ingress.setdefault(ingress, set())
 
     def _drop_key(
--- a/packages/policy/src/lagoonrun_policy/records.py
+++ b/packages/policy/src/lagoonrun_policy/records.py
@@ -15,8 +15,8 @@
 
 def decide(
     *,
-    shared: shard.Shard,
-    waiting: fair_queue.Waiting,
+    shard_state: shard.ShardState,
+    waiting: fair_queue.WaitingRequest,
     state: class_state.ClassState,
     phase: decision.Phase,
     now: float,
@@ -33,24 +33,24 @@
     floor
         Whether the class's floor pays for a grant.
     """
-    margins = shared.margins_of(state, now)
+    service_estimates = shard_state.service_estimates(state, now)
     remaining = waiting.deadline - now
-    target_budget = shared.target_budget(waiting, state, now)
+    target_budget = shard_state.target_budget(waiting, state, now)
     queue_length = state.queue.length
     inputs = decision.DecisionInputs(
         key=waiting.request.key,
         phase=phase,
         remaining_seconds=remaining,
-        expected_service_seconds=margins.best,
+        expected_service_seconds=service_estimates.best,
         expected_wait_seconds=expected_wait_seconds,
-        drain_seconds=shared.drain_seconds(state, queue_length, now),
+        drain_seconds=shard_state.drain_seconds(state, queue_length, now),
         queue_length=queue_length,
         queue_capacity=state.capacity,
-        lower_tier_waiting=shared.sheddable_below(state),
-        candidates=shared.pool.candidates(
+        lower_tier_waiting=shard_state.sheddable_below(state),
+        candidates=shard_state.pool.candidates(
             request=waiting.request,
             profile=state.policy,
-            margins=margins.by_id,
+            expected_service_by_id=service_estimates.by_id,
             kept=kept,
             remaining_seconds=remaining,
             target_budget_seconds=target_budget,
@@ -60,19 +60,19 @@
     verdict = decision.decide(inputs)
     record = messages.DecisionRecord(
         key=inputs.key,
-        shard=shared.policy.shard,
-        revision=shared.policy.revision,
+        shard=shard_state.policy.shard,
+        revision=shard_state.policy.revision,
         profile=state.policy.name,
         tier=state.policy.tier,
         organisation=waiting.request.organisation,
         waited_seconds=now - waiting.arrived_at,
         remaining_seconds=remaining,
-        expected_service_seconds=margins.best,
-        expected_samples=margins.samples,
+        expected_service_seconds=service_estimates.best,
+        expected_samples=service_estimates.samples,
         queue_length=queue_length,
         queue_capacity=inputs.queue_capacity,
         ahead_in_queue=queue_length,
-        higher_tier_waiting=shared.waiting_above(state),
+        higher_tier_waiting=shard_state.waiting_above(state),
         lower_tier_waiting=inputs.lower_tier_waiting,
         floor_grant=floor,
         candidates=inputs.candidates,
@@ -84,13 +84,13 @@
         expected_wait_seconds=expected_wait_seconds,
         drain_seconds=inputs.drain_seconds,
         target_budget_seconds=target_budget,
-        reserved_floor_share=floors.reserved_share(state, shared.classes),
+        reserved_floor_share=floors.reserved_share(state, shard_state.classes),
     )
     return verdict, record
 
 
 def refusal(
-    waiting: fair_queue.Waiting,
+    waiting: fair_queue.WaitingRequest,
     verdict: decision.Verdict,
     record: messages.DecisionRecord,
 ) -> messages.Refuse:
--- a/packages/policy/src/lagoonrun_policy/retries.py
+++ b/packages/policy/src/lagoonrun_policy/retries.py
@@ -11,13 +11,13 @@
 from lagoonrun_policy import jitter, messages
 
 _BASE_BACKOFF_SECONDS = 0.05
-_LONGEST_BACKOFF_SECONDS = 2.0
-_MOST_SAVED = 10.0
+_MAX_BACKOFF_SECONDS = 2.0
+_MAX_SAVED_RETRIES = 10.0
 
-_UNREACHED_UPSTREAMS = 3
+_MAX_UNREACHED_UPSTREAMS = 3
 """Upstreams that a request fails to reach before its caller is told."""
 
-RETRIED_REASONS = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         outcomes.Reason.UPSTREAM_CONNECT,
         outcomes.Reason.UPSTREAM_CLOSED,
@@ -81,7 +81,7 @@
         if policy is None:
             return
         saved = self._saved_by_name.get(profile, 1.0) + policy.retry_ratio
-        self._saved_by_name[profile] = min(_MOST_SAVED, saved)
+        self._saved_by_name[profile] = min(_MAX_SAVED_RETRIES, saved)
 
     def decide(
         self,
@@ -110,12 +110,12 @@
             any budget has saved, and each denied one wastes what it has.
         """
         policy = self._classes_by_name.get(profile)
-        if policy is None or reason not in RETRIED_REASONS:
+        if policy is None or reason not in RETRYABLE_REASONS:
             return RetryDenied(reason=reason)
         if sent and not policy.idempotent:
             return RetryDenied(reason=reason)
         if reason is outcomes.Reason.UPSTREAM_CONNECT and not sent:
-            return _after_no_connection(request_id, attempts)
+            return _retry_unreached(request_id, attempts)
         if attempts >= maximum_attempts:
             return RetryDenied(reason=reason)
         saved = self._saved_by_name.get(profile, 1.0)
@@ -130,7 +130,7 @@
         )
 
 
-def _after_no_connection(
+def _retry_unreached(
     request_id: types.RequestId, attempts: int
 ) -> RetryGranted | RetryDenied:
     """Try another upstream where none has been reached.
@@ -140,7 +140,7 @@
     crashed upstream takes more requests at once than any budget has saved
     until it is out of service. The number is bounded all the same.
     """
-    if attempts >= _UNREACHED_UPSTREAMS:
+    if attempts >= _MAX_UNREACHED_UPSTREAMS:
         return RetryDenied(reason=outcomes.Reason.UPSTREAM_CONNECT)
     return RetryGranted(
         delay_seconds=backoff_seconds(request_id=request_id, attempts=attempts)
@@ -153,7 +153,5 @@
     Exponential with full jitter, drawn from the request's id so that the
     requests of one failure do not come back together.
     """
-    longest = min(
-        _LONGEST_BACKOFF_SECONDS, _BASE_BACKOFF_SECONDS * 2.0**attempts
-    )
-    return longest * jitter.fraction(f"{request_id}/retry/{attempts}")
+    max_delay = min(_MAX_BACKOFF_SECONDS, _BASE_BACKOFF_SECONDS * 2.0**attempts)
+    return max_delay * jitter.fraction(f"{request_id}/retry/{attempts}")
--- a/packages/policy/src/lagoonrun_policy/runners.py
+++ b/packages/policy/src/lagoonrun_policy/runners.py
@@ -7,20 +7,20 @@
 from lagoonrun_core import outcomes, types
 from lagoonrun_policy import (
     affinity,
+    concurrency_limit,
     decision,
     estimates,
     features,
     health,
     messages,
-    room,
 )
 
-MAXIMUM_EJECTED_FRACTION = 3
+MIN_RUNNERS_PER_EJECTION = 3
 """At most one of this many runners is ejected at a time."""
 
-_MARGIN_CAP = 0.75
-_STATES_KEPT = 1024
-_PROBE_PATIENCE_SECONDS = 10.0
+_ESTIMATE_CAP_FRACTION = 0.75
+_MAX_REMEMBERED_STATES = 1024
+_PROBE_WAIT_SECONDS = 10.0
 _MEDIAN_REFRESH_SECONDS = 0.25
 
 
@@ -33,7 +33,9 @@
         self.configured = True
         self.state = declared.state
         self.in_flight = 0
-        self.room = room.AdaptiveRoom(slots=declared.slots)
+        self.adaptive_limit = concurrency_limit.AdaptiveConcurrencyLimit(
+            slots=declared.slots
+        )
         self.health = health.RunnerHealth()
         self.report: messages.LoadReported | None = None
         self.reported_at = 0.0
@@ -49,7 +51,7 @@
         """
         return not model or self.models is None or model in self.models
 
-    def take_report(self, report: messages.LoadReported, now: float) -> None:
+    def apply_report(self, report: messages.LoadReported, now: float) -> None:
         """Keep a load report.
 
         The report is old: it may count work of ours that has ended since.
@@ -64,9 +66,11 @@
         self.foreign_load = float(max(0, reported - self.peak_in_flight))
         self.peak_in_flight = self.in_flight
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget what was learnt: the runner has come back as another."""
-        self.room = room.AdaptiveRoom(slots=self.declared.slots)
+        self.adaptive_limit = concurrency_limit.AdaptiveConcurrencyLimit(
+            slots=self.declared.slots
+        )
         self.health = health.RunnerHealth()
         self.report = None
         self.models = None
@@ -107,7 +111,7 @@
         self._by_id: dict[types.UpstreamId, RunnerState] = {}
         self._not_live: dict[types.UpstreamId, messages.UpstreamState] = {}
         self._usable: list[RunnerState] = []
-        self._total_room: int | None = None
+        self._total_capacity: int | None = None
         self._median_pace: float | None = None
         self._median_at = -math.inf
         self.affinity = affinity.PrefixAffinity()
@@ -133,7 +137,7 @@
                 continue
             known.declared = declared
             known.configured = True
-            known.room.set_slots(declared.slots)
+            known.adaptive_limit.set_slots(declared.slots)
             # A new revision says nothing about liveness: a runner known to
             # leave would get work again if the declared default won.
             if declared.state is not messages.UpstreamState.LIVE:
@@ -141,10 +145,10 @@
         for known in list(self._by_id.values()):
             if known.id not in runners_by_id:
                 known.configured = False
-                self.forget_if_idle(known)
+                self.remove_if_idle(known)
         self._refresh_usable()
 
-    def adopt(self, upstream: types.UpstreamId) -> RunnerState:
+    def get_or_add(self, upstream: types.UpstreamId) -> RunnerState:
         """Return a runner, known or not, to count work at it."""
         runner = self._by_id.get(upstream)
         if runner is None:
@@ -154,7 +158,7 @@
             self._by_id[upstream] = runner
         return runner
 
-    def forget_if_idle(self, runner: RunnerState) -> None:
+    def remove_if_idle(self, runner: RunnerState) -> None:
         """Drop a runner that left the configuration and has no work left."""
         if not runner.configured and runner.in_flight == 0:
             self._by_id.pop(runner.id, None)
@@ -164,34 +168,36 @@
         self, upstream: types.UpstreamId, state: messages.UpstreamState
     ) -> None:
         """Take in that a runner is live, leaving or gone."""
-        self._remember_state(upstream, state)
+        self._record_state(upstream, state)
         runner = self._by_id.get(upstream)
         if runner is None:
             return
         was_gone = runner.state is messages.UpstreamState.GONE
         if was_gone and state is messages.UpstreamState.LIVE:
-            runner.restart()
+            runner.reset()
         runner.state = state
         self._refresh_usable()
 
-    def limit(self, runner: RunnerState) -> float:
+    def concurrency_limit(self, runner: RunnerState) -> float:
         """Return how many requests the runner may have at once."""
         if self._features.adaptive_room:
-            return runner.room.limit
+            return runner.adaptive_limit.value
         return float(runner.declared.slots)
 
-    def total_room(self) -> int:
+    def total_capacity(self) -> int:
         """Return how many requests all usable runners may have at once."""
-        if self._total_room is None:
-            self._total_room = sum(int(self.limit(r)) for r in self._usable)
-        return self._total_room
+        if self._total_capacity is None:
+            self._total_capacity = sum(
+                int(self.concurrency_limit(r)) for r in self._usable
+            )
+        return self._total_capacity
 
     def free(self, now: float) -> list[RunnerState]:
         """Return the runners that can take one more request."""
         return [
             runner
             for runner in self._usable
-            if runner.in_flight < int(self.limit(runner))
+            if runner.in_flight < int(self.concurrency_limit(runner))
             and (
                 not runner.health.ejected
                 or (runner.health.is_probing(now) and runner.in_flight == 0)
@@ -202,7 +208,7 @@
         """Return whether any runner may be given work, now or later."""
         return bool(self._usable)
 
-    def expected_service(
+    def expected_service_seconds(
         self,
         *,
         runner: RunnerState,
@@ -216,11 +222,11 @@
             profile=profile.name,
             upstream=runner.id,
             now=now,
-            pace=self.straggler_factor(runner, now),
+            slowdown=self.straggler_factor(runner, now),
         )
         return value if value is not None else 0.0
 
-    def margins(
+    def service_estimates(
         self, *, profile: messages.ClassPolicy, now: float
     ) -> dict[types.UpstreamId, float]:
         """Return the time that a request needs at each usable runner.
@@ -230,11 +236,13 @@
         service, and without observations that could prove it wrong.
         """
         by_id = {
-            r.id: self.expected_service(runner=r, profile=profile, now=now)
+            r.id: self.expected_service_seconds(
+                runner=r, profile=profile, now=now
+            )
             for r in self._usable
         }
         best = min(by_id.values(), default=0.0)
-        cap = _MARGIN_CAP * profile.limit_seconds
+        cap = _ESTIMATE_CAP_FRACTION * profile.limit_seconds
         if best > cap:
             return {i: v * cap / best for i, v in by_id.items()}
         return by_id
@@ -244,7 +252,7 @@
         *,
         request: messages.PermitRequested,
         profile: messages.ClassPolicy,
-        margins: dict[types.UpstreamId, float],
+        expected_service_by_id: dict[types.UpstreamId, float],
         kept: Set[types.UpstreamId],
         remaining_seconds: float,
         target_budget_seconds: float,
@@ -253,16 +261,18 @@
         """Weigh every runner for a request."""
         shares: dict[types.UpstreamId, float] = {}
         if self._features.affinity:
-            shares = self.affinity.shares(
+            shares = self.affinity.cache_likelihoods(
                 organisation=request.organisation,
                 prefix=request.prefix_hash,
                 now=now,
             )
         return tuple(
-            self._weigh(
+            self._candidate(
                 runner,
-                margin=margins.get(runner.id, 0.0),
-                share=shares.get(runner.id, 0.0),
+                expected_service_seconds=expected_service_by_id.get(
+                    runner.id, 0.0
+                ),
+                affinity_estimate=shares.get(runner.id, 0.0),
                 remaining_seconds=remaining_seconds,
                 target_budget_seconds=target_budget_seconds,
                 exclusion=self._exclusion(runner, request, profile, kept, now),
@@ -281,7 +291,7 @@
             self._median_at = now
         return runner.health.straggler_factor(self._median_pace, now)
 
-    def observe_end(
+    def record_end(
         self,
         *,
         ended: messages.PermitEnded,
@@ -295,10 +305,10 @@
         if runner is None:
             return
         if ended.outcome is outcomes.Outcome.COMPLETE:
-            runner.health.succeeded()
+            runner.health.record_success()
             self._observe_latencies(runner, ended, profile, in_flight, now)
-        elif health.is_fault(ended.reason):
-            runner.health.failed()
+        elif health.is_runner_fault(ended.reason):
+            runner.health.record_failure()
             self._eject_if_failing(runner, now)
 
     def next_probe(self) -> float | None:
@@ -310,7 +320,7 @@
         ]
         return min(instants, default=None)
 
-    def _remember_state(
+    def _record_state(
         self, upstream: types.UpstreamId, state: messages.UpstreamState
     ) -> None:
         """Keep that a runner is not live, configured or not.
@@ -321,39 +331,39 @@
         self._not_live.pop(upstream, None)
         if state is not messages.UpstreamState.LIVE:
             self._not_live[upstream] = state
-        if len(self._not_live) > _STATES_KEPT:
+        if len(self._not_live) > _MAX_REMEMBERED_STATES:
             del self._not_live[next(iter(self._not_live))]
 
     def _refresh_usable(self) -> None:
-        self._total_room = None
+        self._total_capacity = None
         self._usable = [
             runner
             for runner in self
             if runner.configured and runner.state is messages.UpstreamState.LIVE
         ]
 
-    def _weigh(
+    def _candidate(
         self,
         runner: RunnerState,
         *,
-        margin: float,
-        share: float,
+        expected_service_seconds: float,
+        affinity_estimate: float,
         remaining_seconds: float,
         target_budget_seconds: float,
         exclusion: decision.Exclusion,
         now: float,
     ) -> messages.Candidate:
         report = runner.report if self._features.load_reports else None
-        return decision.weigh(
+        return decision.score_candidate(
             upstream=runner.id,
             in_flight=runner.in_flight,
-            room=self.limit(runner),
+            room=self.concurrency_limit(runner),
             reported_load=report.running + report.waiting if report else -1,
             report_age_seconds=now - runner.reported_at if report else 0.0,
             foreign_load=runner.foreign_load if report else 0.0,
-            affinity=share,
+            affinity=affinity_estimate,
             straggler_factor=self.straggler_factor(runner, now),
-            expected_service_seconds=margin,
+            expected_service_seconds=expected_service_seconds,
             remaining_seconds=remaining_seconds,
             target_budget_seconds=target_budget_seconds,
             exclusion=exclusion.value,
@@ -387,8 +397,8 @@
             return decision.Exclusion.PROBING
         # A probe may fail; a request that must not run twice is not risked
         # on it, unless no other has come for a while.
-        patience = runner.health.ejected_until + _PROBE_PATIENCE_SECONDS
-        if not profile.idempotent and now < patience:
+        probe_wait_until = runner.health.ejected_until + _PROBE_WAIT_SECONDS
+        if not profile.idempotent and now < probe_wait_until:
             return decision.Exclusion.PROBING
         return decision.Exclusion.NONE
 
@@ -407,14 +417,14 @@
         pace = per_token if per_token > 0 else ended.total_seconds
         if pace > 0:
             runner.health.observe_pace(pace, now)
-        runner.room.observe(
+        runner.adaptive_limit.observe(
             profile=profile,
             first_token_seconds=ended.first_token_seconds,
             seconds_per_token=per_token,
             in_flight=in_flight,
             now=now,
         )
-        self._total_room = None
+        self._total_capacity = None
 
     def _eject_if_failing(self, runner: RunnerState, now: float) -> None:
         if not self._features.ejection:
@@ -428,5 +438,5 @@
         # Ejecting one after another in a fault that all share would send
         # the whole load to the last one and fell it as well.
         ejected = sum(1 for r in self._usable if r.health.ejected)
-        if (ejected + 1) * MAXIMUM_EJECTED_FRACTION <= len(self._usable):
+        if (ejected + 1) * MIN_RUNNERS_PER_EJECTION <= len(self._usable):
             runner.health.eject(now)
--- a/packages/policy/src/lagoonrun_policy/scheduler.py
+++ b/packages/policy/src/lagoonrun_policy/scheduler.py
@@ -11,8 +11,8 @@
     fair_queue,
     features,
     granting,
-    ledger,
     messages,
+    permit_table,
     records,
     shard,
     shard_ranking,
@@ -41,18 +41,24 @@
         policy: messages.ShardPolicy,
         switches: features.Features | None = None,
     ) -> None:
-        self._shard = shard.Shard(
+        self._shard = shard.ShardState(
             policy=policy, switches=switches or features.Features()
         )
-        self._slots = slots.SlotBook(shared=self._shard)
+        self._slots = slots.SlotAccounting(shard_state=self._shard)
         self._admission = admission.Admission(
-            shared=self._shard, book=self._slots, emit=self._emit
+            shard_state=self._shard,
+            slot_accounting=self._slots,
+            emit=self._emit,
         )
         self._granting = granting.Granting(
-            shared=self._shard, book=self._slots, emit=self._emit
+            shard_state=self._shard,
+            slot_accounting=self._slots,
+            emit=self._emit,
         )
         self._cutting = cutting.Cutting(
-            shared=self._shard, book=self._slots, emit=self._emit
+            shard_state=self._shard,
+            slot_accounting=self._slots,
+            emit=self._emit,
         )
         self._actions: list[messages.Action] = []
         self._sequence = 0
@@ -85,7 +91,7 @@
             case messages.PolicyChanged():
                 self._on_policy(event, now)
             case messages.DispatcherStalled():
-                self._slots.doubt_running()
+                self._slots.require_next_digest()
             case messages.Ticked():
                 pass
         self._drop_silent(now)
@@ -101,14 +107,16 @@
         for state in self._shard.classes:
             earliest = state.queue.earliest()
             if earliest is not None:
-                margin = self._shard.margins_of(state, now).best
-                instants.append(earliest.deadline - margin)
-                budget = self._shard.budget_until(earliest, state, now)
+                expected_service_seconds = self._shard.service_estimates(
+                    state, now
+                ).best
+                instants.append(earliest.deadline - expected_service_seconds)
+                budget = self._shard.target_budget_until(earliest, state, now)
                 if budget > now:
                     instants.append(budget)
-                cut_at = self._cutting.due_at(state)
-                if self._shard.switches.cutting and cut_at > now:
-                    instants.append(cut_at)
+                cut_due_at = self._cutting.due_at(state)
+                if self._shard.switches.cutting and cut_due_at > now:
+                    instants.append(cut_due_at)
         if not instants:
             return None
         instants.append(max(now, self._silence_check_at))
@@ -151,38 +159,42 @@
     def _on_requested(
         self, event: messages.PermitRequested, now: float
     ) -> None:
-        self._slots.permits.hear(event.ingress, now)
-        if self._resend(event):
+        self._slots.permits.record_contact(event.ingress, now)
+        if self._repeat_answer(event):
             return
-        waiting = self._waiting_of(event, now)
+        waiting = self._new_waiting(event, now)
         state = self._shard.by_profile.get(event.profile)
         if state is None:
-            state = self._shard.unknown_class(event.profile)
-            self._refuse_flat(waiting, state, decision.Phase.CONFIGURATION, now)
+            state = self._shard.placeholder_class(event.profile)
+            self._refuse_without_queueing(
+                waiting, state, decision.Phase.CONFIGURATION, now
+            )
             return
         if self._slots.permits.has_ended(event.key):
-            self._refuse_flat(waiting, state, decision.Phase.ENDED, now)
+            self._refuse_without_queueing(
+                waiting, state, decision.Phase.ENDED, now
+            )
             return
         if not self._shard.any_waiting():
-            if self._granting.settle_at_once(waiting, state, now):
+            if self._granting.decide_on_arrival(waiting, state, now):
                 return
-        elif not self._admission.admits(waiting, state, now):
+        elif not self._admission.admit(waiting, state, now):
             return
         self._slots.permits.add_queued(
-            event.key, ledger.Queued(waiting=waiting, state=state)
+            event.key, permit_table.QueuedPermit(waiting=waiting, state=state)
         )
         state.queue.push(waiting)
 
     def _on_ended(self, event: messages.PermitEnded, now: float) -> None:
         running = self._slots.permits.running_by_key.get(event.key)
-        self._slots.permits.note_ended(event.key)
+        self._slots.permits.record_ended(event.key)
         if running is None:
             self._slots.withdraw(event.key)
             return
-        self._slots.permits.hear(running.ingress, now)
+        self._slots.permits.record_contact(running.ingress, now)
         runner = self._shard.pool.get(running.upstream)
         in_flight = runner.in_flight if runner is not None else 0
-        self._slots.learn(event, running, in_flight, now)
+        self._slots.record_end(event, running, in_flight, now)
         tokens = (
             0
             if event.outcome is outcomes.Outcome.NOT_RUN
@@ -191,7 +203,7 @@
         self._slots.release(running, tokens=tokens)
 
     def _on_returned(self, event: messages.PermitReturned) -> None:
-        self._slots.permits.note_ended(event.key)
+        self._slots.permits.record_ended(event.key)
         self._slots.withdraw(event.key)
         running = self._slots.permits.running_by_key.get(event.key)
         if running is not None:
@@ -203,7 +215,7 @@
         running = self._slots.permits.running_by_key.get(event.key)
         if running is None or event.tokens <= running.tokens:
             return
-        self._slots.permits.hear(running.ingress, now)
+        self._slots.permits.record_contact(running.ingress, now)
         runner = self._shard.pool.get(running.upstream)
         if running.tokens > 0 and runner is not None:
             elapsed = now - running.progressed_at
@@ -219,33 +231,33 @@
         if runner is None:
             return False
         before = runner.models
-        runner.take_report(event, now)
+        runner.apply_report(event, now)
         return runner.models != before
 
     def _on_digest(self, event: messages.InFlightDigest, now: float) -> None:
-        self._slots.permits.hear(event.ingress, now)
-        registers = self._slots.permits.may_register(event.ingress, now)
-        named = {w.key for w in event.running}
+        self._slots.permits.record_contact(event.ingress, now)
+        may_register = self._slots.permits.may_register(event.ingress, now)
+        listed = {w.key for w in event.running}
         for work in event.running:
             if work.key in self._slots.permits.running_by_key:
                 self._slots.permits.running_by_key[work.key].missed_digests = 0
-            elif registers and not self._slots.permits.has_ended(work.key):
-                self._slots.adopt_running(work, event.ingress, now)
-        named.update(event.waiting)
+            elif may_register and not self._slots.permits.has_ended(work.key):
+                self._slots.register_running(work, event.ingress, now)
+        listed.update(event.waiting)
         for key in self._slots.permits.keys_of(event.ingress):
-            if key not in named:
-                self._slots.miss(key, now)
+            if key not in listed:
+                self._slots.record_unlisted(key, now)
 
     def _on_upstream(self, event: messages.UpstreamChanged) -> None:
         self._shard.pool.set_state(event.upstream, event.state)
-        self._shard.forget_margins()
+        self._shard.invalidate_estimates()
 
     def _drop_ingress(self, ingress: types.EntryVmId, now: float) -> None:
         """End all that an ingress has.
 
         If it is alive after all, its digests register what runs anew.
         """
-        self._slots.permits.note_gone(ingress, now)
+        self._slots.permits.record_gone(ingress, now)
         for key in self._slots.permits.keys_of(ingress):
             self._slots.withdraw(key)
             running = self._slots.permits.running_by_key.get(key)
@@ -256,7 +268,7 @@
         for state in self._shard.configure(event.policy):
             for waiting in list(state.queue):
                 self._slots.withdraw(waiting.request.key)
-                self._refuse_flat(
+                self._refuse_without_queueing(
                     waiting, state, decision.Phase.CONFIGURATION, now
                 )
 
@@ -264,10 +276,10 @@
         if now < self._silence_check_at:
             return
         self._silence_check_at = now + _SILENCE_CHECK_SECONDS
-        for ingress in self._slots.permits.silent(now):
+        for ingress in self._slots.permits.silent_ingresses(now):
             self._drop_ingress(ingress, now)
 
-    def _resend(self, event: messages.PermitRequested) -> bool:
+    def _repeat_answer(self, event: messages.PermitRequested) -> bool:
         """Answer a request that came again; return whether it is known.
 
         An ingress that asks twice has lost the answer: it gets the same
@@ -282,11 +294,11 @@
             self._actions.append(running.grant)
         return True
 
-    def _waiting_of(
+    def _new_waiting(
         self, event: messages.PermitRequested, now: float
-    ) -> fair_queue.Waiting:
+    ) -> fair_queue.WaitingRequest:
         self._sequence += 1
-        return fair_queue.Waiting(
+        return fair_queue.WaitingRequest(
             request=event,
             arrived_at=now,
             deadline=now + event.remaining_seconds,
@@ -294,15 +306,15 @@
             sequence=self._sequence,
         )
 
-    def _refuse_flat(
+    def _refuse_without_queueing(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         phase: decision.Phase,
         now: float,
     ) -> None:
         verdict, record = records.decide(
-            shared=self._shard,
+            shard_state=self._shard,
             waiting=waiting,
             state=state,
             phase=phase,
--- a/packages/policy/src/lagoonrun_policy/shard.py
+++ b/packages/policy/src/lagoonrun_policy/shard.py
@@ -13,12 +13,12 @@
     runners,
 )
 
-_MARGIN_REFRESH_SECONDS = 0.05
-_TARGET_SLACK = 1.25
+_ESTIMATE_REFRESH_SECONDS = 0.05
+_TARGET_SLACK_FACTOR = 1.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Margins:
+class ServiceEstimates:
     """Time that a class's request needs until its end.
 
     Parameters
@@ -37,7 +37,7 @@
     computed_at: float
 
 
-class Shard:
+class ShardState:
     """Classes, runners and service times of one shard.
 
     Parameters
@@ -62,28 +62,28 @@
             switches=switches,
             services=self.services,
         )
-        self._margins: dict[types.ProfileName, Margins] = {}
-        self._adopt_classes()
+        self._estimates: dict[types.ProfileName, ServiceEstimates] = {}
+        self._apply_classes()
 
     def configure(
         self, policy: messages.ShardPolicy
     ) -> list[class_state.ClassState]:
         """Take over a configuration; return the classes that vanished."""
         self.policy = policy
-        vanished = [
+        removed = [
             state
             for name, state in self.by_profile.items()
             if name not in policy.classes_by_name
         ]
-        for state in vanished:
+        for state in removed:
             del self.by_profile[state.policy.name]
             self.services.forget_profile(state.policy.name)
-        self._adopt_classes()
+        self._apply_classes()
         self.pool.configure(policy.runners_by_id)
-        self.forget_margins()
-        return vanished
+        self.invalidate_estimates()
+        return removed
 
-    def unknown_class(
+    def placeholder_class(
         self, profile: types.ProfileName
     ) -> class_state.ClassState:
         """Return a stand-in for a class that is not configured here."""
@@ -98,27 +98,29 @@
             switches=self.switches,
         )
 
-    def forget_margins(self) -> None:
+    def invalidate_estimates(self) -> None:
         """Work out margins anew, since the usable runners have changed."""
-        self._margins.clear()
+        self._estimates.clear()
 
-    def margins_of(self, state: class_state.ClassState, now: float) -> Margins:
+    def service_estimates(
+        self, state: class_state.ClassState, now: float
+    ) -> ServiceEstimates:
         """Return the time that a request of the class needs, as of lately."""
         name = state.policy.name
-        known = self._margins.get(name)
-        if known and 0 <= now - known.computed_at < _MARGIN_REFRESH_SECONDS:
+        known = self._estimates.get(name)
+        if known and 0 <= now - known.computed_at < _ESTIMATE_REFRESH_SECONDS:
             return known
-        by_id = self.pool.margins(profile=state.policy, now=now)
-        margins = Margins(
+        by_id = self.pool.service_estimates(profile=state.policy, now=now)
+        estimates = ServiceEstimates(
             by_id=by_id,
             best=min(by_id.values(), default=0.0),
             samples=self.services.samples(profile=name, now=now),
             computed_at=now,
         )
-        self._margins[name] = margins
-        return margins
+        self._estimates[name] = estimates
+        return estimates
 
-    def late_before(self, state: class_state.ClassState, now: float) -> float:
+    def target_cutoff(self, state: class_state.ClassState, now: float) -> float:
         """Return the instant before which a target can no longer be met."""
         profile = state.policy.name
         if state.policy.target_on_first_token:
@@ -129,7 +131,7 @@
 
     def target_budget(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         now: float,
     ) -> float:
@@ -142,37 +144,41 @@
             return 0.0
         remaining = waiting.target_deadline - now
         return (
-            remaining if now < self.budget_until(waiting, state, now) else 0.0
+            remaining
+            if now < self.target_budget_until(waiting, state, now)
+            else 0.0
         )
 
-    def budget_until(
+    def target_budget_until(
         self,
-        waiting: fair_queue.Waiting,
+        waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
         now: float,
     ) -> float:
         """Return the instant from which any runner will do."""
-        best = self.margins_of(state, now).best
+        best = self.service_estimates(state, now).best
         if not self.switches.target_runners or best == 0.0:
             return now
-        return waiting.target_deadline - _TARGET_SLACK * best
+        return waiting.target_deadline - _TARGET_SLACK_FACTOR * best
 
     def any_waiting(self) -> bool:
         """Return whether any request waits."""
         return any(c.queue.length for c in self.classes)
 
     def drain_seconds(
-        self, state: class_state.ClassState, own_ahead: int, now: float
+        self, state: class_state.ClassState, requests_ahead: int, now: float
     ) -> float:
         """Return the time until the work ahead has been granted.
 
         Only work of this and the higher tiers counts: a lower tier is never
         the cause of a refusal, but for its floor, which is set aside.
         """
-        room = self.pool.total_room()
+        room = self.pool.total_capacity()
         if room == 0:
             return 0.0
-        ahead = own_ahead * self._mean(state, now) if own_ahead else 0.0
+        ahead = (
+            requests_ahead * self._mean(state, now) if requests_ahead else 0.0
+        )
         for other in self.classes:
             if other.policy.tier >= state.policy.tier:
                 break
@@ -202,7 +208,7 @@
             count += other.queue.length
         return count
 
-    def _adopt_classes(self) -> None:
+    def _apply_classes(self) -> None:
         weights = self.policy.weights_by_organisation
         for name, declared in self.policy.classes_by_name.items():
             state = self.by_profile.get(name)
@@ -219,7 +225,7 @@
             self.by_profile.values(),
             key=lambda c: (c.policy.tier, c.policy.name),
         )
-        self.floor_scale = floors.scale(self.classes)
+        self.floor_scale = floors.share_scale(self.classes)
 
     def _mean(self, state: class_state.ClassState, now: float) -> float:
         return self.services.mean(profile=state.policy.name, now=now)
--- a/packages/policy/src/lagoonrun_policy/shard_ranking.py
+++ b/packages/policy/src/lagoonrun_policy/shard_ranking.py
@@ -17,7 +17,7 @@
 ROUND_TRIPS = 3
 """Round trips before a far answer begins: permit, connection, request."""
 
-_OLD_SECONDS = 5.0
+_MAX_SUMMARY_AGE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -66,7 +66,7 @@
     OLD_SUMMARY = 4
 
 
-_PROMISING = (_Rank.FREE, _Rank.ADMITS_LOWER_TIER)
+_ADMITTING_RANKS = (_Rank.FREE, _Rank.ADMITS_LOWER_TIER)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -75,7 +75,7 @@
 
     view: ShardView
     rank: _Rank
-    travel_seconds: float
+    network_seconds: float
     delay_seconds: float
 
     def sort_key(self) -> tuple[int, float, int, types.ShardId]:
@@ -125,12 +125,12 @@
     ]
     own = _sorted(one for one in candidates if one.view.same_domain)
     others = _merge(
-        near=_sorted(
+        same_region=_sorted(
             c
             for c in candidates
             if c.view.same_region and not c.view.same_domain
         ),
-        far=_sorted(
+        other_region=_sorted(
             c
             for c in candidates
             if not (c.view.same_region or c.view.same_domain)
@@ -144,20 +144,22 @@
 
 
 def _ranked(view: ShardView, tier: types.Tier) -> _Ranked:
-    travel = 0.0 if view.same_domain else ROUND_TRIPS * view.distance_seconds
+    network_seconds = (
+        0.0 if view.same_domain else ROUND_TRIPS * view.distance_seconds
+    )
     wait = 0.0 if view.free > 0 and not view.same_domain else view.wait_seconds
     return _Ranked(
         view=view,
         rank=_rank(view, tier),
-        travel_seconds=travel,
-        delay_seconds=wait + travel,
+        network_seconds=network_seconds,
+        delay_seconds=wait + network_seconds,
     )
 
 
 def _rank(view: ShardView, tier: types.Tier) -> _Rank:
     if view.same_domain:
         return _Rank.OWN
-    if view.age_seconds > _OLD_SECONDS:
+    if view.age_seconds > _MAX_SUMMARY_AGE_SECONDS:
         return _Rank.OLD_SUMMARY
     if view.free > 0:
         return _Rank.FREE
@@ -176,7 +178,7 @@
     if one.rank is _Rank.QUEUES:
         return one.delay_seconds < remaining_seconds
     # What a summary says of the wait is of the lowest tier, or too old.
-    return one.travel_seconds <= remaining_seconds
+    return one.network_seconds <= remaining_seconds
 
 
 def _sorted(ranked: Iterable[_Ranked]) -> list[_Ranked]:
@@ -184,42 +186,54 @@
 
 
 def _merge(
-    *, near: list[_Ranked], far: list[_Ranked], target_seconds: float
+    *,
+    same_region: list[_Ranked],
+    other_region: list[_Ranked],
+    target_seconds: float,
 ) -> list[_Ranked]:
     """Return both in one order; near ones go first unless a far one is due.
 
     The order among near ones and that among far ones stay as they are.
     """
     merged = []
-    near_index = far_index = 0
-    while near_index < len(near) and far_index < len(far):
-        if _goes_before(far[far_index], near[near_index], target_seconds):
-            merged.append(far[far_index])
-            far_index += 1
+    same_index = other_index = 0
+    while same_index < len(same_region) and other_index < len(other_region):
+        if _precedes(
+            other_region[other_index],
+            same_region[same_index],
+            target_seconds,
+        ):
+            merged.append(other_region[other_index])
+            other_index += 1
         else:
-            merged.append(near[near_index])
-            near_index += 1
-    return merged + near[near_index:] + far[far_index:]
+            merged.append(same_region[same_index])
+            same_index += 1
+    return merged + same_region[same_index:] + other_region[other_index:]
 
 
-def _goes_before(far: _Ranked, near: _Ranked, target_seconds: float) -> bool:
+def _precedes(
+    other_region: _Ranked, same_region: _Ranked, target_seconds: float
+) -> bool:
     """Return whether a far shard is asked before a near one."""
-    if far.rank is _Rank.OLD_SUMMARY:
+    if other_region.rank is _Rank.OLD_SUMMARY:
         return False
-    if near.rank is _Rank.OLD_SUMMARY:
+    if same_region.rank is _Rank.OLD_SUMMARY:
         return True
-    if near.rank is _Rank.FREE or near.delay_seconds <= target_seconds:
+    if (
+        same_region.rank is _Rank.FREE
+        or same_region.delay_seconds <= target_seconds
+    ):
         return False
-    if far.delay_seconds <= target_seconds:
+    if other_region.delay_seconds <= target_seconds:
         return True
     # Both are late. The wait of a shard that admits lower tiers is theirs,
     # so that it may be shorter for this request; a queue's is its own.
-    is_queue = near.rank is _Rank.QUEUES
-    return is_queue and far.delay_seconds < near.delay_seconds
+    is_queue = same_region.rank is _Rank.QUEUES
+    return is_queue and other_region.delay_seconds < same_region.delay_seconds
 
 
 def _choose(
-    own: Sequence[_Ranked], others: Sequence[_Ranked], most: int
+    own: Sequence[_Ranked], others: Sequence[_Ranked], max_shards: int
 ) -> list[_Ranked]:
     """Return at most `most` of both, own ones first, in their order."""
     # Cut to the nearest few, a request would be refused by queues of its own
@@ -227,9 +241,9 @@
     by_importance = sorted(
         range(len(others)),
         key=lambda index: (
-            index > 0 and others[index].rank not in _PROMISING,
+            index > 0 and others[index].rank not in _ADMITTING_RANKS,
             index,
         ),
     )
-    kept = sorted(by_importance[: max(0, most - len(own))])
-    return [*own[:most], *(others[index] for index in kept)]
+    kept = sorted(by_importance[: max(0, max_shards - len(own))])
+    return [*own[:max_shards], *(others[index] for index in kept)]
--- a/packages/policy/src/lagoonrun_policy/shard_status.py
+++ b/packages/policy/src/lagoonrun_policy/shard_status.py
@@ -66,7 +66,7 @@
     runners: tuple[RunnerStatus, ...]
 
 
-def describe(shared: shard.Shard, *, now: float) -> ShardStatus:
+def describe(shard_state: shard.ShardState, *, now: float) -> ShardStatus:
     """Return the state of a shard as of `now`."""
     return ShardStatus(
         classes=tuple(
@@ -76,19 +76,21 @@
                 waiting=state.queue.length,
                 running=state.running,
                 queue_capacity=state.capacity,
-                expected_service_seconds=shared.margins_of(state, now).best,
+                expected_service_seconds=shard_state.service_estimates(
+                    state, now
+                ).best,
             )
-            for state in shared.classes
+            for state in shard_state.classes
         ),
         runners=tuple(
-            _runner(shared, runner, now)
-            for runner in sorted(shared.pool, key=lambda one: one.id)
+            _runner(shard_state, runner, now)
+            for runner in sorted(shard_state.pool, key=lambda one: one.id)
         ),
     )
 
 
 def _runner(
-    shared: shard.Shard, runner: runners.RunnerState, now: float
+    shard_state: shard.ShardState, runner: runners.RunnerState, now: float
 ) -> RunnerStatus:
     report = runner.report
     return RunnerStatus(
@@ -96,9 +98,9 @@
         state=runner.state,
         ejected=runner.health.ejected,
         in_flight=runner.in_flight,
-        room=shared.pool.limit(runner),
+        room=shard_state.pool.concurrency_limit(runner),
         slots=runner.declared.slots,
         reported_load=report.running + report.waiting if report else -1,
         report_age_seconds=now - runner.reported_at if report else 0.0,
-        straggler_factor=shared.pool.straggler_factor(runner, now),
+        straggler_factor=shard_state.pool.straggler_factor(runner, now),
     )
--- a/packages/policy/src/lagoonrun_policy/slots.py
+++ b/packages/policy/src/lagoonrun_policy/slots.py
@@ -1,14 +1,16 @@
 """Slots of the runners: taken, freed once, and settled with the payer."""
 
 from lagoonrun_core import outcomes, types
-from lagoonrun_policy import ledger, messages, shard
+from lagoonrun_policy import messages, permit_table, shard
 
 _DIGEST_GRACE_SECONDS = 2.0
-_DIGESTS_TO_DROP = 2
-_STOPPED = frozenset({outcomes.Outcome.PARTIAL, outcomes.Outcome.UNKNOWN})
+_MAX_MISSED_DIGESTS = 2
+_INTERRUPTED_OUTCOMES = frozenset(
+    {outcomes.Outcome.PARTIAL, outcomes.Outcome.UNKNOWN}
+)
 
 
-class SlotBook:
+class SlotAccounting:
     """Keeps ledger, runner counts and organisations' charges in step.
 
     Parameters
@@ -17,19 +19,21 @@
         The shard whose slots these are.
     """
 
-    def __init__(self, *, shared: shard.Shard) -> None:
-        self._shard = shared
-        self.permits = ledger.Ledger()
+    def __init__(self, *, shard_state: shard.ShardState) -> None:
+        self._shard = shard_state
+        self.permits = permit_table.PermitTable()
 
-    def occupy(self, running: ledger.Running) -> None:
+    def occupy(self, running: permit_table.RunningPermit) -> None:
         """Take a slot for granted work."""
         self.permits.add_running(running)
-        self._shard.pool.adopt(running.upstream).occupy()
+        self._shard.pool.get_or_add(running.upstream).occupy()
         if running.state is not None:
             running.state.running += 1
             running.state.floor_running += int(running.floor)
 
-    def release(self, running: ledger.Running, *, tokens: float) -> None:
+    def release(
+        self, running: permit_table.RunningPermit, *, tokens: float
+    ) -> None:
         """Free the slot of granted work, once, and settle its charge."""
         if self.permits.remove_running(running.key) is None:
             return
@@ -40,9 +44,11 @@
         runner = self._shard.pool.get(running.upstream)
         if runner is not None:
             runner.release()
-            self._shard.pool.forget_if_idle(runner)
+            self._shard.pool.remove_if_idle(runner)
 
-    def charge(self, running: ledger.Running, tokens: float) -> None:
+    def charge(
+        self, running: permit_table.RunningPermit, tokens: float
+    ) -> None:
         """Set what the work's organisation has been charged for it."""
         if running.state is not None:
             running.state.queue.charge(
@@ -56,7 +62,7 @@
         if queued is not None:
             queued.state.queue.remove(queued.waiting)
 
-    def adopt_running(
+    def register_running(
         self,
         work: messages.InFlight,
         ingress: types.EntryVmId,
@@ -64,7 +70,7 @@
     ) -> None:
         """Count work that another dispatcher granted, or that we forgot."""
         self.withdraw(work.key)
-        running = ledger.Running(
+        running = permit_table.RunningPermit(
             key=work.key,
             ingress=ingress,
             state=self._shard.by_profile.get(work.profile),
@@ -77,7 +83,7 @@
         self.occupy(running)
         self.charge(running, float(max(work.tokens, 1)))
 
-    def doubt_running(self) -> None:
+    def require_next_digest(self) -> None:
         """Let one digest that does not name granted work end it.
 
         While the process did not run, connections to it were given up, and
@@ -86,9 +92,9 @@
         name is over; waiting for a second one would leave slots empty.
         """
         for running in self.permits.running_by_key.values():
-            running.missed_digests = _DIGESTS_TO_DROP - 1
+            running.missed_digests = _MAX_MISSED_DIGESTS - 1
 
-    def miss(self, key: messages.PermitKey, now: float) -> None:
+    def record_unlisted(self, key: messages.PermitKey, now: float) -> None:
         """Drop what its ingress no longer names.
 
         A grant or a request may still be on its way, and a digest may have
@@ -99,20 +105,20 @@
             if now - running.granted_at < _DIGEST_GRACE_SECONDS:
                 return
             running.missed_digests += 1
-            if running.missed_digests >= _DIGESTS_TO_DROP:
+            if running.missed_digests >= _MAX_MISSED_DIGESTS:
                 self.release(running, tokens=max(running.tokens, 1))
             return
         queued = self.permits.queued_by_key[key]
         if now - queued.waiting.arrived_at < _DIGEST_GRACE_SECONDS:
             return
         queued.missed_digests += 1
-        if queued.missed_digests >= _DIGESTS_TO_DROP:
+        if queued.missed_digests >= _MAX_MISSED_DIGESTS:
             self.withdraw(key)
 
-    def learn(
+    def record_end(
         self,
         event: messages.PermitEnded,
-        running: ledger.Running,
+        running: permit_table.RunningPermit,
         in_flight: int,
         now: float,
     ) -> None:
@@ -120,7 +126,7 @@
         if running.state is None:
             return
         profile = running.state.policy.name
-        self._shard.pool.observe_end(
+        self._shard.pool.record_end(
             ended=event,
             upstream=running.upstream,
             profile=profile,
@@ -140,8 +146,8 @@
                 total_seconds=event.total_seconds,
                 now=now,
             )
-        elif event.outcome in _STOPPED:
-            self._shard.services.record_at_least(
+        elif event.outcome in _INTERRUPTED_OUTCOMES:
+            self._shard.services.record_lower_bound(
                 profile=profile,
                 upstream=running.upstream,
                 total_seconds=event.total_seconds,
--- a/packages/policy/tests/world.py
+++ b/packages/policy/tests/simulation.py
@@ -17,18 +17,18 @@
 _GRACE_SECONDS = 3.0
 
 
-class PromiseBrokenError(AssertionError):
+class InvariantError(AssertionError):
     """Names the promise that was broken."""
 
-    def __init__(self, promise: str, detail: object) -> None:
-        super().__init__(f"{promise}: {detail}")
-        self.promise = promise
+    def __init__(self, invariant: str, detail: object) -> None:
+        super().__init__(f"{invariant}: {detail}")
+        self.invariant = invariant
 
 
-def expect(promise: str, holds: bool, detail: object = "") -> None:
+def expect(invariant: str, holds: bool, detail: object = "") -> None:
     """Fail with the promise's name if it does not hold."""
     if not holds:
-        raise PromiseBrokenError(promise, detail)
+        raise InvariantError(invariant, detail)
 
 
 @dataclasses.dataclass
@@ -47,7 +47,7 @@
         return self.event.key
 
 
-class World:
+class Simulation:
     """Ingresses, runners and books around one scheduler."""
 
     def __init__(self, *, subject, policy: messages.ShardPolicy) -> None:
@@ -372,17 +372,17 @@
             )
 
 
-def walk(world: World, *, seed: int, steps: int, successor) -> None:
+def walk(simulation: Simulation, *, seed: int, steps: int, successor) -> None:
     """Do random steps; `successor` makes the scheduler after a handover."""
     rng = random.Random(seed)
-    profiles = list(world.policy.classes_by_name)
-    full = world.policy
+    profiles = list(simulation.policy.classes_by_name)
+    full = simulation.policy
     upstreams = list(full.runners_by_id)
     for _ in range(steps):
         step = rng.random()
-        running = list(world.running)
+        running = list(simulation.running)
         if step < 0.5:
-            world.request(
+            simulation.request(
                 rng.choice(profiles),
                 rng.choice(["large", "large", "small"]),
                 rng.choice(["vm0", "vm1", "vm2"]),
@@ -390,32 +390,36 @@
                 rng.sample(upstreams, rng.choice([0, 0, 0, 1, 3])),
             )
         elif step < 0.72 and running:
-            world.pass_time(rng.choice([0.0, 0.01, 0.3]))
+            simulation.pass_time(rng.choice([0.0, 0.01, 0.3]))
             key = rng.choice(running)
-            if key in world.running:
-                world.end(
+            if key in simulation.running:
+                simulation.end(
                     key, lost=rng.random() < 0.1, failed=rng.random() < 0.1
                 )
         elif step < 0.78:
-            world.digest(rng.choice(["vm0", "vm1", "vm2"]))
-        elif step < 0.81 and world.over:
-            world.end_late(rng.choice(world.over))
-        elif step < 0.84 and world.waiting | world.running:
-            world.ask_again(rng.choice(list(world.waiting | world.running)))
-        elif step < 0.88 and world.waiting | world.running:
-            world.give_back(rng.choice(list(world.waiting | world.running)))
+            simulation.digest(rng.choice(["vm0", "vm1", "vm2"]))
+        elif step < 0.81 and simulation.over:
+            simulation.end_late(rng.choice(simulation.over))
+        elif step < 0.84 and simulation.waiting | simulation.running:
+            simulation.ask_again(
+                rng.choice(list(simulation.waiting | simulation.running))
+            )
+        elif step < 0.88 and simulation.waiting | simulation.running:
+            simulation.give_back(
+                rng.choice(list(simulation.waiting | simulation.running))
+            )
         elif step < 0.90:
-            world.ingress_gone(rng.choice(["vm1", "vm2"]))
+            simulation.ingress_gone(rng.choice(["vm1", "vm2"]))
         elif step < 0.92:
-            world.upstream(rng.choice(upstreams), rng.choice(_STATES))
+            simulation.upstream(rng.choice(upstreams), rng.choice(_STATES))
         elif step < 0.94:
-            world.configure(_subset(full, rng))
+            simulation.configure(_subset(full, rng))
         elif step < 0.95:
-            world.hand_over(successor(world.policy))
+            simulation.hand_over(successor(simulation.policy))
         else:
-            world.pass_time(rng.choice([0.1, 1.0, 6.0]))
-    world.configure(full)
-    world.settle()
+            simulation.pass_time(rng.choice([0.1, 1.0, 6.0]))
+    simulation.configure(full)
+    simulation.settle()
 
 
 _STATES = [
--- a/packages/policy/tests/test_estimates.py
+++ b/packages/policy/tests/test_estimates.py
@@ -54,7 +54,7 @@
     add(30, 2.0, now=0.0)
     other = types.UpstreamId("r1")
     assert _high(subject, 0.0, upstream=other) == pytest.approx(2.0, rel=0.03)
-    slow = _high(subject, 0.0, upstream=other, pace=3.0)
+    slow = _high(subject, 0.0, upstream=other, slowdown=3.0)
     assert slow == pytest.approx(6.0, rel=0.03)
 
 
@@ -87,7 +87,7 @@
     subject, add = times
     add(50, 1.0, now=0.0)
     for seconds in [0.5] * 50 + [9.0] * 20:
-        subject.record_at_least(
+        subject.record_lower_bound(
             profile=_PROFILE,
             upstream=_RUNNER,
             total_seconds=seconds,
--- a/packages/policy/tests/test_promises.py
+++ b/packages/policy/tests/test_invariants.py
@@ -9,7 +9,7 @@
 from lagoonrun_core import types
 from lagoonrun_policy import features, messages, scheduler
 
-from . import world
+from . import simulation
 from .conftest import class_policy, shard_policy
 
 _CLASSES = [
@@ -19,7 +19,7 @@
         "digest", 3, limit_seconds=30.0, queue_capacity=4, idempotent=False
     ),
 ]
-_POLICY = shard_policy(_CLASSES, runners=3, slots=world.SLOTS)
+_POLICY = shard_policy(_CLASSES, runners=3, slots=simulation.SLOTS)
 # Rooms that adapt and runners that are ejected have their own tests; here
 # the books count declared slots.
 _SWITCHES = features.Features(adaptive_room=False, ejection=False)
@@ -30,19 +30,19 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_promises_hold_on_a_random_walk(seed):
-    subject = world.World(subject=_make(_POLICY), policy=_POLICY)
-    world.walk(subject, seed=seed, steps=400, successor=_make)
+def test_invariants_hold_on_a_random_walk(seed):
+    subject = simulation.Simulation(subject=_make(_POLICY), policy=_POLICY)
+    simulation.walk(subject, seed=seed, steps=400, successor=_make)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_promises_hold_with_cutting(seed):
+def test_invariants_hold_with_cutting(seed):
     def make(policy):
         switches = dataclasses.replace(_SWITCHES, cutting=True)
         return scheduler.ShardScheduler(policy=policy, switches=switches)
 
-    subject = world.World(subject=make(_POLICY), policy=_POLICY)
-    world.walk(subject, seed=seed, steps=400, successor=make)
+    subject = simulation.Simulation(subject=make(_POLICY), policy=_POLICY)
+    simulation.walk(subject, seed=seed, steps=400, successor=make)
 
 
 class _Broken:
@@ -139,19 +139,23 @@
     ],
 )
 def test_walk_notices_a_missing_part(broken, promise):
-    with pytest.raises(world.PromiseBrokenError, match=promise):
+    with pytest.raises(simulation.InvariantError, match=promise):
         for seed in range(12):
-            subject = world.World(subject=broken(_POLICY), policy=_POLICY)
-            world.walk(subject, seed=seed, steps=400, successor=broken)
+            subject = simulation.Simulation(
+                subject=broken(_POLICY), policy=_POLICY
+            )
+            simulation.walk(subject, seed=seed, steps=400, successor=broken)
 
 
-class PromiseMachine(stateful.RuleBasedStateMachine):
+class InvariantMachine(stateful.RuleBasedStateMachine):
     """The same steps in orders that hypothesis looks for."""
 
     @stateful.initialize()
     def start(self):
         """Begin with an empty shard."""
-        self.world = world.World(subject=_make(_POLICY), policy=_POLICY)
+        self.world = simulation.Simulation(
+            subject=_make(_POLICY), policy=_POLICY
+        )
 
     def _pick(self, keys, index):
         keys = list(keys)
@@ -263,7 +267,7 @@
             self.world.settle()
 
 
-PromiseMachine.TestCase.settings = hypothesis.settings(
+InvariantMachine.TestCase.settings = hypothesis.settings(
     derandomize=True, deadline=None, max_examples=60, stateful_step_count=40
 )
-test_promises_hold_in_orders_that_are_searched_for = PromiseMachine.TestCase
+test_invariants_hold_in_orders_that_are_searched_for = InvariantMachine.TestCase
--- a/packages/policy/tests/test_runners.py
+++ b/packages/policy/tests/test_runners.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lagoonrun_core import outcomes, types
-from lagoonrun_policy import affinity, features, messages, room
+from lagoonrun_policy import affinity, concurrency_limit, features, messages
 
 from .conftest import class_policy
 
@@ -25,26 +25,26 @@
 
 
 def test_room_falls_while_answers_are_slow_and_grows_back():
-    subject = room.AdaptiveRoom(slots=16)
+    subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     _observe(subject, 50, 0.004)
-    assert subject.limit == 16
+    assert subject.value == 16
     _observe(subject, 300, 0.04)
-    assert subject.limit < 8
+    assert subject.value < 8
     _observe(subject, 2000, 0.004)
-    assert subject.limit == 16
+    assert subject.value == 16
 
 
 def test_room_never_closes_and_does_not_fall_all_at_once():
-    subject = room.AdaptiveRoom(slots=16)
+    subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     _observe(subject, 50, 0.004)
     _observe(subject, 45, 0.04)
-    assert subject.limit > 10
+    assert subject.value > 10
     _observe(subject, 5000, 0.4)
-    assert subject.limit >= room.MINIMUM_ROOM
+    assert subject.value >= concurrency_limit.MIN_LIMIT
 
 
 def test_long_prompts_of_another_class_do_not_lower_the_room():
-    subject = room.AdaptiveRoom(slots=16)
+    subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     for number in range(500):
         summary = number % 2 or number > 250
         subject.observe(
@@ -54,7 +54,7 @@
             in_flight=16,
             now=0.0,
         )
-    assert subject.limit == 16
+    assert subject.value == 16
 
 
 def _fail(driver, upstream, count=1, **shape):
@@ -235,7 +235,7 @@
 def test_prefix_memory_is_bounded_per_house(houses):
     subject = affinity.PrefixAffinity()
     for number in range(2000):
-        subject.served(
+        subject.record_served(
             organisation=types.OrganisationId(f"o{number % houses}"),
             prefix=types.PrefixHash(number + 1),
             upstream=types.UpstreamId("r0"),
@@ -244,7 +244,7 @@
     known = [
         number
         for number in range(2000)
-        if subject.shares(
+        if subject.cache_likelihoods(
             organisation=types.OrganisationId(f"o{number % houses}"),
             prefix=types.PrefixHash(number + 1),
             now=0.0,
--- a/packages/policy/tests/test_shards.py
+++ b/packages/policy/tests/test_shard_ranking.py
@@ -106,9 +106,9 @@
     by_shard = {v.shard: v for v in views}
     others = [by_shard[s] for s in order if not by_shard[s].same_domain]
     naive = _naive(views, tier, remaining)
-    for near in (True, False):
-        assert [v for v in others if v.same_region is near] == [
-            v for v in naive if v.same_region is near
+    for same_region in (True, False):
+        assert [v for v in others if v.same_region is same_region] == [
+            v for v in naive if v.same_region is same_region
         ]
 
 
@@ -127,31 +127,31 @@
     others = [by_shard[s] for s in order if not by_shard[s].same_domain]
     fresh = [v for v in others if v.age_seconds <= 5.0]
     in_time = [v for v in fresh if _delay(v) <= target]
-    near_in_time = [v for v in in_time if v.same_region]
-    if near_in_time:
-        first_in_time = others.index(near_in_time[0])
+    same_region_in_time = [v for v in in_time if v.same_region]
+    if same_region_in_time:
+        first_in_time = others.index(same_region_in_time[0])
         assert all(
             _delay(v) <= target or v.same_region for v in others[:first_in_time]
         )
-    for far, near in itertools.pairwise(others):
-        if far.same_region or not near.same_region:
+    for first, second in itertools.pairwise(others):
+        if first.same_region or not second.same_region:
             continue
-        assert far.age_seconds <= 5.0
-        assert near.age_seconds > 5.0 or (
-            near.free == 0 and _delay(near) > target
+        assert first.age_seconds <= 5.0
+        assert second.age_seconds > 5.0 or (
+            second.free == 0 and _delay(second) > target
         )
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-@hypothesis.given(**_REQUEST, most=strategies.integers(0, 6))
+@hypothesis.given(**_REQUEST, max_shards=strategies.integers(0, 6))
 def test_the_few_asked_are_those_that_admit_lower_tiers(
-    views, tier, remaining, target, most
+    views, tier, remaining, target, max_shards
 ):
     asked = {"tier": tier, "remaining_seconds": remaining}
     asked["remaining_target_seconds"] = target
     order = shard_ranking.rank_shards(views, **asked)
-    few = shard_ranking.rank_shards(views, **asked, max_shards=most)
-    assert len(few) == min(most, len(order))
+    few = shard_ranking.rank_shards(views, **asked, max_shards=max_shards)
+    assert len(few) == min(max_shards, len(order))
     assert list(few) == [s for s in order if s in few]
     by_shard = {v.shard: v for v in views}
     others = [s for s in few if not by_shard[s].same_domain]
@@ -172,10 +172,10 @@
     ],
 )
 def test_far_free_shard_against_near_queue(target, wait, distance, far_first):
-    near = shard_ranking.ShardView(
+    nearby = shard_ranking.ShardView(
         shard="near", same_domain=False, wait_seconds=wait
     )
-    far = shard_ranking.ShardView(
+    remote = shard_ranking.ShardView(
         shard="far",
         same_domain=False,
         same_region=False,
@@ -183,7 +183,7 @@
         free=1,
     )
     order = shard_ranking.rank_shards(
-        [near, far],
+        [nearby, remote],
         tier=types.Tier(1),
         remaining_seconds=30.0,
         remaining_target_seconds=target,
