--- a/packages/policy/src/lagoonrun_policy/__init__.py
+++ b/packages/policy/src/lagoonrun_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: order of service, admission and choice of upstream."""
+"""Pure scheduling decisions: order of service, admission, choice of upstream."""
--- a/packages/policy/src/lagoonrun_policy/admission.py
+++ b/packages/policy/src/lagoonrun_policy/admission.py
@@ -1,4 +1,4 @@
-"""Refusals: on arrival, at the limit, and to make way for a higher tier."""
+"""Admission control: refusals on arrival, at the deadline and by shedding."""
 
 from collections.abc import Callable
 
@@ -14,24 +14,24 @@
 )
 
 _WAIT_CONFIDENCE = 0.7
-"""Part of a reckoned wait that an arrival is refused for.
+"""Fraction of the estimated wait that counts against an arrival's deadline.
 
-Answers may end sooner than usual; a refusal for a wait that then does not
-come would have turned away what could have been served.
+Answers may end sooner than estimated; counting the whole estimate would
+refuse requests that could have been served in time.
 """
 
 
 class Admission:
-    """Decides what may wait and what is refused at once.
+    """Decides which requests may wait and which are refused.
 
     Parameters
     ----------
-    shared
-        The shard it admits to.
-    book
-        Its slots and permits.
+    shard_state
+        The shard that requests are admitted to.
+    slot_accounting
+        Slots and permits of the shard.
     emit
-        Takes each refusal.
+        Called with each refusal.
     """
 
     def __init__(
@@ -51,7 +51,10 @@
         state: class_state.ClassState,
         now: float,
     ) -> bool:
-        """Return whether an arrival may wait; refuse it or others if not."""
+        """Return whether an arrival may wait; emit the refusals that follow.
+
+        The arrival is refused, or a waiting request in its favour.
+        """
         expected_wait = self._expected_wait(state, waiting, now)
         expected_service_seconds = self._shard.service_estimates(
             state, now
@@ -71,7 +74,8 @@
             queue_capacity=state.capacity,
             lower_tier_waiting=sheddable,
         )
-        # Only such requests can have runners that are all ruled out.
+        # The check of every runner is needed only where all of them may be
+        # permanently excluded.
         request = waiting.request
         may_lack_upstream = (
             bool(request.excluded)
@@ -101,11 +105,12 @@
         expected_wait: float,
         now: float,
     ) -> float:
-        """Refuse the caller's own late request that cannot be served either.
+        """Refuse a late request of the organisation that cannot be served.
 
-        A fresh request goes before those of its organisation that have
-        missed their target; refusing the fresh one in their favour would
-        lose its target as well.
+        Returns the arrival's expected wait, 0 after a refusal. A new request
+        is served before those of its organisation that have missed their
+        target; refusing the new one in their favour would miss its target
+        as well.
         """
         overtaken = state.queue.earliest_late(
             waiting.request.organisation,
@@ -170,18 +175,24 @@
             return
 
     def refuse_expired(self, now: float) -> None:
-        """Refuse what waits and can no longer meet its limit."""
+        """Refuse waiting requests that can no longer meet their deadline."""
         usable = self._shard.pool.any_usable()
         for state in self._shard.classes:
             if state.queue.length == 0:
                 continue
-            margin = self._shard.service_estimates(state, now).best
+            expected_service_seconds = self._shard.service_estimates(
+                state, now
+            ).best
             while True:
                 earliest = state.queue.earliest()
                 if earliest is None:
                     break
                 remaining = earliest.deadline - now
-                if usable and remaining > 0 and margin <= remaining:
+                if (
+                    usable
+                    and remaining > 0
+                    and expected_service_seconds <= remaining
+                ):
                     break
                 verdict, record = records.decide(
                     shard_state=self._shard,
--- a/packages/policy/src/lagoonrun_policy/affinity.py
+++ b/packages/policy/src/lagoonrun_policy/affinity.py
@@ -1,8 +1,8 @@
-"""Which runner has lately served a prompt's prefix.
+"""Prefix affinity: which runners have recently served a prompt's prefix.
 
-Hashes are salted with the organisation before they come here, so that no
-house can learn of another's cache. Memory is bounded per organisation: one
-with many prefixes drops its own and nobody else's.
+Hashes are salted with the organisation before they reach this module, so
+that no organisation can learn what another has cached. Memory is bounded
+per organisation: one with many prefixes evicts only its own.
 """
 
 import collections
@@ -16,7 +16,7 @@
 
 
 class PrefixAffinity:
-    """Bounded memory of where prefixes went."""
+    """Runners that recently served each prefix, as a bounded LRU cache."""
 
     def __init__(self) -> None:
         self._by_organisation: dict[
@@ -34,7 +34,7 @@
         upstream: types.UpstreamId,
         now: float,
     ) -> None:
-        """Remember that the runner has the prefix from now on."""
+        """Record that the runner now has the prefix in its cache."""
         if prefix == _NO_PREFIX:
             return
         prefixes = self._by_organisation.setdefault(
@@ -56,7 +56,7 @@
         prefix: types.PrefixHash,
         now: float,
     ) -> dict[types.UpstreamId, float]:
-        """Return the belief, 0 to 1, that each runner still has the prefix."""
+        """Return the likelihood, 0 to 1, that each runner has the prefix."""
         if prefix == _NO_PREFIX:
             return {}
         prefixes = self._by_organisation.get(organisation)
--- a/packages/policy/src/lagoonrun_policy/class_state.py
+++ b/packages/policy/src/lagoonrun_policy/class_state.py
@@ -1,4 +1,4 @@
-"""One class of a shard: its queue and what it has running."""
+"""Scheduling state of one class of a shard."""
 
 from lagoonrun_core import types
 from lagoonrun_policy import fair_queue, features, messages
@@ -8,16 +8,16 @@
 
 
 class ClassState:
-    """Queue, running work and floor credit of one class.
+    """Queue, running requests and floor credit of one class.
 
     Parameters
     ----------
     policy
         The class's profile.
     weights_by_organisation
-        Shares of the organisations.
+        Fair-queueing weights of the organisations.
     switches
-        Which parts are in use.
+        Features that are enabled.
     """
 
     def __init__(
@@ -41,25 +41,25 @@
 
     @property
     def service_order(self) -> tuple[int, int]:
-        """Strict by tier; classes of one tier take turns."""
+        """Sort key: strict by tier, round robin between classes of a tier."""
         return (self.policy.tier, self.last_grant_sequence)
 
     @property
     def capacity(self) -> int:
-        """Most requests that wait; one at least passes on to a free slot."""
+        """Maximum queue length, at least 1 so that a free slot can be used."""
         return max(1, self.policy.queue_capacity)
 
     @property
     def sheddable(self) -> int:
-        """How many waiting requests may give way to a higher tier.
+        """How many waiting requests may be shed for a higher tier.
 
-        The one that the floor serves next stays: shedding it again and
-        again would leave the class without service in an endless burst.
+        The one that the floor serves next is protected: shedding it each
+        time would starve the class during an endless burst.
         """
         protected = 1 if self.policy.floor_share > 0 else 0
         return max(0, self.queue.length - protected)
 
     def observe_tokens(self, tokens: int) -> None:
-        """Learn how many tokens an answer of this class is charged for."""
+        """Update the expected tokens per answer by exponential smoothing."""
         excess = max(tokens, 1) - self.expected_tokens
         self.expected_tokens += _TOKEN_SMOOTHING * excess
--- a/packages/policy/src/lagoonrun_policy/concurrency_limit.py
+++ b/packages/policy/src/lagoonrun_policy/concurrency_limit.py
@@ -1,8 +1,9 @@
-"""How many requests a runner takes at once without slowing all of them.
+"""Adaptive limit on a runner's concurrent requests.
 
-A batching engine that is overfilled slows down for everyone. The room falls
-by a factor while answers come clearly slower than from the same runner with
-little load, and grows by one per room's worth of answers otherwise.
+An overloaded batching engine slows down all its requests. The limit is
+reduced by a factor while latencies are clearly above those of the same runner
+under low load. Otherwise, while it is reached, it grows by one per as many
+answers as the limit.
 """
 
 from lagoonrun_core import types
@@ -24,7 +25,8 @@
     Parameters
     ----------
     slots
-        Declared most requests at once; where the room starts and ends.
+        Declared maximum of concurrent requests; the limit's initial value
+        and upper bound.
     """
 
     def __init__(self, *, slots: int) -> None:
@@ -34,15 +36,15 @@
         self._per_token = _Latency(
             tolerance=_TOKEN_TOLERANCE, slack=_TOKEN_SLACK_SECONDS
         )
-        self._ignored_answers = 0
+        self._answers_to_ignore = 0
 
     @property
     def value(self) -> float:
-        """Most requests at once, as of now."""
+        """Current maximum of concurrent requests."""
         return self._limit
 
     def set_slots(self, slots: int) -> None:
-        """Take over a new declaration."""
+        """Apply a new declared maximum, which resets the limit."""
         if slots != self._slots:
             self._slots = slots
             self._limit = float(slots)
@@ -56,17 +58,17 @@
         in_flight: int,
         now: float,
     ) -> None:
-        """Take in the latencies of one answer.
+        """Adjust the limit to the latencies of one answer.
 
         Parameters
         ----------
         profile
-            Class of the request; prompts of one class are alike in length,
-            those of two are not.
+            Class of the request; first-token latencies are compared within a
+            class, since prompt lengths differ between classes.
         first_token_seconds, seconds_per_token
-            0 where the answer does not show them.
+            0 if not known.
         in_flight
-            Requests at the runner when the answer ended, itself included.
+            Requests at the runner when the answer ended, this one included.
         """
         slow = False
         if first_token_seconds > 0:
@@ -80,21 +82,21 @@
             slow = first_token.is_slow(first_token_seconds, now)
         if seconds_per_token > 0:
             slow = self._per_token.is_slow(seconds_per_token, now) or slow
-        if self._ignored_answers > 0:
-            # The answers that were running when the room was cut still show
-            # the old load; cutting on each of them would overshoot.
-            self._ignored_answers -= 1
+        if self._answers_to_ignore > 0:
+            # Requests in flight when the limit was reduced still reflect the
+            # old load; reducing it for each of them would overshoot.
+            self._answers_to_ignore -= 1
             return
         if slow:
             self._limit = max(MIN_LIMIT, self._limit * _DECREASE)
-            self._ignored_answers = int(self._limit)
+            self._answers_to_ignore = int(self._limit)
         elif in_flight >= int(self._limit):
             grown = self._limit + 1.0 / self._limit
             self._limit = min(float(self._slots), grown)
 
 
 class _Latency:
-    """A smoothed latency and the lowest value it had lately."""
+    """A smoothed latency and its recent minimum as the baseline."""
 
     def __init__(self, *, tolerance: float, slack: float) -> None:
         self._tolerance = tolerance
--- a/packages/policy/src/lagoonrun_policy/cutting.py
+++ b/packages/policy/src/lagoonrun_policy/cutting.py
@@ -1,7 +1,7 @@
-"""Cut running work of the lowest tier for a higher one that waits too long.
+"""Preemption: cuts running requests of the lowest tier for a higher one.
 
-Off unless it is switched on: what is cut is wasted work, and only a
-measurement can say whether it pays.
+Disabled by default: the work done for a cut request is wasted, and only a
+measurement can show whether the trade pays off.
 """
 
 from collections.abc import Callable
@@ -10,20 +10,20 @@
 from lagoonrun_policy import class_state, messages, permit_table, shard, slots
 
 _WAIT_FRACTION = 0.25
-"""Part of the target that a request waits before others are cut for it."""
+"""Fraction of its target that a request waits before others are cut."""
 
 
 class Cutting:
-    """Chooses what to cut.
+    """Selects the running requests to cut.
 
     Parameters
     ----------
-    shared
-        The shard.
-    book
-        Its slots and permits.
+    shard_state
+        The shard whose requests may be cut.
+    slot_accounting
+        Slots and permits of the shard.
     emit
-        Takes each cut.
+        Called with each cut.
     """
 
     def __init__(
@@ -38,7 +38,10 @@
         self._emit = emit
 
     def cut_for_waiting(self, now: float) -> None:
-        """Cut one piece of work for each request that waits too long."""
+        """Cut for the first class whose earliest request waits too long.
+
+        At most one running request is cut per waiting request of the class.
+        """
         for state in self._shard.classes:
             due = self.due_at(state)
             if due is None or now < due:
@@ -47,7 +50,7 @@
             return
 
     def due_at(self, state: class_state.ClassState) -> float | None:
-        """Return when the class has waited long enough; None if it never."""
+        """Return when requests are cut for the class; None if none waits."""
         earliest = state.queue.earliest()
         if earliest is None:
             return None
@@ -81,11 +84,11 @@
     def _may_cut(
         self, running: permit_table.RunningPermit, lowest: types.Tier
     ) -> bool:
-        """Return whether the work may be cut.
+        """Return whether the running request may be cut.
 
-        Only the lowest tier that runs: cutting a middle one while a lower
-        one goes on would serve them in the wrong order. Only idempotent
-        work: the caller must be able to ask again.
+        Only the lowest running tier is cut: cutting a middle tier while a
+        lower one continues would invert the priorities. Only idempotent
+        requests are cut, since the caller must be able to retry.
         """
         state = running.state
         if state is None or running.cut or not state.policy.idempotent:
--- a/packages/policy/src/lagoonrun_policy/decision.py
+++ b/packages/policy/src/lagoonrun_policy/decision.py
@@ -1,7 +1,7 @@
-"""The decision on one request: a pure function of recorded inputs.
+"""Decision on one request as a pure function of recorded inputs.
 
-`decide` is what the scheduler uses; `check` feeds the inputs of a record to
-it again and says whether the result is the same.
+The scheduler calls `decide`; `check` replays it with the inputs of a
+decision record and reports whether the result is the same.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 """Age at which a load report counts for 1/e."""
 
 AFFINITY_WEIGHT = 0.1
-"""Part of a runner's score that a wholly cached prefix takes off."""
+"""Fraction by which a fully cached prefix reduces a runner's score."""
 
 MINIMUM_RETRY_SECONDS = 0.25
 NO_UPSTREAM_RETRY_SECONDS = 2.0
@@ -24,7 +24,14 @@
 
 
 class Phase(enum.Enum):
-    """What made the scheduler look at the request."""
+    """Scheduling step in which a request is decided.
+
+    `TURN`: next in the order of service. `EXPIRY`: can no longer meet its
+    deadline. `OVERTAKEN`: late, while a newer request of the organisation
+    goes first. `SHED`: makes room in a full queue for a higher tier.
+    `CONFIGURATION`: its class is not configured. `ENDED`: its permit has
+    already ended.
+    """
 
     ARRIVAL = "arrival"
     TURN = "turn"
@@ -36,7 +43,7 @@
 
 
 class Exclusion(enum.Enum):
-    """Rule that keeps a request from a runner."""
+    """Rule that excludes a runner for a request."""
 
     NONE = ""
     LEAVING = "leaving"
@@ -53,7 +60,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """Result of a decision."""
+    """Kind of a decision's result."""
 
     GRANT = "grant"
     WAIT = "wait"
@@ -90,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DecisionInputs:
-    """Everything that `decide` looks at; see `messages.DecisionRecord`."""
+    """All inputs of `decide`; fields as in `messages.DecisionRecord`."""
 
     key: messages.PermitKey
     phase: Phase
@@ -111,7 +118,7 @@
     Parameters
     ----------
     differences
-        One sentence for each value that does not follow.
+        One sentence for each value that the replay does not reproduce.
     """
 
     agrees: bool
@@ -140,11 +147,11 @@
     Parameters
     ----------
     foreign_load
-        Work that only the report shows, as of the report.
+        Requests of other senders, as of the runner's load report.
     target_budget_seconds
         See `messages.DecisionRecord`.
     exclusion
-        Rule that already excludes the runner; empty for none.
+        Rule that already excludes the runner; empty string for none.
     """
     if not exclusion:
         if in_flight >= int(room):
@@ -207,7 +214,7 @@
 
 
 def decide(inputs: DecisionInputs) -> Verdict:
-    """Grant a runner, let the request wait, or refuse it."""
+    """Return whether to grant a runner, queue the request or refuse it."""
     reason = refusal_reason(
         phase=inputs.phase,
         remaining_seconds=inputs.remaining_seconds,
@@ -234,7 +241,7 @@
 
 
 def check(record: messages.DecisionRecord) -> Agreement:
-    """Decide again from a record's inputs and compare."""
+    """Replay the decision from a record's inputs and compare the results."""
     candidates = tuple(_rescore(c, record) for c in record.candidates)
     recomputed = decide(
         DecisionInputs(
@@ -272,19 +279,19 @@
 
 
 def record_to_json(record: messages.DecisionRecord) -> str:
-    """Return the record as one JSON object, losslessly."""
+    """Serialise the record as one JSON object, without loss."""
     return json.dumps(
         dataclasses.asdict(record), default=_enum_value, sort_keys=True
     )
 
 
 def record_from_json(text: str) -> messages.DecisionRecord:
-    """Return the record that `record_to_json` wrote.
+    """Parse the output of `record_to_json`.
 
     Raises
     ------
     ValueError
-        If the text is not a record; names what is wrong.
+        If the text is not a decision record; the message says why.
     """
     try:
         fields = json.loads(text)
@@ -303,10 +310,10 @@
 def _best(
     candidates: tuple[messages.Candidate, ...], key: messages.PermitKey
 ) -> messages.Candidate | None:
-    """Return the eligible candidate of least score.
+    """Return the eligible candidate with the lowest score.
 
-    Of equals the first from a place that the request's id draws: with little
-    load all runners are equal, and the first in the list would get it all.
+    Ties go to the first from an offset hashed from the request id: under low
+    load all runners tie, and the first in the list would get every request.
     """
     start = int(jitter.fraction(key.request_id) * len(candidates))
     best: messages.Candidate | None = None
@@ -329,7 +336,7 @@
     if reason is outcomes.Reason.NO_UPSTREAM:
         base = max(base, NO_UPSTREAM_RETRY_SECONDS)
     base = max(base, MINIMUM_RETRY_SECONDS)
-    # Callers refused at one instant would all come back at one instant.
+    # Without jitter, callers refused together would all retry together.
     key = inputs.key
     spread = jitter.fraction(f"{key.request_id}/{key.attempt_id}")
     return base * (1.0 + _RETRY_JITTER * spread)
@@ -358,4 +365,4 @@
 def _enum_value(value: object) -> object:
     if isinstance(value, enum.Enum):
         return value.value
-    raise TypeError(f"cannot write {value!r}; valid: data and enums")
+    raise TypeError(f"cannot serialise {value!r}; valid: JSON types and enums")
--- a/packages/policy/src/lagoonrun_policy/estimates.py
+++ b/packages/policy/src/lagoonrun_policy/estimates.py
@@ -1,7 +1,7 @@
-"""Service times as they are observed, per class and runner.
+"""Estimates of service times from observed durations.
 
-Nobody knows how long an answer will be. What decides whether a request still
-fits its limit is an online high quantile of the durations seen lately.
+The length of an answer is not known in advance. Whether a request can still
+meet its deadline is decided by an online high quantile of recent durations.
 """
 
 import math
@@ -11,7 +11,7 @@
 from lagoonrun_core import types
 
 MINIMUM_SAMPLES = 20
-"""Fewer observations than this say nothing about a high quantile."""
+"""Minimum number of observations for a meaningful high quantile."""
 
 HIGH_QUANTILE = 0.9
 TYPICAL_QUANTILE = 0.5
@@ -24,10 +24,10 @@
 
 
 class WindowedQuantiles:
-    """High and typical quantile of the last one to two windows.
+    """High quantile, median and mean over the last one to two windows.
 
-    At the end of a window the values of the one before are dropped. So a
-    runner that recovers is believed again after two windows.
+    At the end of a window the values of the previous one are dropped, so
+    that the estimates of a recovered runner are correct after two windows.
 
     Parameters
     ----------
@@ -46,12 +46,12 @@
         self._mean: float | None = None
 
     def add(self, value: float, *, now: float) -> None:
-        """Take in one observation in seconds."""
+        """Add one observation in seconds."""
         self._rotate(now)
         self._newer.add(value)
 
     def samples(self, *, now: float) -> int:
-        """Return how many observations the quantiles rest on."""
+        """Return the number of observations behind the quantiles."""
         self._rotate(now)
         return int(self._older.count + self._newer.count)
 
@@ -98,7 +98,7 @@
 
 
 class ServiceTimes:
-    """Durations per class over the shard, and per class and runner."""
+    """Service times per class over the shard, and per class and runner."""
 
     def __init__(self) -> None:
         self._by_profile: dict[types.ProfileName, WindowedQuantiles] = {}
@@ -118,7 +118,7 @@
         total_seconds: float,
         now: float,
     ) -> None:
-        """Take in the duration of a whole answer."""
+        """Record the duration of a complete answer."""
         _entry(self._by_profile, profile, _POOL_WINDOW_SECONDS).add(
             total_seconds, now=now
         )
@@ -139,11 +139,11 @@
         total_seconds: float,
         now: float,
     ) -> None:
-        """Take in work that was stopped before its end.
+        """Record an answer that was stopped before its end.
 
-        Counting only what ended in time would make the quantile too short,
-        and more would be admitted that cannot end. A stopped answer counts
-        where it already lasted longer than the quantile.
+        Counting only answers that end in time would bias the quantile low
+        and admit more requests that cannot end in time. A stopped answer is
+        counted if it already lasted longer than the quantile.
         """
         high = self.high(profile=profile, upstream=upstream, now=now)
         if high is not None and total_seconds > high:
@@ -165,8 +165,8 @@
     ) -> float | None:
         """Return the high quantile at a runner, or None while unknown.
 
-        Without enough observations of its own, the runner is taken to be as
-        the shard on the whole, slowed by `pace`.
+        A runner with too few observations of its own gets the shard's
+        quantile, multiplied by `slowdown`.
         """
         own = self._by_runner.get(upstream, {}).get(profile)
         if own is not None:
@@ -200,16 +200,16 @@
         return _value_or_zero(self._by_profile.get(profile), now, "mean")
 
     def samples(self, *, profile: types.ProfileName, now: float) -> int:
-        """Return how many observations the shard's quantiles rest on."""
+        """Return the number of observations behind the shard's quantiles."""
         entry = self._by_profile.get(profile)
         return entry.samples(now=now) if entry is not None else 0
 
     def forget_runner(self, upstream: types.UpstreamId) -> None:
-        """Drop what is known of a runner that has left the configuration."""
+        """Drop the observations of a runner no longer configured."""
         self._by_runner.pop(upstream, None)
 
     def forget_profile(self, profile: types.ProfileName) -> None:
-        """Drop what is known of a class that has left the configuration."""
+        """Drop the observations of a class no longer configured."""
         self._by_profile.pop(profile, None)
         self._first_token_by_profile.pop(profile, None)
         for by_profile in self._by_runner.values():
--- a/packages/policy/src/lagoonrun_policy/fair_queue.py
+++ b/packages/policy/src/lagoonrun_policy/fair_queue.py
@@ -1,9 +1,9 @@
-"""One class's waiting requests, shared fairly between organisations.
+"""Weighted fair queue of one class's requests, by organisation.
 
 Each organisation has a virtual time: the tokens charged to it, divided by its
-weight. The organisation that is furthest behind is served next. Nobody knows
-an answer's length beforehand, so a grant is charged with an estimate that the
-scheduler corrects as tokens are produced.
+weight. The organisation with the lowest virtual time is served next. The
+length of an answer is not known in advance, so a grant is charged with an
+estimate, which the scheduler corrects as tokens are produced.
 """
 
 import dataclasses
@@ -19,16 +19,16 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
 class WaitingRequest:
-    """A request that waits for a runner.
+    """A request waiting for a runner.
 
     Parameters
     ----------
     deadline
-        Instant of the profile's limit.
+        Time at which the profile's limit expires.
     target_deadline
-        Instant of the profile's target.
+        Time at which the profile's target expires.
     sequence
-        Order of arrival in the shard.
+        Arrival number in the shard.
     """
 
     request: messages.PermitRequested
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
 class _Account:
-    """What one organisation has waiting and has been charged."""
+    """Waiting requests and virtual time of one organisation."""
 
     weight: float
     virtual_time: float
@@ -51,22 +51,22 @@
 
 
 class FairQueue:
-    """Waiting requests of one class.
+    """Queue of one class's waiting requests.
 
     Parameters
     ----------
     weights_by_organisation
-        Shares; an organisation that is not named has weight 1.
+        Weights; an organisation that is not listed has weight 1.
     fair
-        Without it all organisations share one account.
+        If false, all organisations share one account.
     target_first
-        With it, a request that can still meet its target goes before those
-        of the same organisation that cannot.
+        If true, a request that can still meet its target is served before
+        those of the same organisation that cannot.
 
     Attributes
     ----------
     length
-        How many requests wait.
+        Number of waiting requests.
     """
 
     def __init__(
@@ -89,13 +89,13 @@
 
     @property
     def latest_deadline(self) -> float:
-        """No waiting request has a later deadline than this instant."""
+        """Upper bound of the deadlines of all waiting requests."""
         return self._latest_deadline
 
     def set_weights(
         self, weights_by_organisation: Mapping[types.OrganisationId, float]
     ) -> None:
-        """Take over the shares of a new configuration."""
+        """Apply the weights of a new configuration."""
         self._weights = weights_by_organisation
         self._active_weight = 0.0
         for organisation, account in self._accounts.items():
@@ -104,7 +104,7 @@
                 self._active_weight += account.weight
 
     def push(self, waiting: WaitingRequest) -> None:
-        """Add a request; it goes with those in time for the target."""
+        """Add a request; at first it counts as able to meet its target."""
         organisation = self._account_key(waiting)
         account = self._account(organisation)
         if not account.by_sequence:
@@ -120,13 +120,13 @@
         self._compact_deadlines()
 
     def pop(self, *, target_cutoff: float) -> WaitingRequest | None:
-        """Take the next request in order of service.
+        """Remove and return the next request in order of service.
 
         Parameters
         ----------
-        late_before
-            A request whose target lies before this instant can no longer meet
-            it and yields to those of its organisation that can.
+        target_cutoff
+            A request with a target deadline before this time can no longer
+            meet it and is served after those of its organisation that can.
         """
         while self._service_order:
             virtual_time, organisation = self._service_order[0]
@@ -142,7 +142,7 @@
         return None
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Take out a request wherever it stands; nothing if it is not in."""
+        """Remove a request from any position; no-op if it is not queued."""
         if not waiting.queued:
             return
         waiting.queued = False
@@ -160,7 +160,7 @@
             self._latest_deadline = float("-inf")
 
     def charge(self, organisation: types.OrganisationId, tokens: float) -> None:
-        """Charge an organisation, or give back if `tokens` is negative."""
+        """Charge tokens to an organisation; negative `tokens` are a refund."""
         if not self._fair or tokens == 0:
             return
         account = self._account(organisation)
@@ -169,7 +169,7 @@
             self._push_organisation(organisation, account)
 
     def ahead_of(self, organisation: types.OrganisationId) -> int:
-        """Return an upper bound of the requests served before a new one."""
+        """Return an upper bound on the requests served before a new one."""
         if not self._fair:
             return self.length
         account = self._accounts.get(organisation)
@@ -179,7 +179,7 @@
         return min(self.length, int(rounds))
 
     def earliest(self) -> WaitingRequest | None:
-        """Return the request whose deadline comes first."""
+        """Return the request with the earliest deadline."""
         while self._deadlines and not self._deadlines[0][2].queued:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][2] if self._deadlines else None
@@ -187,7 +187,7 @@
     def earliest_late(
         self, organisation: types.OrganisationId, *, target_cutoff: float
     ) -> WaitingRequest | None:
-        """Return an organisation's late request with the least time left."""
+        """Return an organisation's late request with the earliest deadline."""
         account = self._accounts.get(
             organisation if self._fair else _SHARED_ACCOUNT
         )
@@ -233,8 +233,8 @@
     def _activate(
         self, organisation: types.OrganisationId, account: _Account
     ) -> None:
-        # Time spent idle earns no credit: an organisation that comes back
-        # starts level with those being served and cannot lock them out.
+        # Idle time earns no credit: a returning organisation starts at the
+        # current virtual time and cannot starve those being served.
         account.virtual_time = max(account.virtual_time, self._virtual_now)
         self._active_weight += account.weight
         self._push_organisation(organisation, account)
--- a/packages/policy/src/lagoonrun_policy/features.py
+++ b/packages/policy/src/lagoonrun_policy/features.py
@@ -1,38 +1,41 @@
-"""Parts of the order of service that can be switched, each alone."""
+"""Feature switches of the scheduler."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Features:
-    """Switches of a `ShardScheduler`, for measuring what each part buys.
+    """Features of a `ShardScheduler`, each switchable to measure its effect.
 
     Parameters
     ----------
     fair_sharing
         Weighted fair queueing between the organisations of a class.
     target_first
-        Serve first what can still meet its target.
+        Serve requests that can still meet their target first.
     target_runners
-        Keep what can meet its target from runners too slow for it.
+        Exclude runners that are too slow for a target that can be met.
     floors
-        Grants set aside for each lower class that waits.
+        Guarantee waiting lower classes a minimum share of the grants.
     deadline_refusal
-        Refuse what a high quantile of service times no longer fits.
+        Refuse requests with less time left than a high quantile of the
+        service times.
     wait_refusal
-        Refuse on arrival what the queue ahead makes too late.
+        Refuse arrivals that would miss their deadline in the queue.
     adaptive_room
-        Lower a runner's room while it is slower than unloaded.
+        Lower a runner's concurrency limit while its latency is clearly above
+        that under low load.
     load_reports
-        Count work that only the runner's own reports show.
+        Count load of other senders, known only from the runner's reports.
     affinity
-        Prefer a runner that has lately served the same prefix.
+        Prefer a runner that recently served the same prefix.
     straggler_penalty
         Prefer runners that are not slower than the median.
     ejection
-        Take failing runners out and probe them.
+        Eject failing runners and probe them.
     cutting
-        Cut lower-tier idempotent work for a higher tier that waits.
+        Cut running idempotent requests of a lower tier for a waiting higher
+        tier.
     """
 
     fair_sharing: bool = True
--- a/packages/policy/src/lagoonrun_policy/floors.py
+++ b/packages/policy/src/lagoonrun_policy/floors.py
@@ -1,13 +1,13 @@
-"""Grants set aside for lower classes that wait.
+"""Floors: a guaranteed minimum share of the grants for waiting lower classes.
 
-Each grant that passes over a waiting class earns it its share of a grant.
-With a whole one earned, the class is served next, whatever waits above it.
-Answers of a low tier may hold a slot for long, so a share counted in grants
-alone could take most slots; the work granted on credit is therefore limited
-to the same share of the slots as well, and at least one.
+Each grant that passes over a waiting class credits it with its share of a
+grant. Once the credit reaches a whole grant, the class is served next,
+regardless of higher tiers. Answers of a low tier may hold a slot for long, so
+a share counted in grants alone could occupy most slots; requests running on
+credit are therefore limited to the same share of the slots, and at least one.
 
-Above its share a class is served early only where that does no more than
-delay: see `is_harmless`.
+Beyond its share a class is served early only if that cannot make a request of
+a higher tier miss its deadline: see `is_harmless`.
 """
 
 import math
@@ -16,14 +16,14 @@
 from lagoonrun_policy import class_state, estimates
 
 MAXIMUM_TOTAL_SHARE = 0.5
-"""All floors together never take more than this part of the grants."""
+"""Upper bound on the sum of all floors, as a fraction of the grants."""
 
 _MAX_CREDIT = 1.0
 _ROUNDING = 1e-9
 
 
 def share_scale(classes: Iterable[class_state.ClassState]) -> float:
-    """Return the factor that keeps all shares together below the maximum."""
+    """Return the factor that limits the sum of all shares to the maximum."""
     total = sum(c.policy.floor_share for c in classes)
     return min(1.0, MAXIMUM_TOTAL_SHARE / total) if total > 0 else 1.0
 
@@ -31,7 +31,7 @@
 def reserved_share(
     state: class_state.ClassState, classes: Sequence[class_state.ClassState]
 ) -> float:
-    """Return the share set aside for classes below `state` that wait.
+    """Return the share reserved for waiting classes of tiers below `state`.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     classes: Sequence[class_state.ClassState],
     factor: float,
 ) -> None:
-    """Credit every waiting class that a grant has passed over."""
+    """Credit every waiting class that a grant passed over."""
     for state in classes:
         passed_over = state is not granted and state.queue.length > 0
         if passed_over and state.policy.tier >= granted.policy.tier:
@@ -84,11 +84,11 @@
     expected_service_by_class: dict[class_state.ClassState, float],
     now: float,
 ) -> bool:
-    """Return whether a grant to `state` makes no higher request miss a limit.
+    """Return whether a grant to `state` makes no higher tier miss a deadline.
 
-    Reckoned for the worst case: every slot but the given one has just begun
-    an answer as long as the longest high quantile of the shard, and all that
-    waits above must be served one such answer after the other.
+    Estimated for the worst case: every other slot has just started an answer
+    as long as the longest high quantile of the shard, and all requests of
+    higher tiers are served in rounds of answers of that length.
     """
     higher = [
         c
--- a/packages/policy/src/lagoonrun_policy/granting.py
+++ b/packages/policy/src/lagoonrun_policy/granting.py
@@ -1,4 +1,4 @@
-"""Grants: by tier, with floors, to the runner that scores best."""
+"""Slot granting by tier, with floors, to the runner with the best score."""
 
 from collections.abc import Callable
 
@@ -17,23 +17,23 @@
 )
 
 _SCAN_LIMIT = 8
-"""Requests of a class that are tried against the free runners in turn."""
+"""Maximum requests of a class that are tried against the free runners."""
 
 _URGENT_FRACTION = 0.5
-"""Part of its time left at which a lower class's oldest is urgent."""
+"""Fraction of its initial slack below which a request is urgent."""
 
 
 class Granting:
-    """Gives free slots to waiting requests.
+    """Grants free slots to waiting requests.
 
     Parameters
     ----------
-    shared
-        The shard it grants for.
-    book
-        Its slots and permits.
+    shard_state
+        The shard whose slots are granted.
+    slot_accounting
+        Slots and permits of the shard.
     emit
-        Takes each grant, and refusals that come up on the way.
+        Called with each grant, and with each refusal decided on the way.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         state: class_state.ClassState,
         now: float,
     ) -> bool:
-        """Grant or refuse an arrival that finds nothing waiting.
+        """Grant or refuse an arrival that finds no other request waiting.
 
         Returns
         -------
@@ -148,8 +148,9 @@
     ) -> bool:
         """Grant the class's next request that fits a free runner.
 
-        Runners that fit a request which the scan did not reach are added to
-        `kept`: a lower class does not get what a higher one could use.
+        If the scan ends at its limit, the usable runners are added to `kept`:
+        a request beyond the limit may fit them, and a lower class must not
+        get a runner that a higher one could use.
         """
         expected_service_by_id = self._shard.service_estimates(state, now).by_id
         longest = state.queue.latest_deadline - now
--- a/packages/policy/src/lagoonrun_policy/health.py
+++ b/packages/policy/src/lagoonrun_policy/health.py
@@ -1,4 +1,8 @@
-"""Whether a runner is failing, and how its pace compares."""
+"""Health of a runner: failures, ejection and pace.
+
+The pace is the smoothed time per token, or per answer where the number of
+tokens is not known. A straggler is a runner slower than the pool's median.
+"""
 
 from lagoonrun_core import outcomes
 
@@ -21,12 +25,12 @@
 
 
 def is_runner_fault(reason: outcomes.Reason) -> bool:
-    """Return whether the reason speaks against the runner itself."""
+    """Return whether the reason is a fault of the runner itself."""
     return reason in _RUNNER_FAULTS
 
 
 class RunnerHealth:
-    """Failures in a row, ejection and pace of one runner."""
+    """Consecutive failures, ejection and pace of one runner."""
 
     def __init__(self) -> None:
         self._failures = 0
@@ -43,12 +47,12 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether the runner is out, or back only to be probed."""
+        """Whether the runner is ejected, which includes being probed."""
         return self._ejected_until is not None
 
     @property
     def ejected_until(self) -> float | None:
-        """Instant from which it may be probed; None while it is in."""
+        """Time from which it may be probed; None if it is not ejected."""
         return self._ejected_until
 
     def is_probing(self, now: float) -> bool:
@@ -56,17 +60,17 @@
         return self._ejected_until is not None and now >= self._ejected_until
 
     def record_success(self) -> None:
-        """Take in an answer: the runner is believed again."""
+        """Record a complete answer, which ends an ejection."""
         self._failures = 0
         self._ejections = 0
         self._ejected_until = None
 
     def record_failure(self) -> None:
-        """Take in a fault of the runner."""
+        """Record a fault of the runner."""
         self._failures += 1
 
     def eject(self, now: float) -> None:
-        """Take the runner out, for twice as long each time in a row."""
+        """Eject the runner, twice as long for each consecutive ejection."""
         seconds = min(
             _MAX_EJECTION_SECONDS,
             _FIRST_EJECTION_SECONDS * 2.0 ** min(self._ejections, 16),
@@ -74,25 +78,25 @@
         self._ejections += 1
         self._ejected_until = now + seconds
 
-    def observe_pace(self, seconds_per_token: float, now: float) -> None:
-        """Take in the time between two tokens, in seconds."""
+    def observe_pace(self, pace: float, now: float) -> None:
+        """Add one observation of the pace."""
         if self._pace is None:
-            self._pace = seconds_per_token
-        self._pace += _PACE_SMOOTHING * (seconds_per_token - self._pace)
+            self._pace = pace
+        self._pace += _PACE_SMOOTHING * (pace - self._pace)
         self._pace_samples += 1
         self._pace_at = now
 
     @property
     def pace(self) -> float | None:
-        """Smoothed seconds per token; None with too few observations."""
+        """Smoothed pace in seconds; None with too few observations."""
         enough = self._pace_samples >= _MIN_PACE_SAMPLES
         return self._pace if enough else None
 
     def straggler_factor(self, median_pace: float | None, now: float) -> float:
         """Return how many times slower than the pool's median, at least 1.
 
-        The factor fades as the last observation ages, so that a runner that
-        has recovered is tried again.
+        The factor decays with the age of the last observation, so that a
+        recovered runner is tried again.
         """
         pace = self.pace
         if pace is None or not median_pace or pace <= median_pace:
--- a/packages/policy/src/lagoonrun_policy/jitter.py
+++ b/packages/policy/src/lagoonrun_policy/jitter.py
@@ -1,4 +1,4 @@
-"""Jitter that is drawn from a key, so that decisions can be repeated."""
+"""Deterministic jitter, hashed from a key so that decisions can be replayed."""
 
 import zlib
 
--- a/packages/policy/src/lagoonrun_policy/messages.py
+++ b/packages/policy/src/lagoonrun_policy/messages.py
@@ -1,8 +1,8 @@
-"""Events that go into a scheduler and actions that come out of it.
+"""Input events and output actions of a scheduler.
 
-A scheduler is pure: it holds state, but reads no clock, does no I/O and draws
-no randomness of its own. All instants are readings of one monotonic clock of
-the calling process, in seconds.
+A scheduler is deterministic: it has state, but reads no clock, does no I/O
+and uses no random numbers of its own. All times are readings of one monotonic
+clock of the calling process, in seconds.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClassPolicy:
-    """What a scheduler needs to know of one profile; see `Profile`."""
+    """The part of a `Profile` that a scheduler needs."""
 
     name: types.ProfileName
     tier: types.Tier
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Runner:
-    """An upstream as a scheduler sees it."""
+    """The properties of an upstream that a scheduler needs."""
 
     id: types.UpstreamId
     slots: int
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShardPolicy:
-    """The part of a configuration that concerns one shard."""
+    """The part of a configuration that applies to one shard."""
 
     shard: types.ShardId
     revision: types.Revision
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitKey:
-    """Names one attempt of one request for a permit."""
+    """Identifies one attempt of one request for a permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -75,16 +75,16 @@
     Parameters
     ----------
     remaining_seconds
-        Time left until the profile's limit, counted at the ingress.
+        Time left until the profile's limit, measured at the ingress.
     remaining_target_seconds
         Time left until the profile's target; may be negative.
     prompt_bytes
         Size of the request's body, the only estimate of its prefill work.
     excluded
-        Runners that have failed this request already.
+        Runners that have already failed this request.
     model
-        Model that the runner must have loaded; empty where the pool's
-        runners all serve the same.
+        Model that the runner must have loaded; empty if all runners of the
+        pool serve the same.
     """
 
     key: PermitKey
@@ -101,19 +101,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitReturned:
-    """An ingress withdraws a waiting request or gives a grant back unused."""
+    """An ingress withdraws a waiting request or returns an unused grant."""
 
     key: PermitKey
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitEnded:
-    """The end of granted work.
+    """A granted request has ended.
 
     Parameters
     ----------
     first_token_seconds
-        From sending to the first token; 0 where none came.
+        From sending to the first token; 0 if there was none.
     total_seconds
         From sending to the end.
     """
@@ -129,12 +129,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkProgressed:
-    """Tokens that running work has produced so far.
+    """Number of tokens that a running request has produced so far.
 
     Parameters
     ----------
     first_token_seconds
-        From sending to the first token; 0 while none has come.
+        From sending to the first token; 0 while there is none.
     """
 
     key: PermitKey
@@ -144,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InFlight:
-    """Work that an ingress has at a runner."""
+    """A request of an ingress that is in flight at a runner."""
 
     key: PermitKey
     upstream: types.UpstreamId
@@ -156,10 +156,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InFlightDigest:
-    """Everything that one ingress has running and waiting in the shard.
+    """All running and waiting requests of one ingress in the shard.
 
-    Reconciles permits whose end was never reported, and registers work anew
-    after a handover.
+    Used to release permits whose end was never reported, and to register
+    requests at a new dispatcher after a handover.
     """
 
     ingress: types.EntryVmId
@@ -169,14 +169,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadReported:
-    """An engine's own report of its load, which describes the past.
+    """An engine's report of its own load, as of the time it was made.
 
     Parameters
     ----------
     age_seconds
-        How old the report is known to be at least.
+        Lower bound of the report's age.
     models
-        Loaded models; None where the report does not say.
+        Loaded models; None if the report does not list them.
     """
 
     upstream: types.UpstreamId
@@ -189,7 +189,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamChanged:
-    """An upstream is live, leaving or gone."""
+    """The state of an upstream has changed."""
 
     upstream: types.UpstreamId
     state: UpstreamState
@@ -197,7 +197,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class IngressGone:
-    """An entry VM is dead; what it had is over."""
+    """An entry VM was declared dead; its requests have ended."""
 
     ingress: types.EntryVmId
 
@@ -211,15 +211,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DispatcherStalled:
-    """The dispatcher's process did not run for a while.
+    """The dispatcher's process was paused for a while.
 
-    Ends of granted work may have been lost meanwhile.
+    Reports of ended requests may have been lost in the meantime.
     """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Time has passed; due refusals and grants are worked out."""
+    """Time has passed; makes the scheduler emit due refusals and grants."""
 
 
 Event = (
@@ -241,28 +241,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """One runner as it was weighed for a request.
+    """One runner as it was scored for a request.
 
     Parameters
     ----------
     in_flight
         Requests that the scheduler knows to be at the runner.
     room
-        Adaptive limit on them.
+        Concurrency limit on them; adaptive if `adaptive_room` is enabled.
     reported_load
-        Running plus waiting of the last report; -1 where there is none.
+        Running plus waiting requests of the last load report; -1 if none.
     report_age_seconds
         Age of that report.
     affinity
-        Believed share of the prompt's prefix in the runner's cache, 0 to 1.
+        Likelihood that the runner's cache holds the prompt's prefix, 0 to 1.
     straggler_factor
-        Its pace against the pool's median; 1 is as fast.
+        Its pace relative to the pool's median; 1 is as fast.
     eligible
-        False where a rule excludes it; `exclusion` names the rule.
+        False if a rule excludes it; `exclusion` names the rule.
     score
         Lower is better.
     foreign_load
-        Work that only the report shows, as of the report.
+        Requests of other senders, known only from the report.
     expected_service_seconds
         High quantile of the class's service time at the runner; 0 while
         unknown.
@@ -287,26 +287,26 @@
     """Inputs, limits, candidates and result of one decision.
 
     The fields up to `candidates` are the inputs of the pure function
-    `lagoonrun_policy.decision.decide`, which gives `verdict`, `upstream` and
-    `reason` again when it is fed with them.
+    `lagoonrun_policy.decision.decide`, which reproduces `verdict`, `upstream`
+    and `reason` from them.
 
     Parameters
     ----------
     floor_grant
-        Whether the class's set-aside share pays for the grant.
+        Whether the grant is made on the class's floor.
     phase
-        What made the scheduler look at the request; see `decision.Phase`.
+        Scheduling step of the decision; see `decision.Phase`.
     expected_wait_seconds
-        Time until the work ahead of an arrival has been granted.
+        Estimated time until the requests ahead of an arrival are granted.
     drain_seconds
-        Time until the work of this and the higher tiers that waits now has
-        been granted; the base of `retry_after_seconds`.
+        Estimated time until the requests of this and higher tiers that wait
+        now are granted; the base of `retry_after_seconds`.
     target_budget_seconds
-        Time left until the target, where a runner that is too slow for it is
-        not worth taking; 0 where any will do.
+        Time left until the target, if runners too slow for it are excluded;
+        0 if any runner may be used.
     reserved_floor_share
-        Share of grants set aside for lower classes that wait; the two times
-        above are reckoned on the rest.
+        Share of the grants reserved for waiting lower classes; the two
+        estimates above are based on the remaining share.
     """
 
     key: PermitKey
@@ -339,7 +339,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Grant:
-    """Let the ingress send the request to the upstream."""
+    """Allow the ingress to send the request to the upstream."""
 
     key: PermitKey
     ingress: types.EntryVmId
@@ -349,7 +349,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """Tell the ingress that the request will not be run here."""
+    """Refuse the request; it will not run on this shard."""
 
     key: PermitKey
     ingress: types.EntryVmId
@@ -360,7 +360,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cut:
-    """Tell the ingress to stop granted idempotent work."""
+    """Ask the ingress to stop a granted idempotent request."""
 
     key: PermitKey
     ingress: types.EntryVmId
@@ -372,10 +372,10 @@
 
 
 class Scheduler(Protocol):
-    """Orders who may use which runner of one shard."""
+    """Assigns the runners of one shard to requests."""
 
     def handle(self, event: Event, *, now: float) -> Sequence[Action]:
-        """Take in one event at `now` and return what follows from it."""
+        """Apply one event at `now` and return the resulting actions."""
 
     def next_wake(self, *, now: float) -> float | None:
-        """Return when a `Ticked` is due at the latest, or None."""
+        """Return the latest time for the next `Ticked`, or None."""
--- a/packages/policy/src/lagoonrun_policy/naive.py
+++ b/packages/policy/src/lagoonrun_policy/naive.py
@@ -1,6 +1,6 @@
-"""Each entry VM alone: two random runners, the less loaded one by its report.
+"""Naive policy: each entry VM picks the less loaded of two random runners.
 
-This is what the dispatcher of a shard is measured against.
+It is the baseline against which the dispatcher of a shard is measured.
 """
 
 import random
@@ -13,14 +13,14 @@
 
 
 class NaiveScheduler:
-    """Grant every request at once to the better of two random runners.
+    """Grants every request at once to the less loaded of two random runners.
 
     Parameters
     ----------
     policy
         Classes and runners of the shard.
     rng
-        Source of the two choices.
+        Selects the two runners.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
     def handle(
         self, event: messages.Event, *, now: float
     ) -> Sequence[messages.Action]:
-        """Take in one event at `now` and return what follows from it."""
+        """Apply one event at `now` and return the resulting actions."""
         if isinstance(event, messages.PolicyChanged):
             self._policy = event.policy
         if not isinstance(event, messages.PermitRequested):
@@ -54,7 +54,7 @@
         return [grant]
 
     def next_wake(self, *, now: float) -> float | None:
-        """Return None: nothing ever waits here."""
+        """Return None, since no request ever waits."""
         return None
 
     def _refusal(
@@ -110,7 +110,7 @@
 
 
 class _LocalView:
-    """What one entry VM knows by itself."""
+    """Load of the runners as one entry VM knows it."""
 
     def __init__(
         self, *, policy: messages.ShardPolicy, rng: random.Random
--- a/packages/policy/src/lagoonrun_policy/permit_table.py
+++ b/packages/policy/src/lagoonrun_policy/permit_table.py
@@ -1,4 +1,4 @@
-"""Which requests wait and which run, by permit and by ingress."""
+"""Table of waiting and running requests, by permit and by ingress."""
 
 import collections
 import dataclasses
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
 class RunningPermit:
-    """Granted work that holds a slot.
+    """A granted request that holds a slot.
 
     Parameters
     ----------
     charged
         Tokens charged to the organisation so far.
     floor
-        Whether the class's floor paid for the grant.
+        Whether the grant was made on the class's floor.
     missed_digests
-        Digests of its ingress in a row that did not name it.
+        Consecutive digests of its ingress that did not list it.
     grant
-        What the ingress was told; None where a digest brought the work.
+        The grant sent to the ingress; None if registered from a digest.
     """
 
     key: messages.PermitKey
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
 class QueuedPermit:
-    """A waiting request and the class whose queue it is in."""
+    """A waiting request and the class in whose queue it is."""
 
     waiting: fair_queue.WaitingRequest
     state: class_state.ClassState
@@ -54,8 +54,8 @@
 class PermitTable:
     """Permits of one shard.
 
-    Keys that have ended are kept for a while: a message that comes late must
-    not bring an ended permit back, for its slot would then never be freed.
+    Ended keys are remembered for a while: a late message must not register
+    an ended permit again, since its slot would never be freed.
     """
 
     def __init__(self) -> None:
@@ -71,53 +71,53 @@
         )
 
     def add_queued(self, key: messages.PermitKey, queued: QueuedPermit) -> None:
-        """Note a waiting request."""
+        """Add a waiting request."""
         self.queued_by_key[key] = queued
         self._key_set(queued.waiting.request.ingress).add(key)
 
     def remove_queued(self, key: messages.PermitKey) -> QueuedPermit | None:
-        """Forget a waiting request; None if there is none."""
+        """Remove and return a waiting request; None if there is none."""
         queued = self.queued_by_key.pop(key, None)
         if queued is not None:
             self._drop_key(queued.waiting.request.ingress, key)
         return queued
 
     def add_running(self, running: RunningPermit) -> None:
-        """Note granted work."""
+        """Add a granted request."""
         self.running_by_key[running.key] = running
         self._key_set(running.ingress).add(running.key)
 
     def remove_running(self, key: messages.PermitKey) -> RunningPermit | None:
-        """Forget granted work; None if there is none."""
+        """Remove and return a granted request; None if there is none."""
         running = self.running_by_key.pop(key, None)
         if running is not None:
             self._drop_key(running.ingress, key)
         return running
 
     def record_ended(self, key: messages.PermitKey) -> None:
-        """Remember that nothing of this permit is to come."""
+        """Record that the permit has ended."""
         self._ended[key] = None
         if len(self._ended) > _MAX_ENDED_KEYS:
             self._ended.popitem(last=False)
 
     def has_ended(self, key: messages.PermitKey) -> bool:
-        """Return whether the permit is known to be over."""
+        """Return whether the permit is known to have ended."""
         return key in self._ended
 
     def record_contact(self, ingress: types.EntryVmId, now: float) -> None:
-        """Note a sign of life of an ingress."""
+        """Record that a message of an ingress was received."""
         self._last_contact[ingress] = now
 
     def record_gone(self, ingress: types.EntryVmId, now: float) -> None:
-        """Note that an ingress was declared dead."""
+        """Record that an ingress was declared dead."""
         self._last_contact.pop(ingress, None)
         self._gone_at[ingress] = now
 
     def may_register(self, ingress: types.EntryVmId, now: float) -> bool:
-        """Return whether an ingress's digest may bring in running work.
+        """Return whether an ingress's digest may register running requests.
 
-        A digest that was under way when its sender died would take slots
-        that nobody ever frees. A sender that is alive sends another.
+        A digest in transit when its sender died would occupy slots that
+        nothing frees. A sender that is alive sends another.
         """
         gone_at = self._gone_at.get(ingress)
         if gone_at is None:
@@ -128,10 +128,10 @@
         return True
 
     def silent_ingresses(self, now: float) -> list[types.EntryVmId]:
-        """Return the ingresses that hold permits but have not been heard.
+        """Return ingresses that hold permits but have sent nothing lately.
 
         A request may be granted just after its ingress was declared dead;
-        no other message would ever free that slot.
+        no other event would free that slot.
         """
         return [
             ingress
@@ -141,7 +141,7 @@
         ]
 
     def keys_of(self, ingress: types.EntryVmId) -> list[messages.PermitKey]:
-        """Return all permits of an ingress, in a stable order."""
+        """Return the keys of all permits of an ingress, sorted."""
         keys = self._keys_by_ingress.get(ingress, set())
         return sorted(keys, key=lambda k: (k.request_id, k.attempt_id))
 
--- a/packages/policy/src/lagoonrun_policy/records.py
+++ b/packages/policy/src/lagoonrun_policy/records.py
@@ -1,4 +1,4 @@
-"""Decide on one request and write down what the decision rests on."""
+"""Decisions on requests, with records of their inputs."""
 
 from collections.abc import Set
 
@@ -24,14 +24,14 @@
     kept: Set[types.UpstreamId] = frozenset(),
     floor: bool = False,
 ) -> tuple[decision.Verdict, messages.DecisionRecord]:
-    """Gather the inputs, decide, and record both.
+    """Collect the inputs, decide, and return the verdict with its record.
 
     Parameters
     ----------
     kept
-        Free runners that are kept for a higher tier.
+        Free runners that are reserved for a higher tier.
     floor
-        Whether the class's floor pays for a grant.
+        Whether a grant is made on the class's floor.
     """
     service_estimates = shard_state.service_estimates(state, now)
     remaining = waiting.deadline - now
@@ -94,7 +94,7 @@
     verdict: decision.Verdict,
     record: messages.DecisionRecord,
 ) -> messages.Refuse:
-    """Return the action that tells the ingress of a refusal."""
+    """Return the action that reports a refusal to the ingress."""
     return messages.Refuse(
         key=waiting.request.key,
         ingress=waiting.request.ingress,
--- a/packages/policy/src/lagoonrun_policy/retries.py
+++ b/packages/policy/src/lagoonrun_policy/retries.py
@@ -1,8 +1,8 @@
-"""Retries: only what is idempotent, within a budget, spread out in time.
+"""Retries of idempotent requests, within a budget and with backoff.
 
-Retries by callers and by the router multiply. Each first attempt earns the
-class a fraction of a retry; once they are spent, a failure is told to the
-caller instead of adding to the load that caused it.
+Retries by callers and by the router multiply. Each first attempt adds a
+fraction of a retry to the class's budget; once the budget is spent, a failure
+is returned to the caller instead of adding to the load that caused it.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 _MAX_SAVED_RETRIES = 10.0
 
 _MAX_UNREACHED_UPSTREAMS = 3
-"""Upstreams that a request fails to reach before its caller is told."""
+"""Upstreams that a request may fail to reach before it fails."""
 
 RETRYABLE_REASONS = frozenset(
     {
@@ -26,29 +26,29 @@
         outcomes.Reason.UPSTREAM_REFUSED,
     }
 )
-"""Reasons for which another runner may do better.
+"""Reasons after which another runner may succeed.
 
-A refusal for room is none of them: asking again adds to the load, and the
-caller has been told when to come back.
+Refusals for lack of capacity are not included: a retry would add to the
+load, and the caller was told when to retry.
 """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetryGranted:
-    """Try again after the pause."""
+    """The request may be retried after the delay."""
 
     delay_seconds: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetryDenied:
-    """Do not try again; `reason` tells why."""
+    """The request must not be retried; `reason` says why."""
 
     reason: outcomes.Reason
 
 
 class RetryBudget:
-    """Retries that the classes have earned.
+    """Retry budgets of the classes.
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
     def configure(
         self, classes_by_name: dict[types.ProfileName, messages.ClassPolicy]
     ) -> None:
-        """Take over the classes of a new configuration."""
+        """Apply the classes of a new configuration."""
         self._classes_by_name = classes_by_name
         self._saved_by_name = {
             name: saved
@@ -76,7 +76,7 @@
         }
 
     def record_first_attempt(self, profile: types.ProfileName) -> None:
-        """Earn the class its fraction of a retry."""
+        """Add the class's fraction of a retry to its budget."""
         policy = self._classes_by_name.get(profile)
         if policy is None:
             return
@@ -94,20 +94,20 @@
         sent: bool,
         resumes: bool = False,
     ) -> RetryGranted | RetryDenied:
-        """Spend a retry if the request may have one.
+        """Decide on a retry, and take it from the budget if it is granted.
 
         Parameters
         ----------
         attempts
             Attempts made so far, at least 1.
         sent
-            Whether a byte of the request has left for an upstream. A request
-            that is not idempotent is never tried again after that.
+            Whether a byte of the request was sent to an upstream. A request
+            that is not idempotent is never retried after that.
         resumes
-            Whether a stream goes on after its delivered tokens. That repeats
-            no work, and there are no more of them than streams were lost, so
-            that it spends nothing: a crash takes more streams at once than
-            any budget has saved, and each denied one wastes what it has.
+            Whether a stream is resumed after its delivered tokens. This
+            costs nothing: it repeats no work and happens once per lost
+            stream. A crash loses more streams at once than any budget
+            covers, and denying a resumption wastes the tokens delivered.
         """
         policy = self._classes_by_name.get(profile)
         if policy is None or reason not in RETRYABLE_REASONS:
@@ -133,12 +133,12 @@
 def _retry_unreached(
     request_id: types.RequestId, attempts: int
 ) -> RetryGranted | RetryDenied:
-    """Try another upstream where none has been reached.
+    """Retry at another upstream after a failure to connect.
 
-    Nothing was asked of anyone, so that this is no second attempt: also a
-    request that may run only once goes on, and the budget is not touched. A
-    crashed upstream takes more requests at once than any budget has saved
-    until it is out of service. The number is bounded all the same.
+    Nothing was sent, so this is not a second attempt: it is allowed for
+    requests that are not idempotent and does not use the budget. Until a
+    crashed upstream is out of service, it fails more requests at once than
+    any budget covers. The number of retries is still bounded.
     """
     if attempts >= _MAX_UNREACHED_UPSTREAMS:
         return RetryDenied(reason=outcomes.Reason.UPSTREAM_CONNECT)
@@ -148,10 +148,10 @@
 
 
 def backoff_seconds(*, request_id: types.RequestId, attempts: int) -> float:
-    """Return the pause before the next attempt.
+    """Return the delay before the next attempt.
 
-    Exponential with full jitter, drawn from the request's id so that the
-    requests of one failure do not come back together.
+    Exponential backoff with full jitter, hashed from the request id, so that
+    requests that failed together are not retried together.
     """
     max_delay = min(_MAX_BACKOFF_SECONDS, _BASE_BACKOFF_SECONDS * 2.0**attempts)
     return max_delay * jitter.fraction(f"{request_id}/retry/{attempts}")
--- a/packages/policy/src/lagoonrun_policy/runners.py
+++ b/packages/policy/src/lagoonrun_policy/runners.py
@@ -1,4 +1,4 @@
-"""The runners of one shard as the scheduler knows them."""
+"""State of one shard's runners."""
 
 import math
 import statistics
@@ -16,7 +16,7 @@
 )
 
 MIN_RUNNERS_PER_EJECTION = 3
-"""At most one of this many runners is ejected at a time."""
+"""Usable runners per runner that may be ejected at the same time."""
 
 _ESTIMATE_CAP_FRACTION = 0.75
 _MAX_REMEMBERED_STATES = 1024
@@ -25,7 +25,7 @@
 
 
 class RunnerState:
-    """One runner: what is granted to it and what is known of it."""
+    """State of one runner: requests in flight, limit, health and load."""
 
     def __init__(self, *, declared: messages.Runner) -> None:
         self.id = declared.id
@@ -44,19 +44,19 @@
         self.models: frozenset[str] | None = None
 
     def has_loaded(self, model: str) -> bool:
-        """Return whether the runner serves `model`, as far as is known.
+        """Return whether the runner may have loaded `model`.
 
-        One that has not reported yet is tried: it says by protocol that it
-        did not run what it cannot serve.
+        True for a runner that has not reported its models: if it cannot
+        serve the request, it says by protocol that it did not run it.
         """
         return not model or self.models is None or model in self.models
 
     def apply_report(self, report: messages.LoadReported, now: float) -> None:
-        """Keep a load report.
+        """Apply a load report.
 
-        The report is old: it may count work of ours that has ended since.
-        Only what exceeds the most we had in flight since the last report is
-        held to be somebody else's.
+        The report describes the past and may count requests of this shard
+        that have ended since. Only load above the peak in flight since the
+        previous report is attributed to other senders.
         """
         reported = report.running + report.waiting
         self.report = report
@@ -67,7 +67,7 @@
         self.peak_in_flight = self.in_flight
 
     def reset(self) -> None:
-        """Forget what was learnt: the runner has come back as another."""
+        """Discard all observations, since the runner has been restarted."""
         self.adaptive_limit = concurrency_limit.AdaptiveConcurrencyLimit(
             slots=self.declared.slots
         )
@@ -77,26 +77,26 @@
         self.foreign_load = 0.0
 
     def occupy(self) -> None:
-        """Count one more request at the runner."""
+        """Add one request to those in flight."""
         self.in_flight += 1
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def release(self) -> None:
-        """Count one request less at the runner."""
+        """Subtract one request from those in flight."""
         self.in_flight -= 1
 
 
 class RunnerPool:
-    """All runners of a shard, with those that left but still have work.
+    """Runners of a shard, including removed ones with requests in flight.
 
     Parameters
     ----------
     runners_by_id
         Runners of the configuration.
     switches
-        Which parts are in use.
+        Features that are enabled.
     services
-        Service times, for what a request is expected to take.
+        Observed service times.
     """
 
     def __init__(
@@ -121,13 +121,13 @@
         return iter(self._by_id.values())
 
     def get(self, upstream: types.UpstreamId) -> RunnerState | None:
-        """Return a runner, or None if it was never heard of."""
+        """Return a runner, or None if it is not known."""
         return self._by_id.get(upstream)
 
     def configure(
         self, runners_by_id: dict[types.UpstreamId, messages.Runner]
     ) -> None:
-        """Take over the runners of a configuration."""
+        """Apply the runners of a configuration."""
         for declared in runners_by_id.values():
             known = self._by_id.get(declared.id)
             if known is None:
@@ -138,8 +138,8 @@
             known.declared = declared
             known.configured = True
             known.adaptive_limit.set_slots(declared.slots)
-            # A new revision says nothing about liveness: a runner known to
-            # leave would get work again if the declared default won.
+            # A new revision says nothing about liveness: with the declared
+            # default, a runner known to be leaving would get requests again.
             if declared.state is not messages.UpstreamState.LIVE:
                 known.state = declared.state
         for known in list(self._by_id.values()):
@@ -149,7 +149,7 @@
         self._refresh_usable()
 
     def get_or_add(self, upstream: types.UpstreamId) -> RunnerState:
-        """Return a runner, known or not, to count work at it."""
+        """Return a runner, added as not configured if it is not known."""
         runner = self._by_id.get(upstream)
         if runner is None:
             declared = messages.Runner(id=upstream, slots=1)
@@ -159,7 +159,7 @@
         return runner
 
     def remove_if_idle(self, runner: RunnerState) -> None:
-        """Drop a runner that left the configuration and has no work left."""
+        """Remove a runner that is not configured and has none in flight."""
         if not runner.configured and runner.in_flight == 0:
             self._by_id.pop(runner.id, None)
             self._services.forget_runner(runner.id)
@@ -167,7 +167,7 @@
     def set_state(
         self, upstream: types.UpstreamId, state: messages.UpstreamState
     ) -> None:
-        """Take in that a runner is live, leaving or gone."""
+        """Set whether a runner is live, leaving or gone."""
         self._record_state(upstream, state)
         runner = self._by_id.get(upstream)
         if runner is None:
@@ -178,26 +178,26 @@
         runner.state = state
         self._refresh_usable()
 
-    def concurrency_limit(self, runner: RunnerState) -> float:
-        """Return how many requests the runner may have at once."""
+    def limit_of(self, runner: RunnerState) -> float:
+        """Return the runner's concurrency limit."""
         if self._features.adaptive_room:
             return runner.adaptive_limit.value
         return float(runner.declared.slots)
 
     def total_capacity(self) -> int:
-        """Return how many requests all usable runners may have at once."""
+        """Return the sum of the usable runners' concurrency limits."""
         if self._total_capacity is None:
             self._total_capacity = sum(
-                int(self.concurrency_limit(r)) for r in self._usable
+                int(self.limit_of(r)) for r in self._usable
             )
         return self._total_capacity
 
     def free(self, now: float) -> list[RunnerState]:
-        """Return the runners that can take one more request."""
+        """Return the runners with a free slot, probes included."""
         return [
             runner
             for runner in self._usable
-            if runner.in_flight < int(self.concurrency_limit(runner))
+            if runner.in_flight < int(self.limit_of(runner))
             and (
                 not runner.health.ejected
                 or (runner.health.is_probing(now) and runner.in_flight == 0)
@@ -205,7 +205,7 @@
         ]
 
     def any_usable(self) -> bool:
-        """Return whether any runner may be given work, now or later."""
+        """Return whether any runner is configured and live."""
         return bool(self._usable)
 
     def expected_service_seconds(
@@ -215,7 +215,7 @@
         profile: messages.ClassPolicy,
         now: float,
     ) -> float:
-        """Return the high quantile at a runner; 0 while it is unknown."""
+        """Return the high quantile at a runner; 0 while unknown."""
         if not self._features.deadline_refusal:
             return 0.0
         value = self._services.high(
@@ -229,11 +229,11 @@
     def service_estimates(
         self, *, profile: messages.ClassPolicy, now: float
     ) -> dict[types.UpstreamId, float]:
-        """Return the time that a request needs at each usable runner.
+        """Return the expected service time at each usable runner.
 
-        Where even the best runner's high quantile nears the limit, all are
-        scaled down: refusing every request would leave the class without
-        service, and without observations that could prove it wrong.
+        If even the lowest one is close to the profile's limit, all are scaled
+        down: refusing every request would leave the class without service,
+        and without observations that could correct the estimates.
         """
         by_id = {
             r.id: self.expected_service_seconds(
@@ -258,10 +258,10 @@
         target_budget_seconds: float,
         now: float,
     ) -> tuple[messages.Candidate, ...]:
-        """Weigh every runner for a request."""
-        shares: dict[types.UpstreamId, float] = {}
+        """Score every runner for a request."""
+        likelihoods: dict[types.UpstreamId, float] = {}
         if self._features.affinity:
-            shares = self.affinity.cache_likelihoods(
+            likelihoods = self.affinity.cache_likelihoods(
                 organisation=request.organisation,
                 prefix=request.prefix_hash,
                 now=now,
@@ -272,7 +272,7 @@
                 expected_service_seconds=expected_service_by_id.get(
                     runner.id, 0.0
                 ),
-                affinity_estimate=shares.get(runner.id, 0.0),
+                affinity_estimate=likelihoods.get(runner.id, 0.0),
                 remaining_seconds=remaining_seconds,
                 target_budget_seconds=target_budget_seconds,
                 exclusion=self._exclusion(runner, request, profile, kept, now),
@@ -282,7 +282,7 @@
         )
 
     def straggler_factor(self, runner: RunnerState, now: float) -> float:
-        """Return how many times slower than the median the runner is."""
+        """Return how many times slower than the median, at least 1."""
         if not self._features.straggler_penalty:
             return 1.0
         if now - self._median_at >= _MEDIAN_REFRESH_SECONDS:
@@ -300,7 +300,7 @@
         in_flight: int,
         now: float,
     ) -> None:
-        """Learn from the end of granted work at a runner."""
+        """Update health and latencies at the end of a granted request."""
         runner = self._by_id.get(upstream)
         if runner is None:
             return
@@ -312,21 +312,21 @@
             self._eject_if_failing(runner, now)
 
     def next_probe(self) -> float | None:
-        """Return when the first ejected runner may be probed."""
-        instants = [
+        """Return the earliest time at which an ejected runner is probed."""
+        probe_times = [
             r.health.ejected_until
             for r in self._usable
             if r.health.ejected_until is not None
         ]
-        return min(instants, default=None)
+        return min(probe_times, default=None)
 
     def _record_state(
         self, upstream: types.UpstreamId, state: messages.UpstreamState
     ) -> None:
-        """Keep that a runner is not live, configured or not.
+        """Remember that a runner is not live, whether configured or not.
 
-        A runner that leaves may vanish from the configuration and come back
-        with a later revision; it would get work again as if it were new.
+        A leaving runner may be removed from the configuration and return with
+        a later revision; without its state it would get requests as if new.
         """
         self._not_live.pop(upstream, None)
         if state is not messages.UpstreamState.LIVE:
@@ -357,7 +357,7 @@
         return decision.score_candidate(
             upstream=runner.id,
             in_flight=runner.in_flight,
-            room=self.concurrency_limit(runner),
+            room=self.limit_of(runner),
             reported_load=report.running + report.waiting if report else -1,
             report_age_seconds=now - runner.reported_at if report else 0.0,
             foreign_load=runner.foreign_load if report else 0.0,
@@ -395,8 +395,8 @@
             return decision.Exclusion.EJECTED
         if runner.in_flight > 0:
             return decision.Exclusion.PROBING
-        # A probe may fail; a request that must not run twice is not risked
-        # on it, unless no other has come for a while.
+        # A probe may fail. A request that is not idempotent is used for one
+        # only if there was no other for a while.
         probe_wait_until = runner.health.ejected_until + _PROBE_WAIT_SECONDS
         if not profile.idempotent and now < probe_wait_until:
             return decision.Exclusion.PROBING
@@ -435,8 +435,8 @@
             return
         if runner.health.failures < health.FAILURES_TO_EJECT:
             return
-        # Ejecting one after another in a fault that all share would send
-        # the whole load to the last one and fell it as well.
+        # Ejecting one runner after another in a common fault would send the
+        # whole load to the last one and overload it as well.
         ejected = sum(1 for r in self._usable if r.health.ejected)
         if (ejected + 1) * MIN_RUNNERS_PER_EJECTION <= len(self._usable):
             runner.health.eject(now)
--- a/packages/policy/src/lagoonrun_policy/scheduler.py
+++ b/packages/policy/src/lagoonrun_policy/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one shard: who may use which runner, and when."""
+"""Scheduler of one shard: assigns its runners to requests."""
 
 from collections.abc import Sequence
 
@@ -25,14 +25,14 @@
 
 
 class ShardScheduler:
-    """Grant runners by strict tier, with floors and fair shares.
+    """Grants runners by strict tier, with floors and weighted fair sharing.
 
     Parameters
     ----------
     policy
         Classes, runners and weights of the shard.
     switches
-        Which parts of the order of service are in use.
+        Features that are enabled.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
     def handle(
         self, event: messages.Event, *, now: float
     ) -> Sequence[messages.Action]:
-        """Take in one event at `now` and return what follows from it."""
+        """Apply one event at `now` and return the resulting actions."""
         self._actions = []
         match event:
             case messages.PermitRequested():
@@ -102,58 +102,58 @@
         return self._actions
 
     def next_wake(self, *, now: float) -> float | None:
-        """Return when a `Ticked` is due at the latest, or None."""
-        instants = []
+        """Return the latest time for the next `Ticked`, or None."""
+        wake_times = []
         for state in self._shard.classes:
             earliest = state.queue.earliest()
             if earliest is not None:
                 expected_service_seconds = self._shard.service_estimates(
                     state, now
                 ).best
-                instants.append(earliest.deadline - expected_service_seconds)
+                wake_times.append(earliest.deadline - expected_service_seconds)
                 budget = self._shard.target_budget_until(earliest, state, now)
                 if budget > now:
-                    instants.append(budget)
+                    wake_times.append(budget)
                 cut_due_at = self._cutting.due_at(state)
                 if self._shard.switches.cutting and cut_due_at > now:
-                    instants.append(cut_due_at)
-        if not instants:
+                    wake_times.append(cut_due_at)
+        if not wake_times:
             return None
-        instants.append(max(now, self._silence_check_at))
+        wake_times.append(max(now, self._silence_check_at))
         probe = self._shard.pool.next_probe()
         if probe is not None and probe > now:
-            instants.append(probe)
-        return min(instants)
+            wake_times.append(probe)
+        return min(wake_times)
 
     @property
     def running_count(self) -> int:
-        """Number of grants that hold a slot."""
+        """Number of granted requests that hold a slot."""
         return len(self._slots.permits.running_by_key)
 
     @property
     def waiting_count(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._slots.permits.queued_by_key)
 
     def is_waiting(self, key: messages.PermitKey) -> bool:
-        """Return whether a request waits in a queue of the shard."""
+        """Return whether the request is in a queue of the shard."""
         return key in self._slots.permits.queued_by_key
 
     def waiting_requests(self) -> Sequence[messages.PermitRequested]:
-        """Return all requests that wait."""
+        """Return all waiting requests."""
         queued = self._slots.permits.queued_by_key.values()
         return [one.waiting.request for one in queued]
 
     def summary(self, *, now: float) -> shard_ranking.ShardView:
-        """Return what other failure domains need to know of the shard."""
+        """Return the shard's summary for other failure domains."""
         return summaries.summarise(self._shard, now=now)
 
     def ejected_runners(self) -> frozenset[types.UpstreamId]:
-        """Return the runners that failed out of service."""
+        """Return the runners that are ejected because of failures."""
         return frozenset(r.id for r in self._shard.pool if r.health.ejected)
 
     def status(self, *, now: float) -> shard_status.ShardStatus:
-        """Return what operators are shown of the shard."""
+        """Return the shard's status for operators."""
         return shard_status.describe(self._shard, now=now)
 
     def _on_requested(
@@ -226,7 +226,10 @@
         self._slots.charge(running, max(running.charged, float(event.tokens)))
 
     def _on_load(self, event: messages.LoadReported, now: float) -> bool:
-        """Keep a report; return whether it lets others of those wait go."""
+        """Apply a load report; return whether the loaded models changed.
+
+        Only such a change can make further requests grantable.
+        """
         runner = self._shard.pool.get(event.upstream)
         if runner is None:
             return False
@@ -238,11 +241,15 @@
         self._slots.permits.record_contact(event.ingress, now)
         may_register = self._slots.permits.may_register(event.ingress, now)
         listed = {w.key for w in event.running}
-        for work in event.running:
-            if work.key in self._slots.permits.running_by_key:
-                self._slots.permits.running_by_key[work.key].missed_digests = 0
-            elif may_register and not self._slots.permits.has_ended(work.key):
-                self._slots.register_running(work, event.ingress, now)
+        for request in event.running:
+            if request.key in self._slots.permits.running_by_key:
+                self._slots.permits.running_by_key[
+                    request.key
+                ].missed_digests = 0
+            elif may_register and not self._slots.permits.has_ended(
+                request.key
+            ):
+                self._slots.register_running(request, event.ingress, now)
         listed.update(event.waiting)
         for key in self._slots.permits.keys_of(event.ingress):
             if key not in listed:
@@ -253,9 +260,9 @@
         self._shard.invalidate_estimates()
 
     def _drop_ingress(self, ingress: types.EntryVmId, now: float) -> None:
-        """End all that an ingress has.
+        """Remove all permits of an ingress.
 
-        If it is alive after all, its digests register what runs anew.
+        If it is alive after all, its digests register its requests again.
         """
         self._slots.permits.record_gone(ingress, now)
         for key in self._slots.permits.keys_of(ingress):
@@ -280,10 +287,10 @@
             self._drop_ingress(ingress, now)
 
     def _repeat_answer(self, event: messages.PermitRequested) -> bool:
-        """Answer a request that came again; return whether it is known.
+        """Answer a repeated request; return whether it was one.
 
-        An ingress that asks twice has lost the answer: it gets the same
-        grant again, which takes no second slot.
+        An ingress that repeats a request has lost the answer: it gets the
+        same grant again, which takes no second slot.
         """
         if event.key in self._slots.permits.queued_by_key:
             return True
--- a/packages/policy/src/lagoonrun_policy/shard.py
+++ b/packages/policy/src/lagoonrun_policy/shard.py
@@ -1,4 +1,4 @@
-"""What the parts of one shard's scheduler share: classes, runners, times."""
+"""Shared state of one shard's scheduler: classes, runners, service times."""
 
 import dataclasses
 
@@ -19,16 +19,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServiceEstimates:
-    """Time that a class's request needs until its end.
+    """Expected service times of a class's requests.
 
     Parameters
     ----------
     by_id
-        High quantile per usable runner; 0 while unknown.
+        High quantile by usable runner; 0 while unknown.
     best
-        The least of them.
+        The lowest of them.
     samples
-        Observations of the class in the shard.
+        Number of observations of the class in the shard.
     """
 
     by_id: dict[types.UpstreamId, float]
@@ -45,7 +45,7 @@
     policy
         Classes, runners and weights of the shard.
     switches
-        Which parts of the order of service are in use.
+        Features that are enabled.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
     def configure(
         self, policy: messages.ShardPolicy
     ) -> list[class_state.ClassState]:
-        """Take over a configuration; return the classes that vanished."""
+        """Apply a configuration; return the classes that were removed."""
         self.policy = policy
         removed = [
             state
@@ -86,7 +86,7 @@
     def placeholder_class(
         self, profile: types.ProfileName
     ) -> class_state.ClassState:
-        """Return a stand-in for a class that is not configured here."""
+        """Return a placeholder for a class that is not configured here."""
         return class_state.ClassState(
             policy=messages.ClassPolicy(
                 name=profile,
@@ -99,29 +99,29 @@
         )
 
     def invalidate_estimates(self) -> None:
-        """Work out margins anew, since the usable runners have changed."""
+        """Discard cached estimates after the usable runners changed."""
         self._estimates.clear()
 
     def service_estimates(
         self, state: class_state.ClassState, now: float
     ) -> ServiceEstimates:
-        """Return the time that a request of the class needs, as of lately."""
+        """Return the class's expected service times, cached for a moment."""
         name = state.policy.name
-        known = self._estimates.get(name)
-        if known and 0 <= now - known.computed_at < _ESTIMATE_REFRESH_SECONDS:
-            return known
+        cached = self._estimates.get(name)
+        if cached and 0 <= now - cached.computed_at < _ESTIMATE_REFRESH_SECONDS:
+            return cached
         by_id = self.pool.service_estimates(profile=state.policy, now=now)
-        estimates = ServiceEstimates(
+        computed = ServiceEstimates(
             by_id=by_id,
             best=min(by_id.values(), default=0.0),
             samples=self.services.samples(profile=name, now=now),
             computed_at=now,
         )
-        self._estimates[name] = estimates
-        return estimates
+        self._estimates[name] = computed
+        return computed
 
     def target_cutoff(self, state: class_state.ClassState, now: float) -> float:
-        """Return the instant before which a target can no longer be met."""
+        """Return the time before which a target can no longer be met."""
         profile = state.policy.name
         if state.policy.target_on_first_token:
             return now + self.services.typical_first_token(
@@ -135,10 +135,10 @@
         state: class_state.ClassState,
         now: float,
     ) -> float:
-        """Return the time in which a runner has to be done; 0 if any will do.
+        """Return the longest acceptable service time; 0 if any runner will do.
 
-        While the best runner can meet the target with some time to spare, it
-        is better to wait for one than to take a straggler that cannot.
+        While the best runner can still meet the target with some slack, it is
+        better to wait for it than to use a straggler that cannot.
         """
         if state.policy.target_on_first_token:
             return 0.0
@@ -155,26 +155,26 @@
         state: class_state.ClassState,
         now: float,
     ) -> float:
-        """Return the instant from which any runner will do."""
+        """Return the time from which any runner may be used."""
         best = self.service_estimates(state, now).best
         if not self.switches.target_runners or best == 0.0:
             return now
         return waiting.target_deadline - _TARGET_SLACK_FACTOR * best
 
     def any_waiting(self) -> bool:
-        """Return whether any request waits."""
+        """Return whether any request is waiting."""
         return any(c.queue.length for c in self.classes)
 
     def drain_seconds(
         self, state: class_state.ClassState, requests_ahead: int, now: float
     ) -> float:
-        """Return the time until the work ahead has been granted.
+        """Return the estimated time until the requests ahead are granted.
 
-        Only work of this and the higher tiers counts: a lower tier is never
-        the cause of a refusal, but for its floor, which is set aside.
+        Only requests of this and higher tiers count: a lower tier must never
+        cause a refusal, except by its floor, whose share is reserved.
         """
-        room = self.pool.total_capacity()
-        if room == 0:
+        total_capacity = self.pool.total_capacity()
+        if total_capacity == 0:
             return 0.0
         ahead = (
             requests_ahead * self._mean(state, now) if requests_ahead else 0.0
@@ -187,10 +187,10 @@
         if ahead == 0.0:
             return 0.0
         share = 1.0 - floors.reserved_share(state, self.classes)
-        return ahead / (room * share)
+        return ahead / (total_capacity * share)
 
     def sheddable_below(self, state: class_state.ClassState) -> int:
-        """Return how many requests of lower tiers may be shed."""
+        """Return the number of requests of lower tiers that may be shed."""
         count = 0
         for other in reversed(self.classes):
             if other.policy.tier <= state.policy.tier:
@@ -200,7 +200,7 @@
         return count
 
     def waiting_above(self, state: class_state.ClassState) -> int:
-        """Return how many requests of higher tiers wait."""
+        """Return the number of waiting requests of higher tiers."""
         count = 0
         for other in self.classes:
             if other.policy.tier >= state.policy.tier:
--- a/packages/policy/src/lagoonrun_policy/shard_ranking.py
+++ b/packages/policy/src/lagoonrun_policy/shard_ranking.py
@@ -1,8 +1,9 @@
-"""Which shard to ask: the own domain's first, then others by their summary.
+"""Order in which an ingress asks the shards of a pool for a permit.
 
-Shards of the own region go before those of other regions, unless the request
-would miss its target there and a far one serves it sooner, its distance
-counted in.
+The shard of its own failure domain comes first, then others by their
+summaries. Shards of the same region precede those of other regions, unless
+the request would miss its target there and another region serves it sooner,
+network delay included.
 """
 
 import dataclasses
@@ -12,36 +13,37 @@
 from lagoonrun_core import types
 
 NO_TIER = types.Tier(0)
-"""Stands for "none waits" or "none runs" in a summary."""
+"""Lowest tier in a summary if no request waits or runs."""
 
 ROUND_TRIPS = 3
-"""Round trips before a far answer begins: permit, connection, request."""
+"""Round trips before a remote answer starts: permit, connection, request."""
 
 _MAX_SUMMARY_AGE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShardView:
-    """What an ingress knows of one shard of a pool.
+    """Summary of one shard as known to an ingress.
 
     Parameters
     ----------
-    own
-        Whether the shard is in the ingress's own failure domain.
+    same_domain
+        Whether the shard is in the ingress's failure domain.
     reachable
         Whether its dispatcher answers, as far as is known.
-    near
-        Whether the shard is in the ingress's own region.
+    same_region
+        Whether the shard is in the ingress's region.
     distance_seconds
         Round trip between the ingress and the shard's domain.
     free
-        Requests that could start at once.
+        Number of free slots.
     lowest_waiting_tier, lowest_running_tier
-        Highest number that waits or runs; `NO_TIER` for none.
+        Lowest tier (highest number) that waits or runs; `NO_TIER` if none.
     wait_seconds
         Expected wait of a new request of the lowest tier.
     age_seconds
-        Age of the summary; the own shard may have none (infinity).
+        Age of the summary; infinity if there is none, as may be the case for
+        the shard of the same domain.
     """
 
     shard: types.ShardId
@@ -57,7 +59,7 @@
 
 
 class _Rank(enum.IntEnum):
-    """How promising a shard is, best first."""
+    """Preference among shards, best first."""
 
     OWN = 0
     FREE = 1
@@ -98,21 +100,22 @@
 ) -> tuple[types.ShardId, ...]:
     """Return the shards to ask, in order.
 
-    The next one is asked when one is gone or refuses for room. A shard of
-    another domain that admits lower tiers is always among them, so that no
-    high tier is refused here while a lower one is served there. One whose
-    queue or distance alone takes longer than the time left is left out.
+    The next one is asked if one is unreachable or refuses for lack of
+    capacity. Shards of other domains that admit lower tiers are always
+    included, so that no request is refused here while one of a lower tier is
+    served there. A shard is omitted if its queue or its distance alone takes
+    longer than the time left.
 
     Parameters
     ----------
     tier, remaining_seconds
         Of the request.
     remaining_target_seconds
-        Time left to the target; None where it is that to the limit.
-    most
-        Most shards to return; None for all. Those that have room or admit
-        lower tiers are kept before others, but for the first of another
-        domain, which is the one that is asked soonest.
+        Time left to the target; None if the target is the limit.
+    max_shards
+        Maximum number of shards to return; None for all. Shards with free
+        slots or that admit lower tiers are preferred; the first shard of
+        another domain is always preferred, since it is asked soonest.
     """
     target = remaining_seconds
     if remaining_target_seconds is not None:
@@ -177,7 +180,7 @@
         return True
     if one.rank is _Rank.QUEUES:
         return one.delay_seconds < remaining_seconds
-    # What a summary says of the wait is of the lowest tier, or too old.
+    # The summary's wait applies to the lowest tier, or is out of date.
     return one.network_seconds <= remaining_seconds
 
 
@@ -191,9 +194,9 @@
     other_region: list[_Ranked],
     target_seconds: float,
 ) -> list[_Ranked]:
-    """Return both in one order; near ones go first unless a far one is due.
+    """Merge both lists; each keeps its order.
 
-    The order among near ones and that among far ones stay as they are.
+    Shards of the same region come first unless `_precedes` says otherwise.
     """
     merged = []
     same_index = other_index = 0
@@ -214,7 +217,7 @@
 def _precedes(
     other_region: _Ranked, same_region: _Ranked, target_seconds: float
 ) -> bool:
-    """Return whether a far shard is asked before a near one."""
+    """Return whether the other region's shard is asked first."""
     if other_region.rank is _Rank.OLD_SUMMARY:
         return False
     if same_region.rank is _Rank.OLD_SUMMARY:
@@ -226,8 +229,9 @@
         return False
     if other_region.delay_seconds <= target_seconds:
         return True
-    # Both are late. The wait of a shard that admits lower tiers is theirs,
-    # so that it may be shorter for this request; a queue's is its own.
+    # Both miss the target. The summary's wait is that of the lowest tier: a
+    # shard that admits lower tiers may serve this request sooner, one that
+    # only queues may not.
     is_queue = same_region.rank is _Rank.QUEUES
     return is_queue and other_region.delay_seconds < same_region.delay_seconds
 
@@ -235,9 +239,9 @@
 def _choose(
     own: Sequence[_Ranked], others: Sequence[_Ranked], max_shards: int
 ) -> list[_Ranked]:
-    """Return at most `most` of both, own ones first, in their order."""
-    # Cut to the nearest few, a request would be refused by queues of its own
-    # region while a far shard that was left out admits lower tiers.
+    """Return at most `max_shards` of both, own shards first, in order."""
+    # With only the nearest few, a request could be refused by the queues of
+    # its region while an omitted shard of another region admits lower tiers.
     by_importance = sorted(
         range(len(others)),
         key=lambda index: (
--- a/packages/policy/src/lagoonrun_policy/shard_status.py
+++ b/packages/policy/src/lagoonrun_policy/shard_status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of one shard: its classes and its runners."""
+"""Status of one shard for operators: its classes and its runners."""
 
 import dataclasses
 
@@ -8,17 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClassStatus:
-    """One class of a shard.
+    """Status of one class.
 
     Parameters
     ----------
     waiting, running
-        Requests of the class.
+        Number of requests of the class.
     queue_capacity
-        Most that wait.
+        Maximum of `waiting`.
     expected_service_seconds
-        High quantile of the service time at the best runner; 0 while it is
-        not known.
+        High quantile of the service time at the fastest runner; 0 while
+        unknown.
     """
 
     profile: types.ProfileName
@@ -31,20 +31,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RunnerStatus:
-    """One runner of a shard.
+    """Status of one runner.
 
     Parameters
     ----------
     in_flight
-        Requests that the dispatcher knows to be there.
+        Requests that the dispatcher knows to be at the runner.
     room
-        Adaptive limit on them; `slots` is the declared one.
+        Adaptive concurrency limit; `slots` is the declared maximum.
     reported_load
-        Running plus waiting by its own last report; -1 where there is none.
+        Running plus waiting requests of its last load report; -1 if none.
     report_age_seconds
         Age of that report.
     straggler_factor
-        Its pace against the pool's median; 1 is as fast.
+        Its pace relative to the pool's median; 1 is as fast.
     """
 
     upstream: types.UpstreamId
@@ -60,14 +60,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShardStatus:
-    """Classes by tier, and runners by id."""
+    """Status of a shard; classes sorted by tier, runners by id."""
 
     classes: tuple[ClassStatus, ...]
     runners: tuple[RunnerStatus, ...]
 
 
 def describe(shard_state: shard.ShardState, *, now: float) -> ShardStatus:
-    """Return the state of a shard as of `now`."""
+    """Return the status of a shard as of `now`."""
     return ShardStatus(
         classes=tuple(
             ClassStatus(
@@ -98,7 +98,7 @@
         state=runner.state,
         ejected=runner.health.ejected,
         in_flight=runner.in_flight,
-        room=shard_state.pool.concurrency_limit(runner),
+        room=shard_state.pool.limit_of(runner),
         slots=runner.declared.slots,
         reported_load=report.running + report.waiting if report else -1,
         report_age_seconds=now - runner.reported_at if report else 0.0,
--- a/packages/policy/src/lagoonrun_policy/slots.py
+++ b/packages/policy/src/lagoonrun_policy/slots.py
@@ -1,4 +1,4 @@
-"""Slots of the runners: taken, freed once, and settled with the payer."""
+"""Slots of the runners: occupied, freed exactly once, and charged for."""
 
 from lagoonrun_core import outcomes, types
 from lagoonrun_policy import messages, permit_table, shard
@@ -11,12 +11,12 @@
 
 
 class SlotAccounting:
-    """Keeps ledger, runner counts and organisations' charges in step.
+    """Keeps permit table, runners and organisations' charges consistent.
 
     Parameters
     ----------
-    shared
-        The shard whose slots these are.
+    shard_state
+        The shard that the slots belong to.
     """
 
     def __init__(self, *, shard_state: shard.ShardState) -> None:
@@ -24,7 +24,7 @@
         self.permits = permit_table.PermitTable()
 
     def occupy(self, running: permit_table.RunningPermit) -> None:
-        """Take a slot for granted work."""
+        """Occupy a slot for a granted request."""
         self.permits.add_running(running)
         self._shard.pool.get_or_add(running.upstream).occupy()
         if running.state is not None:
@@ -34,7 +34,7 @@
     def release(
         self, running: permit_table.RunningPermit, *, tokens: float
     ) -> None:
-        """Free the slot of granted work, once, and settle its charge."""
+        """Free a granted request's slot, once, and set its final charge."""
         if self.permits.remove_running(running.key) is None:
             return
         self.charge(running, tokens)
@@ -49,7 +49,7 @@
     def charge(
         self, running: permit_table.RunningPermit, tokens: float
     ) -> None:
-        """Set what the work's organisation has been charged for it."""
+        """Set the total charged to the organisation for the request."""
         if running.state is not None:
             running.state.queue.charge(
                 running.organisation, tokens - running.charged
@@ -57,48 +57,52 @@
         running.charged = tokens
 
     def withdraw(self, key: messages.PermitKey) -> None:
-        """Take a waiting request out; nothing if it does not wait."""
+        """Remove a waiting request; no-op if it is not waiting."""
         queued = self.permits.remove_queued(key)
         if queued is not None:
             queued.state.queue.remove(queued.waiting)
 
     def register_running(
         self,
-        work: messages.InFlight,
+        request: messages.InFlight,
         ingress: types.EntryVmId,
         now: float,
     ) -> None:
-        """Count work that another dispatcher granted, or that we forgot."""
-        self.withdraw(work.key)
+        """Register a running request that is not in the permit table.
+
+        Another dispatcher granted it, or its permit was removed here.
+        """
+        self.withdraw(request.key)
         running = permit_table.RunningPermit(
-            key=work.key,
+            key=request.key,
             ingress=ingress,
-            state=self._shard.by_profile.get(work.profile),
-            organisation=work.organisation,
-            upstream=work.upstream,
-            granted_at=now - work.running_seconds,
-            tokens=work.tokens,
+            state=self._shard.by_profile.get(request.profile),
+            organisation=request.organisation,
+            upstream=request.upstream,
+            granted_at=now - request.running_seconds,
+            tokens=request.tokens,
             progressed_at=now,
         )
         self.occupy(running)
-        self.charge(running, float(max(work.tokens, 1)))
+        self.charge(running, float(max(request.tokens, 1)))
 
     def require_next_digest(self) -> None:
-        """Let one digest that does not name granted work end it.
+        """Release running requests that the next digest does not list.
 
-        While the process did not run, connections to it were given up, and
-        with them the ends that waited there. Digests come after what was
-        granted before the stall, so that what the first of them does not
-        name is over; waiting for a second one would leave slots empty.
+        While the process was paused, peers closed their connections to it
+        and dropped the end reports queued there. Digests arrive after
+        anything granted before the pause, so a request missing from the
+        first one has ended; waiting for a second would leave slots idle.
         """
         for running in self.permits.running_by_key.values():
             running.missed_digests = _MAX_MISSED_DIGESTS - 1
 
     def record_unlisted(self, key: messages.PermitKey, now: float) -> None:
-        """Drop what its ingress no longer names.
+        """Record that a digest of its ingress did not list a permit.
 
-        A grant or a request may still be on its way, and a digest may have
-        been held up; only what is old and missing twice is over.
+        A grant or request may still be in transit, and a digest may have
+        been delayed. The permit is removed only if it is older than the
+        grace period and was not listed in two digests.
         """
         running = self.permits.running_by_key.get(key)
         if running is not None:
@@ -122,7 +126,7 @@
         in_flight: int,
         now: float,
     ) -> None:
-        """Learn service times and the runner's health from an end."""
+        """Update service times and the runner's health from an end report."""
         if running.state is None:
             return
         profile = running.state.policy.name
--- a/packages/policy/src/lagoonrun_policy/summaries.py
+++ b/packages/policy/src/lagoonrun_policy/summaries.py
@@ -1,4 +1,4 @@
-"""Summary of a shard for the other failure domains."""
+"""Summary of a shard for other failure domains."""
 
 from collections.abc import Iterable
 
@@ -9,9 +9,9 @@
 def summarise(
     shard_state: shard.ShardState, *, now: float
 ) -> shard_ranking.ShardView:
-    """Return the shard's room, lowest tiers and expected wait."""
+    """Return the shard's free slots, lowest tiers and expected wait."""
     free = sum(
-        int(shard_state.pool.concurrency_limit(r)) - r.in_flight
+        int(shard_state.pool.limit_of(r)) - r.in_flight
         for r in shard_state.pool.free(now)
         if not r.health.ejected
     )
