--- a/packages/policy/tests/conftest.py
+++ b/packages/policy/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared builders of policies and events."""
+"""Shared builders of policies and events, and a scheduler driver."""
 
 import dataclasses
 import itertools
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class Driver:
-    """Feeds a scheduler and keeps what it says."""
+    """Sends events to a scheduler and collects its actions."""
 
     subject: messages.Scheduler
     now: float = 100.0
@@ -50,7 +50,7 @@
     )
 
     def send(self, event: messages.Event) -> Sequence[messages.Action]:
-        """Feed one event; each record must lead to its result again."""
+        """Send one event; check that replaying each record agrees."""
         actions = list(self.subject.handle(event, now=self.now))
         self.actions += actions
         for action in actions:
@@ -61,7 +61,7 @@
         return actions
 
     def request(self, profile: str, **changes) -> messages.PermitKey:
-        """Ask for a permit; return its key."""
+        """Request a permit; return its key."""
         key = messages.PermitKey(
             request_id=types.RequestId(f"q{next(self._numbers)}"),
             attempt_id=types.AttemptId(1),
@@ -78,7 +78,7 @@
         return key
 
     def end(self, key: messages.PermitKey, **changes):
-        """Report the end of granted work."""
+        """Report the end of a granted request."""
         fields = {
             "key": key,
             "upstream": self.upstream_by_key.get(key, types.UpstreamId("r0")),
@@ -91,11 +91,11 @@
         return self.send(messages.PermitEnded(**(fields | changes)))
 
     def granted(self) -> list[messages.PermitKey]:
-        """Return what was granted, in order."""
+        """Return the keys of the grants, in order."""
         return [a.key for a in self.actions if isinstance(a, messages.Grant)]
 
     def refused(self) -> dict[messages.PermitKey, messages.Refuse]:
-        """Return the refusals."""
+        """Return the refusals by key."""
         return {
             a.key: a for a in self.actions if isinstance(a, messages.Refuse)
         }
@@ -103,7 +103,7 @@
 
 @pytest.fixture
 def drive() -> Callable[..., Driver]:
-    """Return a maker of drivers of a `ShardScheduler`."""
+    """Return a factory of drivers of a `ShardScheduler`."""
 
     def make(
         *classes: messages.ClassPolicy,
--- a/packages/policy/tests/oracle.py
+++ b/packages/policy/tests/oracle.py
@@ -1,7 +1,7 @@
-"""A scheduler made of plain sorts over lists, to compare with.
+"""Reference scheduler built on sorted lists, for differential tests.
 
-It knows the order of service and nothing of speed: every step sorts all that
-waits. Service times are taken to be unknown, so nothing is refused early.
+It implements the order of service without optimisation: every step sorts all
+waiting requests. Service times are unknown to it, so it refuses none early.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 
 class OracleScheduler:
-    """Order of service by sorting lists."""
+    """Scheduler that derives the order of service by sorting lists."""
 
     def __init__(self, *, policy: messages.ShardPolicy) -> None:
         self.policy = policy
@@ -35,15 +35,15 @@
         self.grants = 0
 
     def handle(self, event, *, now):
-        """Return (verdict, key, upstream or reason) for what follows."""
-        out = []
+        """Return (verdict, key, upstream or reason) for each action."""
+        actions = []
         if isinstance(event, messages.PermitRequested):
-            self._arrive(event, now, out)
+            self._arrive(event, now, actions)
         elif isinstance(event, messages.PermitEnded):
             self._end(event)
-        self._expire(now, out)
-        self._grant(now, out)
-        return out
+        self._expire(now, actions)
+        self._grant(now, actions)
+        return actions
 
     def _class(self, item):
         return self.policy.classes_by_name[item.request.profile]
@@ -51,7 +51,7 @@
     def _of(self, name):
         return [i for i in self.waiting if i.request.profile == name]
 
-    def _arrive(self, event, now, out):
+    def _arrive(self, event, now, actions):
         self.sequence += 1
         item = Item(
             event,
@@ -60,17 +60,19 @@
             self.sequence,
         )
         if event.remaining_seconds <= 0:
-            out.append(("refuse", event.key, outcomes.Reason.DEADLINE))
+            actions.append(("refuse", event.key, outcomes.Reason.DEADLINE))
             return
-        mine = self.policy.classes_by_name[event.profile]
-        if len(self._of(mine.name)) >= mine.queue_capacity:
+        own_class = self.policy.classes_by_name[event.profile]
+        if len(self._of(own_class.name)) >= own_class.queue_capacity:
             lower = [
                 c
                 for c in self.policy.classes_by_name.values()
-                if c.tier > mine.tier and len(self._of(c.name)) > 1
+                if c.tier > own_class.tier and len(self._of(c.name)) > 1
             ]
             if not lower:
-                out.append(("refuse", event.key, outcomes.Reason.QUEUE_FULL))
+                actions.append(
+                    ("refuse", event.key, outcomes.Reason.QUEUE_FULL)
+                )
                 return
             lowest = max(lower, key=lambda c: (c.tier, c.name))
             queue = self._of(lowest.name)
@@ -80,15 +82,15 @@
             )
             self.waiting.remove(shed)
             reason = outcomes.Reason.SHED_FOR_HIGHER_TIER
-            out.append(("refuse", shed.request.key, reason))
-        account = (mine.name, event.organisation)
+            actions.append(("refuse", shed.request.key, reason))
+        account = (own_class.name, event.organisation)
         if not any(
             i.request.organisation == event.organisation
-            for i in self._of(mine.name)
+            for i in self._of(own_class.name)
         ):
             self.virtual[account] = max(
-                self.virtual.get(account, self.system.get(mine.name, 0.0)),
-                self.system.get(mine.name, 0.0),
+                self.virtual.get(account, self.system.get(own_class.name, 0.0)),
+                self.system.get(own_class.name, 0.0),
             )
         self.waiting.append(item)
 
@@ -114,7 +116,7 @@
         _, account, _ = ended
         self._charge(account, max(event.tokens, 1) - 1)
 
-    def _expire(self, now, out):
+    def _expire(self, now, actions):
         for item in sorted(
             self.waiting,
             key=lambda i: (self._class(i).tier, i.deadline, i.sequence),
@@ -122,9 +124,9 @@
             if item.deadline <= now:
                 self.waiting.remove(item)
                 reason = outcomes.Reason.DEADLINE
-                out.append(("refuse", item.request.key, reason))
+                actions.append(("refuse", item.request.key, reason))
 
-    def _grant(self, now, out):
+    def _grant(self, now, actions):
         while self.waiting:
             counts = dict.fromkeys(self.policy.runners_by_id, 0)
             for upstream, *_ in self.running.values():
@@ -146,13 +148,13 @@
                 floor,
             )
             self._earn(name, floor)
-            out.append(("grant", item.request.key, runner))
+            actions.append(("grant", item.request.key, runner))
 
     def _slots(self):
         return {r.id: r.slots for r in self.policy.runners_by_id.values()}
 
     def _runner(self, counts, request_id):
-        """Return the least loaded; of equals the first after a drawn one."""
+        """Return the least loaded runner; ties go to a hashed offset."""
         ids = list(self.policy.runners_by_id)
         start = int(jitter.fraction(request_id) * len(ids))
         slots = self._slots()
--- a/packages/policy/tests/simulation.py
+++ b/packages/policy/tests/simulation.py
@@ -1,8 +1,8 @@
-"""A small world around a scheduler that knows what really runs.
+"""Simulated ingresses and runners around a scheduler under test.
 
-It plays the ingresses: it answers for what they have in flight, loses and
-delays messages, and after each event checks the promises against its own
-books. It knows nothing of how the scheduler works.
+The simulation tracks the requests that are really in flight, loses and delays
+messages, and checks the scheduler's invariants after each event against its
+own state. It does not depend on how the scheduler works.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class InvariantError(AssertionError):
-    """Names the promise that was broken."""
+    """Names the invariant that was violated."""
 
     def __init__(self, invariant: str, detail: object) -> None:
         super().__init__(f"{invariant}: {detail}")
@@ -26,14 +26,14 @@
 
 
 def expect(invariant: str, holds: bool, detail: object = "") -> None:
-    """Fail with the promise's name if it does not hold."""
+    """Fail with the invariant's name if it does not hold."""
     if not holds:
         raise InvariantError(invariant, detail)
 
 
 @dataclasses.dataclass
 class Request:
-    """A request as its ingress knows it."""
+    """State of a request at its ingress."""
 
     event: messages.PermitRequested
     deadline: float
@@ -48,7 +48,7 @@
 
 
 class Simulation:
-    """Ingresses, runners and books around one scheduler."""
+    """Ingresses and runners around one scheduler."""
 
     def __init__(self, *, subject, policy: messages.ShardPolicy) -> None:
         self.subject = subject
@@ -57,10 +57,10 @@
         self.now = 1000.0
         self.waiting: dict[messages.PermitKey, Request] = {}
         self.running: dict[messages.PermitKey, Request] = {}
-        self.over: list[Request] = []
-        # Ended at the ingress, but the scheduler was not told.
+        self.finished: list[Request] = []
+        # Ended at the ingress, but not reported to the scheduler.
         self.unreported: dict[messages.PermitKey, Request] = {}
-        # Requests that the present scheduler has been told of.
+        # Requests sent to the current scheduler.
         self.known: set[messages.PermitKey] = set()
         self.not_live: set[types.UpstreamId] = set()
         self.numbers = 0
@@ -71,7 +71,7 @@
     def request(
         self, profile, organisation, ingress, remaining=30.0, excluded=()
     ) -> None:
-        """Ask for a permit."""
+        """Request a permit."""
         self.numbers += 1
         key = messages.PermitKey(
             request_id=types.RequestId(f"q{self.numbers}"),
@@ -87,36 +87,36 @@
             excluded=tuple(types.UpstreamId(e) for e in excluded),
         )
         self.waiting[key] = Request(event=event, deadline=self.now + remaining)
-        self.feed(event)
+        self.send(event)
 
-    def ask_again(self, key) -> None:
-        """Repeat a request whose answer was lost on the way."""
+    def repeat(self, key) -> None:
+        """Repeat a request whose answer was lost."""
         request = self.waiting.get(key) or self.running[key]
-        self.feed(request.event)
+        self.send(request.event)
 
     def end(self, key, *, lost=False, failed=False) -> None:
-        """End running work; its report may be lost."""
+        """End a running request; its report may be lost."""
         request = self.running.pop(key)
         if lost:
             self.unreported[key] = request
             return
-        self.over.append(request)
-        self.feed(self._ended(request, failed))
+        self.finished.append(request)
+        self.send(self._ended(request, failed))
 
     def end_late(self, request: Request) -> None:
-        """Report an end (again) long after it."""
+        """Report an end late, possibly for the second time."""
         self.unreported.pop(request.key, None)
-        self.feed(self._ended(request, False))
+        self.send(self._ended(request, False))
 
-    def give_back(self, key) -> None:
+    def return_permit(self, key) -> None:
         """Withdraw a waiting request or return a grant."""
         request = self.waiting.pop(key, None) or self.running.pop(key)
         request.answered = True
-        self.over.append(request)
-        self.feed(messages.PermitReturned(key=key))
+        self.finished.append(request)
+        self.send(messages.PermitReturned(key=key))
 
     def digest(self, ingress) -> None:
-        """Send what the ingress really has."""
+        """Send a digest of the ingress's requests."""
         running = [
             messages.InFlight(
                 key=r.key,
@@ -132,7 +132,7 @@
         waiting = [
             r.key for r in self.waiting.values() if r.event.ingress == ingress
         ]
-        self.feed(
+        self.send(
             messages.InFlightDigest(
                 ingress=types.EntryVmId(ingress),
                 running=tuple(running),
@@ -141,11 +141,11 @@
         )
 
     def hand_over(self, subject) -> None:
-        """Replace the scheduler; the ingresses register what they have."""
+        """Replace the scheduler; the ingresses register their requests."""
         self.subject = subject
         self.known.clear()
         for upstream in self.not_live:
-            self.feed(
+            self.send(
                 messages.UpstreamChanged(
                     upstream=upstream, state=messages.UpstreamState.LEAVING
                 )
@@ -157,16 +157,16 @@
             event = dataclasses.replace(
                 request.event, remaining_seconds=remaining
             )
-            self.feed(event)
+            self.send(event)
 
     def ingress_gone(self, ingress) -> None:
-        """Kill an entry VM with all it has."""
-        for book in (self.waiting, self.running, self.unreported):
-            for request in list(book.values()):
+        """Crash an entry VM with all its requests."""
+        for requests in (self.waiting, self.running, self.unreported):
+            for request in list(requests.values()):
                 if request.event.ingress == ingress:
-                    del book[request.key]
-                    self.over.append(request)
-        self.feed(messages.IngressGone(ingress=types.EntryVmId(ingress)))
+                    del requests[request.key]
+                    self.finished.append(request)
+        self.send(messages.IngressGone(ingress=types.EntryVmId(ingress)))
 
     def upstream(self, upstream, state) -> None:
         """Change a runner's state."""
@@ -175,27 +175,27 @@
         else:
             self.not_live.add(upstream)
         event = messages.UpstreamChanged(upstream=upstream, state=state)
-        self.feed(event)
+        self.send(event)
 
     def configure(self, policy: messages.ShardPolicy) -> None:
-        """Put another revision in force."""
+        """Apply another configuration."""
         self.policy = policy
-        self.feed(messages.PolicyChanged(policy=policy))
+        self.send(messages.PolicyChanged(policy=policy))
 
     def pass_time(self, seconds) -> None:
-        """Advance, waking the scheduler whenever it asks for it."""
+        """Advance the time, with a tick whenever the scheduler wants one."""
         until = self.now + seconds
         for _ in range(1000):
             wake = self.subject.next_wake(now=self.now)
             if wake is None or wake > until:
                 break
             self.now = max(self.now + 1e-6, wake)
-            self.feed(messages.Ticked())
+            self.send(messages.Ticked())
         self.now = max(self.now, until)
-        self.feed(messages.Ticked())
+        self.send(messages.Ticked())
 
     def settle(self) -> None:
-        """End all, repair what was lost, and count every slot again."""
+        """End all requests and check that every slot can be granted again."""
         for key in list(self.running):
             self.end(key)
         self.pass_time(_GRACE_SECONDS)
@@ -207,7 +207,7 @@
                 self.end(key)
         self.unreported.clear()
         self.pass_time(100.0)
-        expect("everything is answered", not self.waiting, self.waiting)
+        expect("every request is answered", not self.waiting, self.waiting)
         usable = [
             u for u in self.policy.runners_by_id if u not in self.not_live
         ]
@@ -222,8 +222,8 @@
 
     # Checks.
 
-    def feed(self, event) -> None:
-        """Feed one event and check what follows from it."""
+    def send(self, event) -> None:
+        """Send one event and check the resulting actions."""
         if isinstance(event, messages.PermitRequested):
             self.known.add(event.key)
         for action in self.subject.handle(event, now=self.now):
@@ -234,7 +234,7 @@
                     self._check_refusal(action)
                 case messages.Cut():
                     self._check_cut(action)
-        self._check_books()
+        self._check_state()
 
     def _ended(self, request, failed) -> messages.PermitEnded:
         reason = outcomes.Reason.NONE
@@ -257,29 +257,37 @@
         return declared.tier if declared else 99
 
     def _check_grant(self, grant: messages.Grant) -> None:
-        expect("records explain", decision.check(grant.record).agrees, grant)
+        expect(
+            "a record reproduces its decision",
+            decision.check(grant.record).agrees,
+            grant,
+        )
         if grant.key in self.running:
             same = self.running[grant.key].upstream == grant.upstream
             expect("no request is granted two slots", same, grant)
             return
-        expect("only what waits is granted", grant.key in self.waiting, grant)
         expect(
-            "a leaving runner gets nothing",
+            "only waiting requests are granted",
+            grant.key in self.waiting,
+            grant,
+        )
+        expect(
+            "a leaving runner gets no requests",
             grant.upstream not in self.not_live
             and grant.upstream in self.policy.runners_by_id,
             grant,
         )
         request = self.waiting.pop(grant.key)
         excluded = grant.upstream in request.event.excluded
-        expect("no runner that failed before", not excluded, grant)
+        expect("no runner is granted that failed before", not excluded, grant)
         if not grant.record.floor_grant:
-            self._check_nobody_above(request, grant)
+            self._check_no_higher_tier(request, grant)
         request.upstream = grant.upstream
         request.started_at = self.now
         request.answered = True
         self.running[grant.key] = request
 
-    def _check_nobody_above(self, request, grant) -> None:
+    def _check_no_higher_tier(self, request, grant) -> None:
         for other in self.waiting.values():
             expect(
                 "no lower tier is granted what a higher one could use",
@@ -292,14 +300,14 @@
 
     def _check_refusal(self, refusal: messages.Refuse) -> None:
         agreement = decision.check(refusal.record)
-        expect("records explain", agreement.agrees, agreement)
+        expect("a record reproduces its decision", agreement.agrees, agreement)
         expect(
-            "what was granted is not refused",
+            "granted requests are not refused",
             refusal.key not in self.running,
             refusal,
         )
         expect(
-            "a refusal says when to come back",
+            "a refusal has a retry time",
             refusal.retry_after_seconds > 0,
             refusal,
         )
@@ -307,30 +315,30 @@
         if request is None:
             return
         request.answered = True
-        self.over.append(request)
+        self.finished.append(request)
         if refusal.reason in (
             outcomes.Reason.QUEUE_FULL,
             outcomes.Reason.SHED_FOR_HIGHER_TIER,
         ):
-            self._check_room(request, refusal)
+            self._check_capacity(request, refusal)
 
     def _check_cut(self, cut: messages.Cut) -> None:
-        # Work whose end went unreported may be cut; nobody notices.
+        # A request whose end was not reported may be cut, without effect.
         known = self.running | self.unreported
-        expect("only running work is cut", cut.key in known, cut)
+        expect("only running requests are cut", cut.key in known, cut)
         victim = known[cut.key]
         expect(
-            "what may run once only is not cut",
+            "requests that are not idempotent are not cut",
             self.declared[victim.event.profile].idempotent,
             cut,
         )
         expect(
-            "work is cut for a higher tier only",
+            "requests are cut for a higher tier only",
             any(self._tier(r) < self._tier(victim) for r in self._waiting()),
             cut,
         )
         expect(
-            "no work is cut while a lower tier runs",
+            "no request is cut while a lower tier runs",
             all(self._tier(r) <= self._tier(victim) for r in self._running()),
             cut,
         )
@@ -339,24 +347,24 @@
         return [r for r in self.waiting.values() if r.key in self.known]
 
     def _running(self):
-        """Return what runs in a class that is still configured."""
+        """Return the running requests of classes still configured."""
         classes = self.policy.classes_by_name
         return [r for r in self.running.values() if r.event.profile in classes]
 
-    def _check_room(self, request, refusal) -> None:
+    def _check_capacity(self, request, refusal) -> None:
         below = collections.Counter(
             r.event.profile
             for r in self.waiting.values()
             if self._tier(r) > self._tier(request)
         )
-        # The one that the floor serves next is set aside.
+        # The request that the floor serves next is protected.
         expect(
-            "no request is refused for room while a lower tier waits",
+            "no request is refused for capacity while a lower tier waits",
             all(count <= 1 for count in below.values()),
             f"{refusal.reason} of {refusal.key} with {below}",
         )
 
-    def _check_books(self) -> None:
+    def _check_state(self) -> None:
         for request in self.waiting.values():
             expect(
                 "refusals are immediate",
@@ -373,7 +381,7 @@
 
 
 def walk(simulation: Simulation, *, seed: int, steps: int, successor) -> None:
-    """Do random steps; `successor` makes the scheduler after a handover."""
+    """Do random steps; `successor` creates the scheduler at a handover."""
     rng = random.Random(seed)
     profiles = list(simulation.policy.classes_by_name)
     full = simulation.policy
@@ -398,14 +406,14 @@
                 )
         elif step < 0.78:
             simulation.digest(rng.choice(["vm0", "vm1", "vm2"]))
-        elif step < 0.81 and simulation.over:
-            simulation.end_late(rng.choice(simulation.over))
+        elif step < 0.81 and simulation.finished:
+            simulation.end_late(rng.choice(simulation.finished))
         elif step < 0.84 and simulation.waiting | simulation.running:
-            simulation.ask_again(
+            simulation.repeat(
                 rng.choice(list(simulation.waiting | simulation.running))
             )
         elif step < 0.88 and simulation.waiting | simulation.running:
-            simulation.give_back(
+            simulation.return_permit(
                 rng.choice(list(simulation.waiting | simulation.running))
             )
         elif step < 0.90:
--- a/packages/policy/tests/test_cutting.py
+++ b/packages/policy/tests/test_cutting.py
@@ -1,4 +1,4 @@
-"""Cutting, where it is switched on."""
+"""Cutting of running requests, if enabled."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 
 
 @pytest.fixture
-def crowd(drive):
-    """Return a driver whose two slots run lower-tier work."""
+def full_runner(drive):
+    """Return a factory of drivers whose two slots run lower-tier requests."""
 
     def make(*lower, cutting=True):
         driver = drive(
@@ -29,8 +29,8 @@
     return [a.key for a in driver.actions if isinstance(a, messages.Cut)]
 
 
-def test_least_work_of_the_lowest_tier_is_cut(crowd):
-    driver, keys = crowd(class_policy("digest", 3))
+def test_request_with_the_fewest_tokens_is_cut(full_runner):
+    driver, keys = full_runner(class_policy("digest", 3))
     driver.send(
         messages.WorkProgressed(key=keys[0], tokens=50, first_token_seconds=0.1)
     )
@@ -53,8 +53,8 @@
         (class_policy("digest", 3), False),
     ],
 )
-def test_nothing_is_cut(crowd, lower, cutting):
-    driver, _ = crowd(lower, cutting=cutting)
+def test_nothing_is_cut(full_runner, lower, cutting):
+    driver, _ = full_runner(lower, cutting=cutting)
     driver.request("lookup")
     driver.now += 0.5
     driver.send(messages.Ticked())
--- a/packages/policy/tests/test_differential.py
+++ b/packages/policy/tests/test_differential.py
@@ -1,4 +1,4 @@
-"""The scheduler against plain sorts over lists, on the same events."""
+"""Differential test of the scheduler against the reference scheduler."""
 
 import dataclasses
 import random
@@ -18,7 +18,8 @@
     class_policy("answer", 2, queue_capacity=3, floor_share=0.3),
     class_policy("digest", 4, queue_capacity=4, floor_share=0.2),
 ]
-# What depends on observed times has its own tests; here all is still cold.
+# Features that depend on observed times are switched off; they have their own
+# tests.
 _SWITCHES = features.Features(
     deadline_refusal=False, adaptive_room=False, straggler_penalty=False
 )
@@ -38,7 +39,7 @@
 
 
 def _events(steps):
-    """Yield events; ends refer to what was asked for before."""
+    """Yield events; ends refer to earlier requests."""
     keys = []
     for step in steps:
         if step[0] == "request":
@@ -61,7 +62,7 @@
             yield messages.PermitEnded(
                 key=keys[step[1]],
                 upstream=types.UpstreamId("r0"),
-                # A failed answer is charged for but teaches no times.
+                # A failed answer is charged, but its times are not observed.
                 outcome=outcomes.Outcome.FAILED,
                 reason=outcomes.Reason.NONE,
                 first_token_seconds=0.0,
@@ -98,7 +99,7 @@
         strategies.one_of(_REQUEST, _REQUEST, _END, _TICK), max_size=60
     )
 )
-def test_same_as_plain_sorts(steps):
+def test_same_as_reference(steps):
     _compare(steps, _SWITCHES)
 
 
@@ -118,12 +119,12 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_same_as_plain_sorts_in_a_long_overload(seed):
+def test_same_as_reference_in_a_long_overload(seed):
     _compare(_random_steps(seed), _SWITCHES)
 
 
 @pytest.mark.parametrize("part", ["fair_sharing", "target_first", "floors"])
-def test_comparison_notices_a_missing_part(part):
+def test_comparison_detects_a_missing_feature(part):
     without = dataclasses.replace(_SWITCHES, **{part: False})
     with pytest.raises(AssertionError):
         _compare(_random_steps(0), without)
--- a/packages/policy/tests/test_estimates.py
+++ b/packages/policy/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Service times that are learnt and forgotten."""
+"""Estimates of service times."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def times():
-    """Return service times and a function that adds observations."""
+    """Return a `ServiceTimes` and a function that adds observations."""
     subject = estimates.ServiceTimes()
 
     def add(count, seconds, *, now, upstream=_RUNNER):
@@ -32,7 +32,7 @@
     return subject.high(**(fields | changes))
 
 
-def test_few_observations_say_nothing(times):
+def test_too_few_observations_give_no_quantile(times):
     subject, add = times
     add(estimates.MINIMUM_SAMPLES - 1, 1.0, now=0.0)
     assert _high(subject, 0.0) is None
@@ -40,7 +40,7 @@
     assert _high(subject, 0.0) == pytest.approx(1.0, rel=0.03)
 
 
-def test_high_quantile_sees_the_slow_tenth(times):
+def test_high_quantile_reflects_the_slow_tenth(times):
     subject, add = times
     add(85, 1.0, now=0.0)
     add(15, 8.0, now=0.0)
@@ -49,7 +49,7 @@
     assert typical == pytest.approx(1.0, rel=0.03)
 
 
-def test_runner_without_observations_is_as_the_shard(times):
+def test_runner_without_observations_gets_the_shards_quantile(times):
     subject, add = times
     add(30, 2.0, now=0.0)
     other = types.UpstreamId("r1")
@@ -58,11 +58,11 @@
     assert slow == pytest.approx(6.0, rel=0.03)
 
 
-def test_recovered_runner_is_believed_again(times):
-    """A runner was ten times slower for a while and has recovered.
+def test_estimates_of_a_recovered_runner_recover(times):
+    """A runner that was ten times slower for a while has recovered.
 
-    Its old observations must fade, or it would be avoided for ever, and
-    being avoided it would never show that it is fast again.
+    If its old observations did not expire, it would be avoided for ever and
+    never have the chance to show that it is fast again.
     """
     subject, add = times
     add(50, 10.0, now=0.0)
@@ -72,17 +72,17 @@
     assert _high(subject, 130.0) < 1.1
 
 
-def test_all_is_forgotten_after_long_silence(times):
+def test_old_observations_expire(times):
     subject, add = times
     add(50, 10.0, now=0.0)
     assert _high(subject, 1000.0) is None
 
 
-def test_stopped_work_counts_only_where_it_was_longer(times):
-    """Long answers are cut at their limit and never seen to end.
+def test_stopped_answers_count_only_if_longer(times):
+    """Long answers are stopped at their limit, before their end is observed.
 
-    If only those that ended in time counted, the quantile would be too short
-    and more would be admitted that cannot end.
+    If only answers that ended in time counted, the quantile would be too low
+    and too many requests would be admitted that cannot end in time.
     """
     subject, add = times
     add(50, 1.0, now=0.0)
--- a/packages/policy/tests/test_floors.py
+++ b/packages/policy/tests/test_floors.py
@@ -1,4 +1,4 @@
-"""Floors: every class is served, and a floor above its share only delays."""
+"""Floors: every class is served, and none causes missed deadlines above."""
 
 import heapq
 import random
@@ -13,8 +13,8 @@
 _SERVICE_SECONDS = 1.0
 
 
-def _warm(driver, *profiles):
-    """Let the scheduler learn each class's service time."""
+def _observe_service_times(driver, *profiles):
+    """Add observations of each class's service time."""
     for profile in profiles:
         for _ in range(25):
             key = driver.request(profile)
@@ -22,7 +22,7 @@
 
 
 def _endless_burst(driver, burst, waits, grants=400):
-    """Keep tier 1 waiting; return after how many grants each wait ended."""
+    """Keep class `burst` waiting; return the grants until each was served."""
     served = {}
     for profile in waits:
         driver.request(profile, remaining_seconds=1e6)
@@ -41,10 +41,11 @@
 
 @pytest.mark.parametrize("shares", [(0.02, 0.02), (0.1, 0.05), (0.5, 0.5)])
 def test_every_class_is_served_in_an_endless_burst(drive, shares):
-    """A digest waits while lookups never stop coming.
+    """Lower classes wait during an endless burst of lookups.
 
-    Strict tiers alone would let it wait for ever. Its floor must serve it
-    within one grant in its share, a few more where floors coincide.
+    With strict tiers alone they would starve. With a floor of share s a
+    class must be served within about 1/s grants, a few more if several
+    floors are due at once.
     """
     classes = [
         class_policy("lookup", 1, queue_capacity=10_000),
@@ -74,7 +75,7 @@
     assert not _endless_burst(driver, "lookup", ["digest"])
 
 
-def test_floor_takes_no_more_than_its_share(drive):
+def test_floor_gets_no_more_than_its_share(drive):
     driver = drive(
         class_policy("lookup", 1, queue_capacity=10_000, limit_seconds=1e6),
         class_policy("digest", 2, floor_share=0.1, limit_seconds=1e6),
@@ -95,10 +96,10 @@
 
 
 def test_floor_holds_its_share_of_slots_at_most(drive):
-    """Digests hold a slot a hundred times longer than a lookup.
+    """Digests hold their slots a hundred times longer than lookups.
 
-    A share counted in grants alone lets them pile up until they hold most
-    slots, and lookups wait behind digests that the floor let in.
+    If the share were counted in grants alone, digests granted on the floor
+    would accumulate until they held most slots, and lookups would wait.
     """
     driver = drive(
         class_policy("lookup", 1, queue_capacity=10_000, limit_seconds=1e6),
@@ -119,7 +120,7 @@
 
 
 class _Overload:
-    """Deterministic service; knows when each slot will be free."""
+    """Simulated overload with a constant service time."""
 
     def __init__(self, driver, slots, seed):
         self.driver = driver
@@ -167,11 +168,11 @@
         self.driver.actions.clear()
 
     def _check_harm(self):
-        """Serve what waits above by hand, without the grant and with it."""
-        without = self._missed([])
-        with_it = self._missed([self.driver.now + _SERVICE_SECONDS])
-        if len(with_it) > len(without):
-            self.harmed.append(with_it)
+        """Simulate the waiting lookups without and with the floor grant."""
+        without_grant = self._missed([])
+        with_grant = self._missed([self.driver.now + _SERVICE_SECONDS])
+        if len(with_grant) > len(without_grant):
+            self.harmed.append(with_grant)
 
     def _missed(self, granted):
         free = [end for end, *_ in self.ends] + granted
@@ -194,38 +195,38 @@
         slots=2,
         switches=features.Features(adaptive_room=False),
     )
-    _warm(driver, "lookup", "digest")
+    _observe_service_times(driver, "lookup", "digest")
     driver.actions.clear()
     overload = _Overload(driver, 6, seed)
     overload.run(60.0)
     return overload
 
 
-def test_floor_above_its_share_makes_nobody_miss(drive):
-    """A digest near its limit is served early while lookups wait.
+def test_floor_beyond_its_share_causes_no_missed_deadline(drive):
+    """A digest close to its limit is served early while lookups wait.
 
-    It has no share of its own, so this may only delay: no lookup that waits
-    at that moment and would have made its limit may miss it.
+    Its class has no share, so the grant must be harmless: no lookup waiting
+    at that moment may miss a deadline that it would have met without it.
     """
     runs = [_overload(drive, seed) for seed in range(8)]
     assert sum(r.floor_grants for r in runs) > 10
     assert not any(r.harmed for r in runs)
 
 
-def test_check_of_harm_notices_a_careless_floor(drive, monkeypatch):
+def test_harm_check_detects_an_unconditional_floor(drive, monkeypatch):
     monkeypatch.setattr(floors, "is_harmless", lambda *_, **__: True)
     runs = [_overload(drive, seed) for seed in range(8)]
     assert any(r.harmed for r in runs)
 
 
-def test_refusal_names_the_share_set_aside(drive):
+def test_refusal_records_the_reserved_share(drive):
     driver = drive(
         class_policy("lookup", 1),
         class_policy("digest", 2, floor_share=0.2, limit_seconds=1e6),
         runners=1,
         slots=1,
     )
-    _warm(driver, "lookup", "digest")
+    _observe_service_times(driver, "lookup", "digest")
     driver.request("digest", remaining_seconds=1e6)
     driver.request("digest", remaining_seconds=1e6)
     for _ in range(20):
--- a/packages/policy/tests/test_models.py
+++ b/packages/policy/tests/test_models.py
@@ -1,4 +1,4 @@
-"""A request goes only to runners that have its model loaded."""
+"""Requests are granted only runners that have their model loaded."""
 
 import pytest
 
@@ -30,11 +30,11 @@
 
 
 @pytest.mark.parametrize("models", [(), ("small",)])
-def test_model_that_nobody_has_is_refused_at_once(drive, models):
-    """A model is unloaded everywhere while callers still ask for it.
+def test_model_that_no_runner_has_is_refused_at_once(drive, models):
+    """A model is unloaded everywhere while callers still request it.
 
-    Waiting would only end in a refusal at the limit: the caller is told at
-    once, with a time to come back, and why.
+    Waiting would only end in a refusal at the limit, so the request is
+    refused at once, with the reason and a time to retry.
     """
     driver = drive(_CLASS, runners=2)
     for runner in ("r0", "r1"):
@@ -54,7 +54,7 @@
     assert driver.granted() == [key]
 
 
-def test_load_of_the_model_lets_waiting_requests_go_there(drive):
+def test_loading_the_model_grants_waiting_requests(drive):
     driver = drive(_CLASS, runners=2, slots=1)
     driver.send(report("r0", ("large",)))
     driver.send(report("r1", ()))
@@ -66,7 +66,7 @@
     assert driver.upstream_by_key[second] == "r1"
 
 
-def test_request_of_any_model_ignores_what_is_loaded(drive):
+def test_request_without_a_model_ignores_loaded_models(drive):
     driver = drive(_CLASS, runners=1)
     driver.send(report("r0", ()))
     key = driver.request("answer")
--- a/packages/policy/tests/test_naive.py
+++ b/packages/policy/tests/test_naive.py
@@ -1,4 +1,4 @@
-"""The naive version."""
+"""Naive policy."""
 
 import random
 
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def ask():
-    """Return a function that asks a budget for a retry."""
+    """Return a function that requests a retry from one budget."""
     classes = [
         class_policy("lookup", 1, retry_ratio=0.5),
         class_policy("warning", 1, idempotent=False),
@@ -33,7 +33,7 @@
     return decide
 
 
-def test_retries_stay_within_the_earned_fraction(ask):
+def test_retries_stay_within_the_budget(ask):
     granted = [isinstance(ask(), retries.RetryGranted) for _ in range(20)]
     assert sum(granted) == 11
     denied = ask(first=False)
@@ -42,10 +42,11 @@
     assert denied.reason is outcomes.Reason.RETRY_BUDGET
 
 
-def test_resumed_streams_spend_no_budget(ask):
-    """An engine crashes with more streams than the budget has saved.
+def test_resumed_streams_use_no_budget(ask):
+    """An engine crashes with more streams than the budget covers.
 
-    All but the first were cut although another engine could go on.
+    If resumptions used the budget, all but the first streams would be lost
+    although another engine could resume them.
     """
     answers = [ask(first=False, resumes=True) for _ in range(20)]
     assert all(isinstance(a, retries.RetryGranted) for a in answers)
@@ -72,8 +73,8 @@
     assert isinstance(granted, retries.RetryGranted)
 
 
-def test_backoff_grows_and_is_spread():
-    def pauses(attempts):
+def test_backoff_grows_with_jitter():
+    def delays(attempts):
         return [
             retries.backoff_seconds(
                 request_id=types.RequestId(f"q{i}"), attempts=attempts
@@ -81,18 +82,18 @@
             for i in range(100)
         ]
 
-    assert max(pauses(1)) <= 0.1
-    assert max(pauses(9)) <= 2.0
-    assert len(set(pauses(3))) > 90
-    assert sum(pauses(4)) > 2 * sum(pauses(1))
+    assert max(delays(1)) <= 0.1
+    assert max(delays(9)) <= 2.0
+    assert len(set(delays(3))) > 90
+    assert sum(delays(4)) > 2 * sum(delays(1))
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_unreached_upstreams_cost_nothing_and_are_bounded(idempotent):
-    """A portal server crashes, and warnings are sent to it.
+def test_unreached_upstreams_use_no_budget_and_are_bounded(idempotent):
+    """Requests are sent to a crashed server that cannot be reached.
 
-    No byte of them left. Their callers were told "not run" and had to come
-    back, although another server stood idle beside it.
+    No byte of them was sent. If such failures counted as attempts, callers
+    would get "not run" and have to retry although another server was idle.
     """
     policy = class_policy(
         "warning",
--- a/packages/policy/tests/test_runners.py
+++ b/packages/policy/tests/test_runners.py
@@ -1,4 +1,4 @@
-"""What is learnt of runners: room, failures, pace, reports and prefixes."""
+"""Runner state: concurrency limit, failures, pace, load reports, prefixes."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 from .conftest import class_policy
 
-_LEARNT = features.Features(adaptive_room=False, straggler_penalty=False)
+_FEATURES = features.Features(adaptive_room=False, straggler_penalty=False)
 _PROFILE = types.ProfileName("lookup")
 
 
@@ -24,7 +24,7 @@
         )
 
 
-def test_room_falls_while_answers_are_slow_and_grows_back():
+def test_limit_falls_while_answers_are_slow_and_recovers():
     subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     _observe(subject, 50, 0.004)
     assert subject.value == 16
@@ -34,7 +34,7 @@
     assert subject.value == 16
 
 
-def test_room_never_closes_and_does_not_fall_all_at_once():
+def test_limit_falls_gradually_and_not_below_the_minimum():
     subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     _observe(subject, 50, 0.004)
     _observe(subject, 45, 0.04)
@@ -43,7 +43,7 @@
     assert subject.value >= concurrency_limit.MIN_LIMIT
 
 
-def test_long_prompts_of_another_class_do_not_lower_the_room():
+def test_long_prompts_of_another_class_do_not_lower_the_limit():
     subject = concurrency_limit.AdaptiveConcurrencyLimit(slots=16)
     for number in range(500):
         summary = number % 2 or number > 250
@@ -58,7 +58,7 @@
 
 
 def _fail(driver, upstream, count=1, **shape):
-    """Let requests that go to one runner fail, the others end well."""
+    """Let `count` requests at one runner fail; all others succeed."""
     failed = 0
     for _ in range(200):
         key = driver.request("lookup", **shape)
@@ -76,18 +76,18 @@
     raise AssertionError(f"{upstream} got only {failed} of {count} requests")
 
 
-def _taken(driver, count=12, **changes):
+def _runners_used(driver, count=12, **changes):
     keys = [driver.request("lookup", **changes) for _ in range(count)]
-    taken = [driver.upstream_by_key[k] for k in keys]
+    used = [driver.upstream_by_key[k] for k in keys]
     for key in keys:
         driver.end(key)
-    return taken
+    return used
 
 
-def test_failing_runner_is_ejected_probed_and_taken_back(drive):
+def test_failing_runner_is_ejected_probed_and_restored(drive):
     driver = drive(class_policy("lookup", 1), runners=3, slots=4)
     _fail(driver, "r1", 3)
-    assert "r1" not in _taken(driver, 8)
+    assert "r1" not in _runners_used(driver, 8)
     driver.now += 1.5
     keys = [driver.request("lookup") for _ in range(8)]
     probes = [k for k in keys if driver.upstream_by_key[k] == "r1"]
@@ -95,31 +95,31 @@
     driver.end(probes[0])
     for key in set(keys) - set(probes):
         driver.end(key)
-    assert "r1" in _taken(driver, 8)
+    assert "r1" in _runners_used(driver, 8)
 
 
-def test_never_more_than_a_third_is_ejected(drive):
-    """A fault that all runners share makes each of them fail.
+def test_at_most_a_third_is_ejected(drive):
+    """A common fault makes every runner fail.
 
-    Ejecting one after another would send all work to the last one.
+    Ejecting one after another would send all requests to the last one.
     """
     driver = drive(class_policy("lookup", 1), runners=3, slots=4)
     for upstream in ("r0", "r1", "r2"):
         _fail(driver, upstream, 3)
-    assert len(set(_taken(driver, 8))) == 2
+    assert len(set(_runners_used(driver, 8))) == 2
 
 
-def test_probe_is_not_made_with_what_may_run_once_only(drive):
+def test_probe_does_not_use_a_request_that_is_not_idempotent(drive):
     warning = class_policy("lookup", 1, idempotent=False)
     driver = drive(warning, runners=3, slots=4)
     _fail(driver, "r1", 3)
     driver.now += 2.0
-    assert "r1" not in _taken(driver, 8)
+    assert "r1" not in _runners_used(driver, 8)
     driver.now += 20.0
-    assert "r1" in _taken(driver, 8)
+    assert "r1" in _runners_used(driver, 8)
 
 
-def test_straggler_gets_less(drive):
+def test_straggler_gets_fewer_requests(drive):
     driver = drive(
         class_policy("lookup", 1),
         runners=3,
@@ -131,23 +131,23 @@
         slow = driver.upstream_by_key[key] == "r0"
         driver.now += 0.1
         driver.end(key, total_seconds=4.0 if slow else 1.0, tokens=100)
-    taken = _taken(driver, 9)
-    assert taken.count("r0") < taken.count("r1")
+    used = _runners_used(driver, 9)
+    assert used.count("r0") < used.count("r1")
 
 
 @pytest.mark.parametrize("switched_on", [True, False])
 def test_lookup_waits_for_a_runner_that_can_meet_its_target(drive, switched_on):
-    """A straggler has a free slot, and a lookup comes that it would make late.
+    """Only a straggler that is too slow for the target has a free slot.
 
-    A fast runner's slot is free in a moment. Taking the straggler at once
-    would miss a target that a short wait meets.
+    A slot of the fast runner becomes free soon. Granting the straggler at
+    once would miss a target that is met after a short wait.
     """
     driver = drive(
         class_policy("lookup", 1),
         class_policy("digest", 2, limit_seconds=60.0),
         runners=2,
         slots=2,
-        switches=dataclasses.replace(_LEARNT, target_runners=switched_on),
+        switches=dataclasses.replace(_FEATURES, target_runners=switched_on),
     )
     for _ in range(120):
         key = driver.request("lookup")
@@ -156,18 +156,18 @@
         seconds = 2.0 if slow else 0.2
         driver.end(key, total_seconds=seconds, tokens=100)
     keys = [driver.request("lookup") for _ in range(3)]
-    taken = [driver.upstream_by_key.get(k) for k in keys]
+    used = [driver.upstream_by_key.get(k) for k in keys]
     if not switched_on:
-        assert "r0" in taken
+        assert "r0" in used
         return
-    assert taken == ["r1", "r1", None]
+    assert used == ["r1", "r1", None]
     driver.end(keys[0])
     assert driver.upstream_by_key[keys[2]] == "r1"
 
 
-def test_lookup_takes_the_straggler_when_waiting_no_longer_helps(drive):
+def test_lookup_uses_the_straggler_once_waiting_no_longer_helps(drive):
     driver = drive(
-        class_policy("lookup", 1), runners=2, slots=1, switches=_LEARNT
+        class_policy("lookup", 1), runners=2, slots=1, switches=_FEATURES
     )
     for _ in range(120):
         key = driver.request("lookup")
@@ -184,7 +184,7 @@
     assert driver.upstream_by_key[key] == "r0"
 
 
-def test_work_of_others_counts_and_fades(drive):
+def test_load_of_other_senders_counts_and_decays(drive):
     driver = drive(class_policy("lookup", 1), runners=2, slots=8)
     report = messages.LoadReported(
         upstream=types.UpstreamId("r0"),
@@ -194,12 +194,12 @@
         age_seconds=0.1,
     )
     driver.send(report)
-    assert _taken(driver, 4) == ["r1"] * 4
+    assert _runners_used(driver, 4) == ["r1"] * 4
     driver.now += 30.0
-    assert sorted(_taken(driver, 4)) == ["r0", "r0", "r1", "r1"]
+    assert sorted(_runners_used(driver, 4)) == ["r0", "r0", "r1", "r1"]
 
 
-def test_own_work_in_an_old_report_does_not_count_twice(drive):
+def test_own_requests_in_an_old_report_are_not_counted_twice(drive):
     driver = drive(class_policy("lookup", 1), runners=2, slots=8)
     keys = [driver.request("lookup") for _ in range(8)]
     for key in keys:
@@ -214,25 +214,25 @@
                 age_seconds=0.5,
             )
         )
-    assert sorted(_taken(driver, 4)) == ["r0", "r0", "r1", "r1"]
+    assert sorted(_runners_used(driver, 4)) == ["r0", "r0", "r1", "r1"]
 
 
-def test_same_prefix_goes_to_the_same_runner_of_its_house_only(drive):
+def test_prefix_affinity_holds_within_an_organisation_only(drive):
     driver = drive(class_policy("lookup", 1), runners=3, slots=8)
     prefix = types.PrefixHash(77)
     first = driver.request("lookup", prefix_hash=prefix)
-    home = driver.upstream_by_key[first]
+    first_runner = driver.upstream_by_key[first]
     driver.end(first)
     again = driver.request("lookup", prefix_hash=prefix)
-    assert driver.upstream_by_key[again] == home
+    assert driver.upstream_by_key[again] == first_runner
     other = driver.request(
         "lookup", prefix_hash=prefix, organisation="another-house"
     )
-    assert driver.upstream_by_key[other] != home
+    assert driver.upstream_by_key[other] != first_runner
 
 
 @pytest.mark.parametrize("houses", [1, 3])
-def test_prefix_memory_is_bounded_per_house(houses):
+def test_prefix_memory_is_bounded_per_organisation(houses):
     subject = affinity.PrefixAffinity()
     for number in range(2000):
         subject.record_served(
--- a/packages/policy/tests/test_scheduler.py
+++ b/packages/policy/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's promises, one by one."""
+"""Scheduler behaviour, one guarantee per test."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     assert driver.granted() == [first, high, low]
 
 
-def test_waiting_low_class_gets_its_share_of_grants(drive):
+def test_waiting_lower_class_gets_its_share_of_grants(drive):
     driver = drive(_HIGH, _LOW, runners=1, slots=1)
     running = driver.request("lookup")
     low = driver.request("digest", remaining_seconds=60.0)
@@ -58,7 +58,7 @@
     assert refusal.record.expected_service_seconds == pytest.approx(4, rel=0.05)
 
 
-def test_waiting_request_is_refused_when_its_limit_is_out_of_reach(drive):
+def test_waiting_request_is_refused_once_it_cannot_meet_its_limit(drive):
     driver = drive(_HIGH, runners=1, slots=1)
     driver.request("lookup")
     waiting = driver.request("lookup", remaining_seconds=2.0)
@@ -96,7 +96,7 @@
     assert small in driver.granted()
 
 
-def test_leaving_runner_gets_nothing(drive):
+def test_leaving_runner_gets_no_requests(drive):
     driver = drive(_HIGH)
     for upstream in ("r0", "r1"):
         driver.send(
@@ -110,7 +110,7 @@
     assert driver.refused()[key].reason is outcomes.Reason.NO_UPSTREAM
 
 
-def test_vanished_class_is_refused_and_vanished_runner_is_drained(drive):
+def test_removed_class_is_refused_and_removed_runner_is_drained(drive):
     driver = drive(_HIGH, _LOW, runners=2, slots=1)
     running = [driver.request("lookup") for _ in range(2)]
     waiting = driver.request("digest")
@@ -123,10 +123,10 @@
 
 
 def test_repeated_request_is_answered_with_the_same_grant(drive):
-    """An ingress that lost a grant asks again and must not hold two slots.
+    """An ingress that lost a grant repeats its request.
 
-    The connection broke after the grant was sent; the ingress repeats the
-    request. A second grant would leak the first slot for ever.
+    The connection broke after the grant was sent. A second grant would leak
+    the slot of the first one for ever.
     """
     driver = drive(_HIGH, runners=1, slots=2)
     key = driver.request("lookup")
@@ -144,7 +144,7 @@
     assert other in driver.granted()
 
 
-def test_record_survives_json_and_checks(drive):
+def test_record_survives_json_and_replays(drive):
     driver = drive(_HIGH, _LOW)
     driver.request("lookup", excluded=(types.UpstreamId("r0"),))
     record = driver.actions[-1].record
@@ -161,12 +161,12 @@
         decision.record_from_json("{}")
 
 
-def test_ends_lost_in_a_stall_free_their_slots_with_the_first_digest(drive):
-    """A dispatcher is frozen while work that it granted ends elsewhere.
+def test_first_digest_after_a_pause_frees_slots_of_lost_ends(drive):
+    """A dispatcher is paused while requests that it granted end.
 
-    The connections were given up, and the ends with them. On waking it held
-    the slots for taken until two digests had not named them; the highest
-    tier waited for runners that had nothing to do.
+    Its connections were closed and the end reports lost. If it kept their
+    slots occupied until two digests did not list them, the highest tier would
+    wait for idle runners.
     """
     driver = drive(_HIGH, runners=1, slots=1)
     lost = driver.request("lookup")
@@ -182,13 +182,13 @@
     assert driver.granted() == [lost, waiting]
 
 
-def test_work_that_goes_on_through_a_stall_keeps_its_slot(drive):
+def test_request_running_through_a_pause_keeps_its_slot(drive):
     driver = drive(_HIGH, runners=1, slots=1)
     running = driver.request("lookup")
     waiting = driver.request("lookup", remaining_seconds=60.0)
     driver.now += 5.0
     driver.send(messages.DispatcherStalled())
-    named = messages.InFlight(
+    listed = messages.InFlight(
         key=running,
         upstream=driver.upstream_by_key[running],
         profile=types.ProfileName("lookup"),
@@ -200,7 +200,7 @@
         driver.send(
             messages.InFlightDigest(
                 ingress=types.EntryVmId("vm0"),
-                running=(named,),
+                running=(listed,),
                 waiting=(waiting,),
             )
         )
--- a/packages/policy/tests/test_shard_ranking.py
+++ b/packages/policy/tests/test_shard_ranking.py
@@ -1,4 +1,4 @@
-"""Choice between the own domain's shard and those of others."""
+"""Ranking of the shards of the own and of other failure domains."""
 
 import itertools
 
@@ -41,13 +41,13 @@
     )
     by_shard = {v.shard: v for v in views}
     assert all(by_shard[s].reachable for s in order)
-    owns = [by_shard[s].same_domain for s in order]
-    assert owns == sorted(owns, reverse=True)
+    same_domain = [by_shard[s].same_domain for s in order]
+    assert same_domain == sorted(same_domain, reverse=True)
     for view in views:
         lower = max(view.lowest_waiting_tier, view.lowest_running_tier) > tier
-        in_reach = 3 * view.distance_seconds <= remaining
+        reachable_in_time = 3 * view.distance_seconds <= remaining
         if view.reachable and (
-            view.same_domain or (in_reach and (view.free > 0 or lower))
+            view.same_domain or (reachable_in_time and (view.free > 0 or lower))
         ):
             assert view.shard in order
 
@@ -57,8 +57,8 @@
     return wait + 3 * view.distance_seconds
 
 
-def _naive_class(view, tier):
-    """Return what the summary alone says, best first; 4 is too old."""
+def _rank_by_summary(view, tier):
+    """Return the rank by the summary alone, 1 is best; 4 is out of date."""
     if view.age_seconds > 5.0:
         return 4
     if view.free > 0:
@@ -67,8 +67,8 @@
     return 2 if lower else 3
 
 
-def _naive(views, tier, remaining):
-    """Return the order of a ranking that knows of no regions."""
+def _ranked_without_regions(views, tier, remaining):
+    """Return the order of a ranking that ignores regions."""
     served = [
         v
         for v in views
@@ -76,13 +76,13 @@
         and not v.same_domain
         and (
             _delay(v) < remaining
-            if _naive_class(v, tier) == 3
+            if _rank_by_summary(v, tier) == 3
             else 3 * v.distance_seconds <= remaining
         )
     ]
     return sorted(
         served,
-        key=lambda v: (_naive_class(v, tier), _delay(v), -v.free, v.shard),
+        key=lambda v: (_rank_by_summary(v, tier), _delay(v), -v.free, v.shard),
     )
 
 
@@ -96,7 +96,9 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(**_REQUEST)
-def test_each_region_keeps_the_naive_order(views, tier, remaining, target):
+def test_each_region_keeps_the_order_without_regions(
+    views, tier, remaining, target
+):
     order = shard_ranking.rank_shards(
         reversed(views),
         tier=tier,
@@ -105,16 +107,16 @@
     )
     by_shard = {v.shard: v for v in views}
     others = [by_shard[s] for s in order if not by_shard[s].same_domain]
-    naive = _naive(views, tier, remaining)
+    expected = _ranked_without_regions(views, tier, remaining)
     for same_region in (True, False):
         assert [v for v in others if v.same_region is same_region] == [
-            v for v in naive if v.same_region is same_region
+            v for v in expected if v.same_region is same_region
         ]
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(**_REQUEST)
-def test_far_shard_goes_first_only_where_the_near_one_is_late(
+def test_other_region_goes_first_only_if_the_same_region_is_late(
     views, tier, remaining, target
 ):
     order = shard_ranking.rank_shards(
@@ -144,34 +146,38 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(**_REQUEST, max_shards=strategies.integers(0, 6))
-def test_the_few_asked_are_those_that_admit_lower_tiers(
+def test_limited_ranking_keeps_shards_that_admit_lower_tiers(
     views, tier, remaining, target, max_shards
 ):
-    asked = {"tier": tier, "remaining_seconds": remaining}
-    asked["remaining_target_seconds"] = target
-    order = shard_ranking.rank_shards(views, **asked)
-    few = shard_ranking.rank_shards(views, **asked, max_shards=max_shards)
-    assert len(few) == min(max_shards, len(order))
-    assert list(few) == [s for s in order if s in few]
+    arguments = {"tier": tier, "remaining_seconds": remaining}
+    arguments["remaining_target_seconds"] = target
+    order = shard_ranking.rank_shards(views, **arguments)
+    limited = shard_ranking.rank_shards(
+        views, **arguments, max_shards=max_shards
+    )
+    assert len(limited) == min(max_shards, len(order))
+    assert list(limited) == [s for s in order if s in limited]
     by_shard = {v.shard: v for v in views}
-    others = [s for s in few if not by_shard[s].same_domain]
+    others = [s for s in limited if not by_shard[s].same_domain]
     if not others:
         return
-    left_out = [by_shard[s] for s in order if s not in few]
-    if any(_naive_class(v, tier) < 3 for v in left_out):
-        assert all(_naive_class(by_shard[s], tier) < 3 for s in others[1:])
+    left_out = [by_shard[s] for s in order if s not in limited]
+    if any(_rank_by_summary(v, tier) < 3 for v in left_out):
+        assert all(_rank_by_summary(by_shard[s], tier) < 3 for s in others[1:])
 
 
 @pytest.mark.parametrize(
     ("target", "wait", "distance", "far_first"),
     [
-        (1.0, 0.5, 0.05, False),  # the near queue meets the target
-        (1.0, 5.0, 0.05, True),  # only the far one does
-        (1.0, 1.2, 0.5, False),  # neither; the near one is sooner
-        (1.0, 5.0, 0.5, True),  # neither; the far one is sooner
+        (1.0, 0.5, 0.05, False),  # the same region meets the target
+        (1.0, 5.0, 0.05, True),  # only the other region does
+        (1.0, 1.2, 0.5, False),  # neither; the same region is sooner
+        (1.0, 5.0, 0.5, True),  # neither; the other region is sooner
     ],
 )
-def test_far_free_shard_against_near_queue(target, wait, distance, far_first):
+def test_free_shard_of_another_region_against_a_queue(
+    target, wait, distance, far_first
+):
     nearby = shard_ranking.ShardView(
         shard="near", same_domain=False, wait_seconds=wait
     )
@@ -191,7 +197,7 @@
     assert (order[0] == "far") is far_first
 
 
-def test_summary_tells_room_and_lowest_tiers(drive):
+def test_summary_has_free_slots_and_lowest_tiers(drive):
     driver = drive(
         class_policy("lookup", 1), class_policy("digest", 3), runners=1
     )
