--- a/packages/policy/src/lagoonrun_policy/scheduler.py
+++ b/packages/policy/src/lagoonrun_policy/scheduler.py
@@ -166,14 +166,10 @@
         state = self._shard.by_profile.get(event.profile)
         if state is None:
             state = self._shard.placeholder_class(event.profile)
-            self._refuse_without_queueing(
-                waiting, state, decision.Phase.CONFIGURATION, now
-            )
+            self._refuse(waiting, state, decision.Phase.CONFIGURATION, now)
             return
         if self._slots.permits.has_ended(event.key):
-            self._refuse_without_queueing(
-                waiting, state, decision.Phase.ENDED, now
-            )
+            self._refuse(waiting, state, decision.Phase.ENDED, now)
             return
         if not self._shard.any_waiting():
             if self._granting.decide_on_arrival(waiting, state, now):
@@ -275,9 +271,7 @@
         for state in self._shard.configure(event.policy):
             for waiting in list(state.queue):
                 self._slots.withdraw(waiting.request.key)
-                self._refuse_without_queueing(
-                    waiting, state, decision.Phase.CONFIGURATION, now
-                )
+                self._refuse(waiting, state, decision.Phase.CONFIGURATION, now)
 
     def _drop_silent(self, now: float) -> None:
         if now < self._silence_check_at:
@@ -313,7 +307,7 @@
             sequence=self._sequence,
         )
 
-    def _refuse_without_queueing(
+    def _refuse(
         self,
         waiting: fair_queue.WaitingRequest,
         state: class_state.ClassState,
--- a/packages/policy/tests/oracle.py
+++ b/packages/policy/tests/oracle.py
@@ -27,10 +27,10 @@
         self.policy = policy
         self.waiting: list[Item] = []
         self.running: dict = {}
-        self.virtual: dict = {}
-        self.system: dict = {}
+        self.virtual_time: dict = {}
+        self.system_time: dict = {}
         self.credit: dict = dict.fromkeys(policy.classes_by_name, 0.0)
-        self.last: dict = dict.fromkeys(policy.classes_by_name, 0)
+        self.last_grant: dict = dict.fromkeys(policy.classes_by_name, 0)
         self.sequence = 0
         self.grants = 0
 
@@ -48,7 +48,7 @@
     def _class(self, item):
         return self.policy.classes_by_name[item.request.profile]
 
-    def _of(self, name):
+    def _queue(self, name):
         return [i for i in self.waiting if i.request.profile == name]
 
     def _arrive(self, event, now, actions):
@@ -63,11 +63,11 @@
             actions.append(("refuse", event.key, outcomes.Reason.DEADLINE))
             return
         own_class = self.policy.classes_by_name[event.profile]
-        if len(self._of(own_class.name)) >= own_class.queue_capacity:
+        if len(self._queue(own_class.name)) >= own_class.queue_capacity:
             lower = [
                 c
                 for c in self.policy.classes_by_name.values()
-                if c.tier > own_class.tier and len(self._of(c.name)) > 1
+                if c.tier > own_class.tier and len(self._queue(c.name)) > 1
             ]
             if not lower:
                 actions.append(
@@ -75,7 +75,7 @@
                 )
                 return
             lowest = max(lower, key=lambda c: (c.tier, c.name))
-            queue = self._of(lowest.name)
+            queue = self._queue(lowest.name)
             shed = max(
                 queue,
                 key=lambda i: (self._backlog(queue, i), i.sequence),
@@ -86,11 +86,13 @@
         account = (own_class.name, event.organisation)
         if not any(
             i.request.organisation == event.organisation
-            for i in self._of(own_class.name)
+            for i in self._queue(own_class.name)
         ):
-            self.virtual[account] = max(
-                self.virtual.get(account, self.system.get(own_class.name, 0.0)),
-                self.system.get(own_class.name, 0.0),
+            self.virtual_time[account] = max(
+                self.virtual_time.get(
+                    account, self.system_time.get(own_class.name, 0.0)
+                ),
+                self.system_time.get(own_class.name, 0.0),
             )
         self.waiting.append(item)
 
@@ -103,8 +105,10 @@
         return self.policy.weights_by_organisation.get(organisation, 1.0)
 
     def _charge(self, account, tokens):
-        start = self.virtual.get(account, self.system.get(account[0], 0.0))
-        self.virtual[account] = start + tokens / self._weight(account[1])
+        start = self.virtual_time.get(
+            account, self.system_time.get(account[0], 0.0)
+        )
+        self.virtual_time[account] = start + tokens / self._weight(account[1])
 
     def _end(self, event):
         ended = self.running.pop(event.key, None)
@@ -138,8 +142,8 @@
             self.waiting.remove(item)
             name = item.request.profile
             account = (name, item.request.organisation)
-            self.system[name] = max(
-                self.system.get(name, 0.0), self.virtual[account]
+            self.system_time[name] = max(
+                self.system_time.get(name, 0.0), self.virtual_time[account]
             )
             self._charge(account, 1)
             self.running[item.request.key] = (
@@ -165,7 +169,7 @@
 
     def _earn(self, name, floor):
         self.grants += 1
-        self.last[name] = self.grants
+        self.last_grant[name] = self.grants
         if floor:
             self.credit[name] = max(0.0, self.credit[name] - 1.0)
             return
@@ -174,7 +178,7 @@
             if (
                 other.name != name
                 and other.tier >= tier
-                and self._of(other.name)
+                and self._queue(other.name)
             ):
                 earned = self.credit[other.name] + other.floor_share
                 self.credit[other.name] = min(1.0, earned)
@@ -182,7 +186,10 @@
     def _next(self, now):
         in_order = sorted(
             {i.request.profile for i in self.waiting},
-            key=lambda n: (self.policy.classes_by_name[n].tier, self.last[n]),
+            key=lambda n: (
+                self.policy.classes_by_name[n].tier,
+                self.last_grant[n],
+            ),
         )
         for name in in_order[1:]:
             on_credit = sum(
@@ -194,10 +201,10 @@
         return self._first_of(in_order[0], now), False
 
     def _first_of(self, name, now):
-        queue = self._of(name)
+        queue = self._queue(name)
         organisation = min(
             (i.request.organisation for i in queue),
-            key=lambda o: (self.virtual[(name, o)], o),
+            key=lambda o: (self.virtual_time[(name, o)], o),
         )
         return min(
             (i for i in queue if i.request.organisation == organisation),
--- a/packages/policy/tests/simulation.py
+++ b/packages/policy/tests/simulation.py
@@ -61,9 +61,9 @@
         # Ended at the ingress, but not reported to the scheduler.
         self.unreported: dict[messages.PermitKey, Request] = {}
         # Requests sent to the current scheduler.
-        self.known: set[messages.PermitKey] = set()
+        self.sent_keys: set[messages.PermitKey] = set()
         self.not_live: set[types.UpstreamId] = set()
-        self.numbers = 0
+        self.request_count = 0
         self.max_slots = dict.fromkeys(policy.runners_by_id, SLOTS)
 
     # Steps.
@@ -72,9 +72,9 @@
         self, profile, organisation, ingress, remaining=30.0, excluded=()
     ) -> None:
         """Request a permit."""
-        self.numbers += 1
+        self.request_count += 1
         key = messages.PermitKey(
-            request_id=types.RequestId(f"q{self.numbers}"),
+            request_id=types.RequestId(f"q{self.request_count}"),
             attempt_id=types.AttemptId(1),
         )
         event = messages.PermitRequested(
@@ -115,7 +115,7 @@
         self.finished.append(request)
         self.send(messages.PermitReturned(key=key))
 
-    def digest(self, ingress) -> None:
+    def send_digest(self, ingress) -> None:
         """Send a digest of the ingress's requests."""
         running = [
             messages.InFlight(
@@ -143,7 +143,7 @@
     def hand_over(self, subject) -> None:
         """Replace the scheduler; the ingresses register their requests."""
         self.subject = subject
-        self.known.clear()
+        self.sent_keys.clear()
         for upstream in self.not_live:
             self.send(
                 messages.UpstreamChanged(
@@ -151,7 +151,7 @@
                 )
             )
         for ingress in ("vm0", "vm1", "vm2"):
-            self.digest(ingress)
+            self.send_digest(ingress)
         for request in list(self.waiting.values()):
             remaining = request.deadline - self.now
             event = dataclasses.replace(
@@ -168,7 +168,7 @@
                     self.finished.append(request)
         self.send(messages.IngressGone(ingress=types.EntryVmId(ingress)))
 
-    def upstream(self, upstream, state) -> None:
+    def set_upstream_state(self, upstream, state) -> None:
         """Change a runner's state."""
         if state is messages.UpstreamState.LIVE:
             self.not_live.discard(upstream)
@@ -194,14 +194,14 @@
         self.now = max(self.now, until)
         self.send(messages.Ticked())
 
-    def settle(self) -> None:
+    def check_all_slots_free(self) -> None:
         """End all requests and check that every slot can be granted again."""
         for key in list(self.running):
             self.end(key)
         self.pass_time(_GRACE_SECONDS)
         for _ in range(2):
             for ingress in ("vm0", "vm1", "vm2"):
-                self.digest(ingress)
+                self.send_digest(ingress)
         while self.running:
             for key in list(self.running):
                 self.end(key)
@@ -225,7 +225,7 @@
     def send(self, event) -> None:
         """Send one event and check the resulting actions."""
         if isinstance(event, messages.PermitRequested):
-            self.known.add(event.key)
+            self.sent_keys.add(event.key)
         for action in self.subject.handle(event, now=self.now):
             match action:
                 case messages.Grant():
@@ -292,7 +292,7 @@
             expect(
                 "no lower tier is granted what a higher one could use",
                 self._tier(other) >= self._tier(request)
-                or other.key not in self.known
+                or other.key not in self.sent_keys
                 or grant.upstream in other.event.excluded
                 or other.deadline - self.now <= 1.1 * SERVICE_SECONDS,
                 f"{grant.key} before {other.key}",
@@ -344,7 +344,7 @@
         )
 
     def _waiting(self):
-        return [r for r in self.waiting.values() if r.key in self.known]
+        return [r for r in self.waiting.values() if r.key in self.sent_keys]
 
     def _running(self):
         """Return the running requests of classes still configured."""
@@ -405,7 +405,7 @@
                     key, lost=rng.random() < 0.1, failed=rng.random() < 0.1
                 )
         elif step < 0.78:
-            simulation.digest(rng.choice(["vm0", "vm1", "vm2"]))
+            simulation.send_digest(rng.choice(["vm0", "vm1", "vm2"]))
         elif step < 0.81 and simulation.finished:
             simulation.end_late(rng.choice(simulation.finished))
         elif step < 0.84 and simulation.waiting | simulation.running:
@@ -419,7 +419,9 @@
         elif step < 0.90:
             simulation.ingress_gone(rng.choice(["vm1", "vm2"]))
         elif step < 0.92:
-            simulation.upstream(rng.choice(upstreams), rng.choice(_STATES))
+            simulation.set_upstream_state(
+                rng.choice(upstreams), rng.choice(_STATES)
+            )
         elif step < 0.94:
             simulation.configure(_subset(full, rng))
         elif step < 0.95:
@@ -427,7 +429,7 @@
         else:
             simulation.pass_time(rng.choice([0.1, 1.0, 6.0]))
     simulation.configure(full)
-    simulation.settle()
+    simulation.check_all_slots_free()
 
 
 _STATES = [
--- a/packages/policy/tests/test_floors.py
+++ b/packages/policy/tests/test_floors.py
@@ -144,7 +144,7 @@
                 burst = self.driver.now % 20 < 8
                 rate = (3.0 if burst else 0.7) * self.slots
                 arrival += self.rng.expovariate(rate)
-            self._take_actions()
+            self._apply_actions()
 
     def _arrive(self):
         high = self.rng.random() < 0.7
@@ -154,7 +154,7 @@
         )
         self.waiting[key] = (high, self.driver.now + limit)
 
-    def _take_actions(self):
+    def _apply_actions(self):
         for action in self.driver.actions:
             self.waiting.pop(action.key, None)
             if action.key in self.driver.upstream_by_key:
--- a/packages/policy/tests/test_invariants.py
+++ b/packages/policy/tests/test_invariants.py
@@ -212,7 +212,7 @@
     @stateful.rule(ingress=strategies.sampled_from(["vm0", "vm1"]))
     def digest(self, ingress):
         """Send a digest."""
-        self.world.digest(ingress)
+        self.world.send_digest(ingress)
 
     @stateful.rule()
     def ingress_gone(self):
@@ -230,7 +230,7 @@
     )
     def change_upstream(self, upstream, state):
         """Change a runner's state."""
-        self.world.upstream(upstream, state)
+        self.world.set_upstream_state(upstream, state)
 
     @stateful.rule(
         classes=strategies.sets(
@@ -267,7 +267,7 @@
         """Check in the end that every slot can be granted."""
         if hasattr(self, "world"):
             self.world.configure(_POLICY)
-            self.world.settle()
+            self.world.check_all_slots_free()
 
 
 InvariantMachine.TestCase.settings = hypothesis.settings(
