--- a/packages/claims/src/lagoonrun_claims/claims.py
+++ b/packages/claims/src/lagoonrun_claims/claims.py
@@ -13,18 +13,17 @@
 from collections.abc import Awaitable, Callable
 
 from lagoonrun_claims import claim as claim_module
+from lagoonrun_claims import final_states, results
 from lagoonrun_claims import group_commit as group_commit_module
-from lagoonrun_claims import pacing as pacing_module
-from lagoonrun_claims import results
+from lagoonrun_claims import rate_limit as rate_limit_module
 from lagoonrun_claims import retention as retention_module
-from lagoonrun_claims import settler as settler_module
 from lagoonrun_core import clock as clock_module
 from lagoonrun_core import errors, events, logs, outcomes, types
 from lagoonrun_platform import store as store_module
 
 _MAXIMUM_TRIES = 8
 
-_SEND_SHARE = 0.5
+_SEND_WINDOW_FRACTION = 0.5
 """Part of the retention time within which a won request may be sent."""
 
 _ATTEMPT_BITS = 128
@@ -77,8 +76,8 @@
         self._clock = clock
         self._random = random
         self._flush_seconds = flush_seconds
-        self._send_seconds = retention_seconds * _SEND_SHARE
-        self._pacing = pacing_module.Pacing(
+        self._send_window_seconds = retention_seconds * _SEND_WINDOW_FRACTION
+        self._rate_limit = rate_limit_module.StoreRateLimit(
             clock=clock,
             random=random,
             writes_per_second=writes_per_second,
@@ -89,34 +88,34 @@
             retention=retention_module.Retention(
                 store=store, clock=clock, retention_seconds=retention_seconds
             ),
-            pacing=self._pacing,
+            rate_limit=self._rate_limit,
             shards=shards,
             maximum_batch=maximum_batch,
             write_timeout_seconds=write_timeout_seconds,
             linger_seconds=linger_seconds,
             sleep=sleep,
         )
-        self._settler = settler_module.Settler(
+        self._final_state_writer = final_states.FinalStateWriter(
             group=self._group, random=random, sleep=sleep
         )
-        self._open: set[claim_module.ClaimAttemptId] = set()
+        self._open_attempts: set[claim_module.ClaimAttemptId] = set()
 
     @property
     def pending(self) -> int:
         """Return how many last states are not in the store yet."""
-        return self._settler.pending
+        return self._final_state_writer.pending
 
     async def start(self) -> None:
         """Start the tasks that write to the store."""
         await self._group.start()
-        await self._settler.start()
+        await self._final_state_writer.start()
 
     async def close(self) -> None:
         """Write what is pending, within `flush_seconds`, and stop."""
-        await self._settler.close()
+        await self._final_state_writer.close()
         try:
             async with asyncio.timeout(self._flush_seconds):
-                await self._settler.flush()
+                await self._final_state_writer.flush()
         except TimeoutError:
             pass
         await self._group.close()
@@ -156,17 +155,17 @@
             claimed_wall=self._clock.wall(),
         )
         started = self._clock.monotonic()
-        claiming = _Claiming(record=record, started=started)
+        progress = _Claiming(record=record, started_at=started)
         won = False
         try:
-            result = await self._decide(claiming, started + deadline_seconds)
+            result = await self._decide(progress, started + deadline_seconds)
             won = isinstance(result, Won)
         finally:
             # The caller is told "not run" or has left. A write whose end is
             # not known would hold the key for nothing, and may apply even
             # after this moment. The release replaces it or comes before it.
-            if not won and claiming.may_be_written:
-                self._settler.add(claiming.release())
+            if not won and progress.may_be_written:
+                self._final_state_writer.add(progress.release())
         _log(record, result)
         return result
 
@@ -178,13 +177,13 @@
         claim and another attempt may have run.
         """
         return (
-            attempt.record.attempt in self._open
-            and self._clock.monotonic() < attempt.send_before
+            attempt.record.attempt in self._open_attempts
+            and self._clock.monotonic() < attempt.send_deadline
         )
 
     async def record_end(
         self, attempt: Attempt, outcome: outcomes.Outcome
-    ) -> settler_module.Settlement:
+    ) -> final_states.WriteStatus:
         """Record how the attempt ended, for later callers with its key.
 
         Raises
@@ -200,7 +199,7 @@
             attempt, claim_module.ClaimState.ENDED, outcome
         )
 
-    async def release(self, attempt: Attempt) -> settler_module.Settlement:
+    async def release(self, attempt: Attempt) -> final_states.WriteStatus:
         """Make the key usable again.
 
         Only when no byte of the request left, or the upstream said by
@@ -220,8 +219,8 @@
         attempt: Attempt,
         state: claim_module.ClaimState,
         outcome: outcomes.Outcome | None,
-    ) -> settler_module.Settlement:
-        if attempt.record.attempt not in self._open:
+    ) -> final_states.WriteStatus:
+        if attempt.record.attempt not in self._open_attempts:
             raise errors.LagoonrunError(
                 step=errors.Step.CLAIM,
                 detail=f"attempt {attempt.record.attempt} is not open; "
@@ -229,30 +228,34 @@
             )
         # Closed before the write: a task that is about to send finds
         # `may_send` false, however long the store takes.
-        self._open.discard(attempt.record.attempt)
-        last = dataclasses.replace(attempt.record, state=state, outcome=outcome)
-        return await self._settler.settle(
-            settler_module.Settling(record=last, expected=attempt.revision)
+        self._open_attempts.discard(attempt.record.attempt)
+        final_record = dataclasses.replace(
+            attempt.record, state=state, outcome=outcome
+        )
+        return await self._final_state_writer.write_now(
+            final_states.FinalState(
+                record=final_record, expected=attempt.revision
+            )
         )
 
     async def _decide(
-        self, claiming: "_Claiming", deadline: float
+        self, progress: "_Claiming", deadline: float
     ) -> ClaimResult:
         detail = "contended"
         for _ in range(_MAXIMUM_TRIES):
-            result = await self._write(claiming, deadline)
+            result = await self._write(progress, deadline)
             match result:
                 case group_commit_module.Written():
-                    return self._won(claiming, result.revision)
+                    return self._won(progress, result.revision)
                 case group_commit_module.Conflict(found=found):
-                    decision = self._judge(claiming, found)
+                    decision = self._interpret(progress, found)
                     if decision is not None:
                         return decision
-                case group_commit_module.Unsettled(detail=why):
+                case group_commit_module.Indeterminate(detail=why):
                     # Sent again as it is: the answer then says whether the
                     # first one applied, and if both do, the second fails.
                     # A plain read could show "absent" before it applies.
-                    claiming.may_be_written = True
+                    progress.may_be_written = True
                     detail = why
                 case group_commit_module.NotWritten(detail=why):
                     detail = why
@@ -261,49 +264,49 @@
 
     def _unavailable(self, detail: str) -> Unavailable:
         return Unavailable(
-            retry_after_seconds=self._pacing.retry_after_seconds(),
+            retry_after_seconds=self._rate_limit.retry_after_seconds(),
             detail=detail,
         )
 
     async def _write(
-        self, claiming: "_Claiming", deadline: float
+        self, progress: "_Claiming", deadline: float
     ) -> group_commit_module.WriteResult:
         left = deadline - self._clock.monotonic()
         if left <= 0:
             return group_commit_module.NotWritten(detail="deadline passed")
-        ticket = self._group.submit(claiming.write())
+        pending_write = self._group.submit(progress.write())
         try:
-            done, _ = await asyncio.wait([ticket.result], timeout=left)
+            done, _ = await asyncio.wait([pending_write.result], timeout=left)
         except asyncio.CancelledError:
-            if not ticket.withdraw():
-                claiming.may_be_written = True
+            if not pending_write.cancel():
+                progress.may_be_written = True
             raise
         if done:
-            return ticket.result.result()
-        if not ticket.withdraw():
-            claiming.may_be_written = True
+            return pending_write.result.result()
+        if not pending_write.cancel():
+            progress.may_be_written = True
         return group_commit_module.NotWritten(detail="deadline passed")
 
-    def _judge(
-        self, claiming: "_Claiming", found: store_module.KeyValue | None
+    def _interpret(
+        self, progress: "_Claiming", found: store_module.KeyValue | None
     ) -> ClaimResult | None:
         """Return what a found record means; None: try from there."""
         if found is None:
-            claiming.expected = store_module.ABSENT
+            progress.expected = store_module.ABSENT
             return None
         try:
             record = claim_module.decode(found.value)
         except errors.LagoonrunError as error:
             return self._unavailable(error.detail)
-        if record.attempt == claiming.record.attempt:
-            return self._won(claiming, found.modified)
+        if record.attempt == progress.record.attempt:
+            return self._won(progress, found.modified)
         # Another attempt's record: our unsettled writes, if any, expected
         # an older write of the key and cannot apply any more.
-        claiming.may_be_written = False
+        progress.may_be_written = False
         if record.state is claim_module.ClaimState.RELEASED:
-            claiming.expected = found.modified
+            progress.expected = found.modified
             return None
-        if record.body_digest != claiming.record.body_digest:
+        if record.body_digest != progress.record.body_digest:
             return BodyDiffers(
                 entry_vm=record.entry_vm, request_id=record.request_id
             )
@@ -317,15 +320,15 @@
 
     def _won(
         self,
-        claiming: "_Claiming",
+        progress: "_Claiming",
         revision: store_module.StoreRevision,
     ) -> Won:
-        self._open.add(claiming.record.attempt)
+        self._open_attempts.add(progress.record.attempt)
         return Won(
             attempt=Attempt(
-                record=claiming.record,
+                record=progress.record,
                 revision=revision,
-                send_before=claiming.started + self._send_seconds,
+                send_deadline=progress.started_at + self._send_window_seconds,
             )
         )
 
@@ -345,7 +348,7 @@
     """
 
     record: claim_module.ClaimRecord
-    started: float
+    started_at: float
     expected: store_module.StoreRevision = store_module.ABSENT
     may_be_written: bool = False
 
@@ -358,11 +361,11 @@
             value=claim_module.encode(self.record),
         )
 
-    def release(self) -> settler_module.Settling:
+    def release(self) -> final_states.FinalState:
         released = dataclasses.replace(
             self.record, state=claim_module.ClaimState.RELEASED
         )
-        return settler_module.Settling(record=released, expected=self.expected)
+        return final_states.FinalState(record=released, expected=self.expected)
 
 
 def _log(record: claim_module.ClaimRecord, result: ClaimResult) -> None:
--- a/packages/claims/src/lagoonrun_claims/settler.py
+++ b/packages/claims/src/lagoonrun_claims/final_states.py
@@ -21,10 +21,10 @@
 
 DEFAULT_CAPACITY = 10_000
 _FIRST_PAUSE_SECONDS = 0.2
-_LONGEST_PAUSE_SECONDS = 5.0
+_MAX_PAUSE_SECONDS = 5.0
 
 
-class Settlement(enum.Enum):
+class WriteStatus(enum.Enum):
     """Whether a record's last state is in the store."""
 
     RECORDED = "recorded"
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Settling:
+class FinalState:
     """Last state of one attempt's record, on its way to the store.
 
     Parameters
@@ -47,7 +47,7 @@
     expected: store_module.StoreRevision
 
 
-class Settler:
+class FinalStateWriter:
     """Writes last states; keeps those that could not be written.
 
     Parameters
@@ -68,16 +68,16 @@
         self._random = random
         self._capacity = capacity
         self._sleep = sleep
-        self._pending: collections.deque[Settling] = collections.deque()
-        self._trying: list[Settling] = []
-        self._filled = asyncio.Event()
+        self._pending: collections.deque[FinalState] = collections.deque()
+        self._retrying: list[FinalState] = []
+        self._has_pending = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self.dropped = 0
 
     @property
     def pending(self) -> int:
         """Return how many states wait or are being tried again."""
-        return len(self._pending) + len(self._trying)
+        return len(self._pending) + len(self._retrying)
 
     async def start(self) -> None:
         """Start the task that tries again."""
@@ -92,87 +92,89 @@
             await self._task
         self._task = None
 
-    def add(self, settling: Settling) -> None:
+    def add(self, final_state: FinalState) -> None:
         """Leave one state to the task."""
         if self.pending >= self._capacity:
             self.dropped += 1
             return
-        self._pending.append(settling)
-        self._filled.set()
+        self._pending.append(final_state)
+        self._has_pending.set()
 
-    async def settle(self, settling: Settling) -> Settlement:
+    async def write_now(self, final_state: FinalState) -> WriteStatus:
         """Write one state now; leave it to the task when that fails."""
         try:
-            left = await self._write(settling)
+            left = await self._write(final_state)
         except asyncio.CancelledError:
-            self.add(settling)
+            self.add(final_state)
             raise
         if left is None:
-            return Settlement.RECORDED
+            return WriteStatus.RECORDED
         self.add(left)
-        return Settlement.PENDING
+        return WriteStatus.PENDING
 
     async def flush(self) -> None:
         """Wait until nothing is pending."""
         while self._pending:
-            await self._try_all()
+            await self._retry_all()
             if self._pending:
                 await self._sleep(_FIRST_PAUSE_SECONDS)
 
     async def _run(self) -> None:
         pause = _FIRST_PAUSE_SECONDS
         while True:
-            await self._filled.wait()
+            await self._has_pending.wait()
             before = len(self._pending)
-            await self._try_all()
+            await self._retry_all()
             if not self._pending:
-                self._filled.clear()
+                self._has_pending.clear()
                 pause = _FIRST_PAUSE_SECONDS
                 continue
             progressed = len(self._pending) < before
             pause = _FIRST_PAUSE_SECONDS if progressed else pause * 2
-            pause = min(pause, _LONGEST_PAUSE_SECONDS)
+            pause = min(pause, _MAX_PAUSE_SECONDS)
             await self._sleep(pause * self._random.uniform(0.5, 1.0))
 
-    async def _try_all(self) -> None:
-        self._trying = list(self._pending)
+    async def _retry_all(self) -> None:
+        self._retrying = list(self._pending)
         self._pending.clear()
-        left = self._trying
+        left = self._retrying
         try:
-            results = await asyncio.gather(*map(self._write, self._trying))
+            results = await asyncio.gather(*map(self._write, self._retrying))
             left = [one for one in results if one is not None]
         finally:
-            self._trying = []
+            self._retrying = []
             self._pending.extendleft(reversed(left))
 
-    async def _write(self, settling: Settling) -> Settling | None:
+    async def _write(self, final_state: FinalState) -> FinalState | None:
         """Return None when done, else what is left to do."""
         key = claim_module.store_key(
-            settling.record.organisation, settling.record.key_digest
+            final_state.record.organisation, final_state.record.key_digest
         )
-        value = claim_module.encode(settling.record)
-        expected = settling.expected
+        value = claim_module.encode(final_state.record)
+        expected = final_state.expected
         # A release lets a caller in that waits; an end only informs.
-        urgent = settling.record.state is claim_module.ClaimState.RELEASED
+        urgent = final_state.record.state is claim_module.ClaimState.RELEASED
         while True:
-            ticket = self._group.submit(
+            pending_write = self._group.submit(
                 group_commit_module.Write(
                     key=key, expected=expected, value=value
                 ),
                 urgent=urgent,
             )
-            result = await asyncio.shield(ticket.result)
+            result = await asyncio.shield(pending_write.result)
             if isinstance(result, group_commit_module.Written):
                 return None
             if not isinstance(result, group_commit_module.Conflict):
-                return dataclasses.replace(settling, expected=expected)
+                return dataclasses.replace(final_state, expected=expected)
             found = result.found
-            if found is None or not _awaits(settling.record, found):
+            if found is None or not _is_still_claimed(
+                final_state.record, found
+            ):
                 return None
             expected = found.modified
 
 
-def _awaits(
+def _is_still_claimed(
     record: claim_module.ClaimRecord, found: store_module.KeyValue
 ) -> bool:
     """Return whether the key is still this attempt's open claim.
@@ -181,10 +183,10 @@
     lost, or another attempt's record, which must stay as it is.
     """
     try:
-        there = claim_module.decode(found.value)
+        stored = claim_module.decode(found.value)
     except errors.LagoonrunError:
         return False
     return (
-        there.attempt == record.attempt
-        and there.state is claim_module.ClaimState.CLAIMED
+        stored.attempt == record.attempt
+        and stored.state is claim_module.ClaimState.CLAIMED
     )
--- a/packages/claims/src/lagoonrun_claims/group_commit.py
+++ b/packages/claims/src/lagoonrun_claims/group_commit.py
@@ -13,7 +13,7 @@
 import zlib
 from collections.abc import Awaitable, Callable
 
-from lagoonrun_claims import pacing as pacing_module
+from lagoonrun_claims import rate_limit as rate_limit_module
 from lagoonrun_claims import retention as retention_module
 from lagoonrun_platform import store as store_module
 
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Unsettled:
+class Indeterminate:
     """The write was sent without an answer; it may apply even later."""
 
     detail: str
@@ -68,10 +68,10 @@
     detail: str
 
 
-WriteResult = Written | Conflict | Unsettled | NotWritten
+WriteResult = Written | Conflict | Indeterminate | NotWritten
 
 
-class Ticket:
+class PendingWrite:
     """A submitted write; `result` is set when its end is known."""
 
     def __init__(self, write: Write) -> None:
@@ -82,7 +82,7 @@
         self.sent = False
         self.rejections = 0
 
-    def withdraw(self) -> bool:
+    def cancel(self) -> bool:
         """Stop waiting; return whether the write is certainly not made."""
         if self.result.done():
             return isinstance(self.result.result(), NotWritten | Conflict)
@@ -117,7 +117,7 @@
         *,
         store: store_module.KeyValueStore,
         retention: retention_module.Retention,
-        pacing: pacing_module.Pacing,
+        rate_limit: rate_limit_module.StoreRateLimit,
         shards: int = DEFAULT_SHARDS,
         maximum_batch: int = DEFAULT_MAXIMUM_BATCH,
         write_timeout_seconds: float = 5.0,
@@ -126,7 +126,7 @@
     ) -> None:
         self._store = store
         self._retention = retention
-        self._pacing = pacing
+        self._rate_limit = rate_limit
         self._maximum_batch = maximum_batch
         self._write_timeout_seconds = write_timeout_seconds
         self._sleep = sleep
@@ -150,7 +150,7 @@
             shard.queue.clear()
         self._tasks.clear()
 
-    def submit(self, write: Write, *, urgent: bool = True) -> Ticket:
+    def submit(self, write: Write, *, urgent: bool = True) -> PendingWrite:
         """Queue one write; it is refused at once while backing off.
 
         Parameters
@@ -159,46 +159,48 @@
             Whether it calls for a transaction of its own. Otherwise it
             joins the next one, or makes one after `linger_seconds`.
         """
-        ticket = Ticket(write)
+        pending_write = PendingWrite(write)
         if not self._tasks:
-            ticket.resolve(NotWritten(detail="not started"))
-        elif self._pacing.blocked_seconds() > 0:
-            ticket.resolve(NotWritten(detail=_BACKING_OFF))
+            pending_write.resolve(NotWritten(detail="not started"))
+        elif self._rate_limit.blocked_seconds() > 0:
+            pending_write.resolve(NotWritten(detail=_BACKING_OFF))
         else:
             shard = zlib.crc32(write.key.encode()) % len(self._shards)
-            self._shards[shard].add(ticket, urgent=urgent)
-        return ticket
+            self._shards[shard].add(pending_write, urgent=urgent)
+        return pending_write
 
     async def _run(self, shard: "_Shard") -> None:
         while True:
-            await shard.filled.wait()
-            delay = self._pacing.wait_seconds()
+            await shard.ready.wait()
+            delay = self._rate_limit.wait_seconds()
             if delay > 0:
                 await self._sleep(delay)
             batch = shard.take(self._maximum_batch)
-            if self._pacing.blocked_seconds() > 0:
+            if self._rate_limit.blocked_seconds() > 0:
                 _resolve_all(batch, NotWritten(detail=_BACKING_OFF))
             elif batch:
-                await self._commit_or_give_up(shard, batch)
+                await self._commit_or_cancel(shard, batch)
 
-    async def _commit_or_give_up(
-        self, shard: "_Shard", batch: list[Ticket]
+    async def _commit_or_cancel(
+        self, shard: "_Shard", batch: list[PendingWrite]
     ) -> None:
         try:
             await self._commit(shard, batch)
         except asyncio.CancelledError:
             # Closed on the way: a write that was sent may still apply.
-            for ticket in batch:
-                if ticket.sent:
-                    ticket.resolve(Unsettled(detail="closed on the way"))
+            for pending_write in batch:
+                if pending_write.sent:
+                    pending_write.resolve(
+                        Indeterminate(detail="closed on the way")
+                    )
                 else:
-                    ticket.resolve(NotWritten(detail="closed"))
+                    pending_write.resolve(NotWritten(detail="closed"))
             raise
 
-    async def _commit(self, shard: "_Shard", batch: list[Ticket]) -> None:
+    async def _commit(self, shard: "_Shard", batch: list[PendingWrite]) -> None:
         lease = await self._lease()
         if lease is None:
-            self._pacing.failed(reached=False)
+            self._rate_limit.record_failure(reached=False)
             _resolve_all(batch, NotWritten(detail="no lease of the store"))
             return
         # The deadline of a claim may have passed while the lease was asked
@@ -206,10 +208,10 @@
         waiting = [one for one in batch if not one.result.done()]
         if not waiting:
             return
-        for ticket in waiting:
-            ticket.sent = True
+        for pending_write in waiting:
+            pending_write.sent = True
         result = await self._transact(waiting, lease)
-        self._distribute(shard, waiting, lease, result)
+        self._apply_result(shard, waiting, lease, result)
 
     async def _lease(self) -> retention_module.RetentionLease | None:
         try:
@@ -221,7 +223,7 @@
             return None
 
     async def _transact(
-        self, batch: list[Ticket], lease: retention_module.RetentionLease
+        self, batch: list[PendingWrite], lease: retention_module.RetentionLease
     ) -> store_module.TransactionResult:
         writes = [one.write for one in batch]
         comparisons = [
@@ -244,104 +246,104 @@
             # claims of the shard would wait for their deadlines in vain.
             return store_module.Unknown(detail=f"store failed: {error!r}")
 
-    def _distribute(
+    def _apply_result(
         self,
         shard: "_Shard",
-        batch: list[Ticket],
+        batch: list[PendingWrite],
         lease: retention_module.RetentionLease,
         result: store_module.TransactionResult,
     ) -> None:
         match result:
             case store_module.Committed(revision=revision):
-                self._pacing.succeeded()
+                self._rate_limit.record_success()
                 _resolve_all(batch, Written(revision=revision))
             case store_module.Rejected():
-                self._pacing.succeeded()
-                self._divide(shard, batch, lease, result)
+                self._rate_limit.record_success()
+                self._resolve_rejected(shard, batch, lease, result)
             case store_module.Unknown(detail=detail):
-                self._pacing.failed(reached=True)
-                _resolve_all(batch, Unsettled(detail=detail))
+                self._rate_limit.record_failure(reached=True)
+                _resolve_all(batch, Indeterminate(detail=detail))
             case store_module.Unreachable(detail=detail):
-                self._pacing.failed(reached=False)
+                self._rate_limit.record_failure(reached=False)
                 _resolve_all(batch, NotWritten(detail=detail))
 
-    def _divide(
+    def _resolve_rejected(
         self,
         shard: "_Shard",
-        batch: list[Ticket],
+        batch: list[PendingWrite],
         lease: retention_module.RetentionLease,
         rejected: store_module.Rejected,
     ) -> None:
         if not rejected.items:
             # Either the store has lost the lease, or the keys are gone. Both
             # look alike; with a new lease the second answer tells.
-            self._retention.forget(lease)
+            self._retention.discard(lease)
         found_by_key = {item.key: item for item in rejected.items}
         others = []
-        for ticket in batch:
-            found = found_by_key.get(ticket.write.key)
+        for pending_write in batch:
+            found = found_by_key.get(pending_write.write.key)
             modified = found.modified if found else store_module.ABSENT
-            sure = bool(rejected.items) or ticket.rejections > 0
-            if sure and modified != ticket.write.expected:
-                ticket.resolve(Conflict(found=found))
+            conclusive = bool(rejected.items) or pending_write.rejections > 0
+            if conclusive and modified != pending_write.write.expected:
+                pending_write.resolve(Conflict(found=found))
             else:
-                others.append(ticket)
+                others.append(pending_write)
         self._requeue(shard, others)
 
-    def _requeue(self, shard: "_Shard", batch: list[Ticket]) -> None:
-        for ticket in reversed(batch):
-            ticket.sent = False
-            ticket.rejections += 1
-            if ticket.rejections >= MAXIMUM_REJECTIONS:
-                ticket.resolve(NotWritten(detail="rejected too often"))
+    def _requeue(self, shard: "_Shard", batch: list[PendingWrite]) -> None:
+        for pending_write in reversed(batch):
+            pending_write.sent = False
+            pending_write.rejections += 1
+            if pending_write.rejections >= MAXIMUM_REJECTIONS:
+                pending_write.resolve(NotWritten(detail="rejected too often"))
             else:
-                shard.add_first(ticket)
+                shard.add_front(pending_write)
 
 
 class _Shard:
     """Writes of one part of the key space that wait for a transaction."""
 
     def __init__(self, linger_seconds: float) -> None:
-        self.queue: collections.deque[Ticket] = collections.deque()
-        self.filled = asyncio.Event()
+        self.queue: collections.deque[PendingWrite] = collections.deque()
+        self.ready = asyncio.Event()
         self._linger_seconds = linger_seconds
         self._timer: asyncio.TimerHandle | None = None
 
-    def add(self, ticket: Ticket, *, urgent: bool) -> None:
-        self.queue.append(ticket)
+    def add(self, pending_write: PendingWrite, *, urgent: bool) -> None:
+        self.queue.append(pending_write)
         if urgent:
-            self.filled.set()
+            self.ready.set()
         elif self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(self._linger_seconds, self._expire)
 
-    def add_first(self, ticket: Ticket) -> None:
-        self.queue.appendleft(ticket)
-        self.filled.set()
+    def add_front(self, pending_write: PendingWrite) -> None:
+        self.queue.appendleft(pending_write)
+        self.ready.set()
 
     def _expire(self) -> None:
         self._timer = None
         if self.queue:
-            self.filled.set()
+            self.ready.set()
 
-    def take(self, limit: int) -> list[Ticket]:
+    def take(self, limit: int) -> list[PendingWrite]:
         """Remove up to `limit` writes of different keys, oldest first."""
-        taken: dict[str, Ticket] = {}
+        taken: dict[str, PendingWrite] = {}
         left = []
         while self.queue and len(taken) < limit:
-            ticket = self.queue.popleft()
-            if ticket.result.done():
+            pending_write = self.queue.popleft()
+            if pending_write.result.done():
                 continue
-            if ticket.write.key in taken:
-                left.append(ticket)
+            if pending_write.write.key in taken:
+                left.append(pending_write)
             else:
-                taken[ticket.write.key] = ticket
+                taken[pending_write.write.key] = pending_write
         self.queue.extendleft(reversed(left))
         if not self.queue:
-            self.filled.clear()
+            self.ready.clear()
         return list(taken.values())
 
 
-def _resolve_all(tickets, result: WriteResult) -> None:
-    for ticket in tickets:
-        ticket.resolve(result)
+def _resolve_all(pending_writes, result: WriteResult) -> None:
+    for pending_write in pending_writes:
+        pending_write.resolve(result)
--- a/packages/claims/src/lagoonrun_claims/pacing.py
+++ b/packages/claims/src/lagoonrun_claims/rate_limit.py
@@ -5,7 +5,7 @@
 from lagoonrun_core import clock as clock_module
 
 
-class Pacing:
+class StoreRateLimit:
     """Token bucket of writes and backoff with jitter after failures.
 
     Parameters
@@ -35,27 +35,27 @@
         self._backoff_seconds = backoff_seconds
         self._maximum_backoff_seconds = maximum_backoff_seconds
         self._tokens = float(burst)
-        self._counted = clock.monotonic()
+        self._refilled_at = clock.monotonic()
         self._failures = 0
         self._blocked_until = clock.monotonic()
 
     def wait_seconds(self) -> float:
         """Take one write; return how long to wait before making it."""
         now = self._clock.monotonic()
-        earned = (now - self._counted) * self._rate
+        earned = (now - self._refilled_at) * self._rate
         self._tokens = min(float(self._burst), self._tokens + earned) - 1
-        self._counted = now
+        self._refilled_at = now
         return max(0.0, -self._tokens / self._rate)
 
     def blocked_seconds(self) -> float:
         """Return how long no call should be made; 0 when one may."""
         return max(0.0, self._blocked_until - self._clock.monotonic())
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record an answer of the store."""
         self._failures = 0
 
-    def failed(self, *, reached: bool) -> None:
+    def record_failure(self, *, reached: bool) -> None:
         """Record a call without an answer.
 
         Parameters
@@ -67,14 +67,14 @@
         self._failures += 1
         if reached and self._failures < 2:
             return
-        self._blocked_until = self._clock.monotonic() + self._pause()
+        self._blocked_until = self._clock.monotonic() + self._next_backoff()
 
     def retry_after_seconds(self) -> float:
         """Return when a refused caller should come back, with jitter."""
         base = max(self.blocked_seconds(), 0.5)
         return base * self._random.uniform(1.0, 2.0)
 
-    def _pause(self) -> float:
+    def _next_backoff(self) -> float:
         doubled = self._backoff_seconds * 2 ** min(self._failures, 16)
-        longest = min(doubled, self._maximum_backoff_seconds)
-        return longest * self._random.uniform(0.5, 1.0)
+        max_delay = min(doubled, self._maximum_backoff_seconds)
+        return max_delay * self._random.uniform(0.5, 1.0)
--- a/packages/claims/src/lagoonrun_claims/results.py
+++ b/packages/claims/src/lagoonrun_claims/results.py
@@ -22,7 +22,7 @@
 
     record: claim_module.ClaimRecord
     revision: store_module.StoreRevision
-    send_before: float
+    send_deadline: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/packages/claims/src/lagoonrun_claims/retention.py
+++ b/packages/claims/src/lagoonrun_claims/retention.py
@@ -21,7 +21,7 @@
     """A lease and the monotonic reading before it was asked for."""
 
     lease: store_module.LeaseId
-    asked: float
+    requested_at: float
 
 
 class Retention:
@@ -58,12 +58,12 @@
         """
         async with self._lock:
             if not self._younger_than(self._period_seconds):
-                await self._renew()
+                await self._replace()
             if self._younger_than(2 * self._period_seconds):
                 return self._current
             return None
 
-    def forget(self, lease: RetentionLease) -> None:
+    def discard(self, lease: RetentionLease) -> None:
         """Stop using a lease that the store did not accept."""
         if self._current == lease:
             self._current = None
@@ -71,18 +71,24 @@
     def _younger_than(self, seconds: float) -> bool:
         if self._current is None:
             return False
-        return self._clock.monotonic() - self._current.asked < seconds
-
-    async def _renew(self) -> None:
-        asked = self._clock.monotonic()
-        wanted = self._retention_seconds + 2 * self._period_seconds
-        result = await self._store.grant_lease(ttl_seconds=wanted)
+        return self._clock.monotonic() - self._current.requested_at < seconds
+
+    async def _replace(self) -> None:
+        requested_at = self._clock.monotonic()
+        required_ttl_seconds = (
+            self._retention_seconds + 2 * self._period_seconds
+        )
+        result = await self._store.grant_lease(ttl_seconds=required_ttl_seconds)
         if isinstance(result, store_module.Unknown):
-            result = await self._store.grant_lease(ttl_seconds=wanted)
+            result = await self._store.grant_lease(
+                ttl_seconds=required_ttl_seconds
+            )
         if not isinstance(result, store_module.LeaseGranted):
             return
         # A shorter lease would forget a claim while a caller may still
         # retry, and the retry would run a second time: it is not used.
-        if result.ttl_seconds < wanted:
+        if result.ttl_seconds < required_ttl_seconds:
             return
-        self._current = RetentionLease(lease=result.lease, asked=asked)
+        self._current = RetentionLease(
+            lease=result.lease, requested_at=requested_at
+        )
--- a/packages/claims/tests/test_at_most_once.py
+++ b/packages/claims/tests/test_at_most_once.py
@@ -295,7 +295,7 @@
         """Without a kill, a key that never ran is usable in the end."""
         try:
             if self.checks_usable and not self.killed:
-                self.settle()
+                self.finish_all()
                 self.check_usable_keys()
         finally:
             self.end_loop()
@@ -309,7 +309,7 @@
             self.run()
         self.loop.close()
 
-    def settle(self):
+    def finish_all(self):
         for _ in range(400):
             if not self.held:
                 self.clock.advance(10.0)
@@ -335,29 +335,29 @@
 class _TakeoverByTimeout(claims_module.Claims):
     """Naive: takes a claim over when it has not ended for a minute."""
 
-    def _judge(self, claiming, found):
-        result = super()._judge(claiming, found)
+    def _interpret(self, progress, found):
+        result = super()._interpret(progress, found)
         if not isinstance(result, claims_module.Taken):
             return result
         if result.state is not claim_module.ClaimState.CLAIMED:
             return result
         if result.age_seconds <= 60.0:
             return result
-        claiming.expected = found.modified
+        progress.expected = found.modified
         return None
 
 
 class _CheckThenPut(claims_module.Claims):
     """Naive: reads the key and then writes it without a comparison."""
 
-    async def _decide(self, claiming, deadline):
-        write = claiming.write()
+    async def _decide(self, progress, deadline):
+        write = progress.write()
         item = await self._group._store.get(write.key)
         if getattr(item, "found", None) is None:
             put = store_module.Put(key=write.key, value=write.value)
             await self._group._store.transact(comparisons=(), puts=[put])
-            return self._won(claiming, store_module.ABSENT)
-        return self._judge(claiming, item.found) or self._unavailable("")
+            return self._won(progress, store_module.ABSENT)
+        return self._interpret(progress, item.found) or self._unavailable("")
 
 
 def _machine(claims_type, *, checks_usable):
--- a/packages/claims/tests/test_claims.py
+++ b/packages/claims/tests/test_claims.py
@@ -6,7 +6,7 @@
 
 from lagoonrun_claims import claim as claim_module
 from lagoonrun_claims import claims as claims_module
-from lagoonrun_claims import settler
+from lagoonrun_claims import final_states
 from lagoonrun_core import errors, outcomes
 from lagoonrun_platform import store as store_module
 
@@ -148,8 +148,8 @@
 async def test_a_released_key_goes_to_the_next(make_claims, arrive):
     first, second = await make_claims(), await make_claims()
     won = await arrive(first)
-    settled = await first.release(won.attempt)
-    assert settled is settler.Settlement.RECORDED
+    status = await first.release(won.attempt)
+    assert status is final_states.WriteStatus.RECORDED
     assert not first.may_send(won.attempt)
     assert isinstance(await arrive(second, body="new"), claims_module.Won)
 
