--- a/packages/claims/src/lagoonrun_claims/claim.py
+++ b/packages/claims/src/lagoonrun_claims/claim.py
@@ -1,8 +1,8 @@
-"""One claim of an idempotency key: its record, its key and its encoding.
+"""Claim of an idempotency key: its record, its store key and its encoding.
 
-The caller's key text is never stored. The store sees a SHA-256 over the
-organisation and the key, so equal keys of two organisations are two claims
-and neither can be told from the other.
+The text of the caller's key is never stored, only a SHA-256 hash over the
+organisation and the key. Equal keys of two organisations are therefore two
+separate claims, and their equality cannot be seen from the store.
 """
 
 import dataclasses
@@ -15,13 +15,13 @@
 from lagoonrun_core import errors, outcomes, types
 
 ClaimAttemptId = NewType("ClaimAttemptId", str)
-"""128 random bits in hexadecimal; names one arrival's try at one key."""
+"""128 random bits in hexadecimal; identifies one attempt to claim a key."""
 
 KeyDigest = NewType("KeyDigest", str)
 """Hexadecimal SHA-256 of an organisation and its idempotency key."""
 
 BodyDigest = NewType("BodyDigest", str)
-"""Hexadecimal digest of what the caller asked for under a key."""
+"""Hexadecimal digest of the request that was sent with a key."""
 
 MAXIMUM_KEY_BYTES = 255
 PREFIX = "claims/"
@@ -29,10 +29,10 @@
 
 
 class ClaimState(enum.Enum):
-    """What the record says of the attempt that owns the key.
+    """State of the attempt that owns the key.
 
-    `CLAIMED` says nothing of whether the request was sent: the claimant may
-    be about to send, sending, frozen or dead.
+    `CLAIMED` does not imply that the request was sent: the claimant may be
+    about to send it, be sending it, be paused or have crashed.
     """
 
     CLAIMED = "claimed"
@@ -47,12 +47,13 @@
     Parameters
     ----------
     attempt
-        Who owns the key; the same id read back proves a lost reply's write.
+        The attempt that owns the key. Reading the same id back proves that
+        a write with a lost reply was applied.
     outcome
-        How the attempt ended; None unless the state is `ENDED`.
+        Outcome of the attempt; None unless the state is `ENDED`.
     claimed_wall
-        Seconds since the Unix epoch by the claimant's clock. For people
-        only: no decision rests on it.
+        Seconds since the Unix epoch by the claimant's clock. Informative
+        only; no decision depends on it.
     """
 
     organisation: types.OrganisationId
@@ -69,13 +70,13 @@
 def digest_key(organisation: types.OrganisationId, key: str) -> KeyDigest:
     """Hash an organisation's idempotency key.
 
-    The organisation's length goes first, so that no two pairs of
-    organisation and key are the same bytes.
+    The organisation's length is prepended, so that no two pairs of
+    organisation and key yield the same bytes.
 
     Raises
     ------
     LagoonrunError
-        When the key is empty or longer than `MAXIMUM_KEY_BYTES`.
+        If the key is empty or longer than `MAXIMUM_KEY_BYTES`.
     """
     raw = key.encode("utf-8", "surrogateescape")
     if not 1 <= len(raw) <= MAXIMUM_KEY_BYTES:
@@ -90,12 +91,12 @@
 
 
 def store_key(organisation: types.OrganisationId, digest: KeyDigest) -> str:
-    """Return the store's key of a claim."""
+    """Return the key of a claim in the store."""
     return f"{PREFIX}{urllib.parse.quote(organisation, safe='')}/{digest}"
 
 
 def encode(record: ClaimRecord) -> bytes:
-    """Return the store's value of a claim: compact JSON."""
+    """Encode a claim as compact JSON."""
     fields = {
         "version": _VERSION,
         "organisation": record.organisation,
@@ -112,12 +113,12 @@
 
 
 def decode(value: bytes) -> ClaimRecord:
-    """Read a claim back.
+    """Decode a claim.
 
     Raises
     ------
     LagoonrunError
-        When the value is not a claim of this version.
+        If the value is not a claim of this version.
     """
     try:
         fields = json.loads(value)
--- a/packages/claims/src/lagoonrun_claims/claims.py
+++ b/packages/claims/src/lagoonrun_claims/claims.py
@@ -1,10 +1,11 @@
-"""At most once: who may run the request of an idempotency key.
-
-An ingress claims a key after its permit and its connection and right before
-the request's first byte. `Won` allows that one write. A claim of another
-attempt is never taken over because of its age: its claimant may be frozen
-between the claim and the write, and an upstream has no guard that would stop
-it on waking. Only a record that says `RELEASED` is taken over.
+"""At-most-once execution of requests with an idempotency key.
+
+An ingress claims a key after it has a permit and a connection, right before
+the request's first byte. `Won` allows sending the request once. A claim of
+another attempt is never taken over because of its age: the claimant may be
+paused between the claim and the send, and the upstream has no fencing that
+would reject the request once it resumes. Only a claim in state `RELEASED` is
+taken over.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 _MAXIMUM_TRIES = 8
 
 _SEND_WINDOW_FRACTION = 0.5
-"""Part of the retention time within which a won request may be sent."""
+"""Fraction of the retention time during which a won request may be sent."""
 
 _ATTEMPT_BITS = 128
 
@@ -43,16 +44,16 @@
     Parameters
     ----------
     random
-        Source of attempt ids; must differ between processes, as
-        `random.SystemRandom` does.
+        Generates attempt ids; must differ between processes, as with
+        `random.SystemRandom`.
     retention_seconds
-        Least time for which a key stays claimed.
+        Minimum time for which a key stays claimed.
     writes_per_second, burst
-        Budget of this process for the store.
+        Rate limit of this process's writes to the store.
     shards, maximum_batch, write_timeout_seconds, linger_seconds
         See `GroupCommit`.
     flush_seconds
-        Longest wait of `close` for states that are not in the store yet.
+        Maximum time that `close` waits for pending writes.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
 
     @property
     def pending(self) -> int:
-        """Return how many last states are not in the store yet."""
+        """Return the number of final states not yet in the store."""
         return self._final_state_writer.pending
 
     async def start(self) -> None:
@@ -111,7 +112,7 @@
         await self._final_state_writer.start()
 
     async def close(self) -> None:
-        """Write what is pending, within `flush_seconds`, and stop."""
+        """Flush pending writes for at most `flush_seconds`, and stop."""
         await self._final_state_writer.close()
         try:
             async with asyncio.timeout(self._flush_seconds):
@@ -129,19 +130,19 @@
         body_digest: claim_module.BodyDigest,
         deadline_seconds: float,
     ) -> ClaimResult:
-        """Claim a key for one arrival.
+        """Claim a key for one arriving request.
 
-        Cancelling is safe: what may have been written is released.
+        Cancellation is safe: a claim that may have been written is released.
 
         Parameters
         ----------
         deadline_seconds
-            Longest wait from now; after it the result is `Unavailable`.
+            Maximum wait from now; after it the result is `Unavailable`.
 
         Raises
         ------
         LagoonrunError
-            When the key is empty or too long.
+            If the key is empty or too long.
         """
         record = claim_module.ClaimRecord(
             organisation=organisation,
@@ -155,26 +156,26 @@
             claimed_wall=self._clock.wall(),
         )
         started = self._clock.monotonic()
-        progress = _Claiming(record=record, started_at=started)
+        claiming = _Claiming(record=record, started_at=started)
         won = False
         try:
-            result = await self._decide(progress, started + deadline_seconds)
+            result = await self._decide(claiming, started + deadline_seconds)
             won = isinstance(result, Won)
         finally:
-            # The caller is told "not run" or has left. A write whose end is
-            # not known would hold the key for nothing, and may apply even
-            # after this moment. The release replaces it or comes before it.
-            if not won and progress.may_be_written:
-                self._final_state_writer.add(progress.release())
+            # The caller gets "not run" or has disconnected. A write with an
+            # unknown result would hold the key for no use, and may still be
+            # applied later. The release replaces it or precedes it.
+            if not won and claiming.may_be_written:
+                self._final_state_writer.add(claiming.release())
         _log(record, result)
         return result
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Return whether the attempt's claim is surely still in the store.
+        """Return whether the attempt's claim is guaranteed to be in the store.
 
-        Asked right before the first byte. It guards against an ingress that
-        was frozen for the whole retention time: the store has forgotten its
-        claim and another attempt may have run.
+        To be called right before the first byte is sent. Protects against an
+        ingress that was paused for the whole retention time, whose claim has
+        expired in the store so that another attempt may have run.
         """
         return (
             attempt.record.attempt in self._open_attempts
@@ -184,14 +185,14 @@
     async def record_end(
         self, attempt: Attempt, outcome: outcomes.Outcome
     ) -> final_states.WriteStatus:
-        """Record how the attempt ended, for later callers with its key.
+        """Record the attempt's outcome, for later callers with its key.
 
         Raises
         ------
         ValueError
-            For `NOT_RUN`: such an attempt is released.
+            For `NOT_RUN`; such an attempt must be released.
         LagoonrunError
-            When the attempt was ended or released before.
+            If the attempt has already been ended or released.
         """
         if outcome is outcomes.Outcome.NOT_RUN:
             raise ValueError("outcome not-run; valid: release the attempt")
@@ -202,13 +203,13 @@
     async def release(self, attempt: Attempt) -> final_states.WriteStatus:
         """Make the key usable again.
 
-        Only when no byte of the request left, or the upstream said by
-        protocol that it did not run it. The attempt must not send after.
+        Allowed only if no byte of the request was sent, or the upstream said
+        by protocol that it did not run it. The attempt must not send later.
 
         Raises
         ------
         LagoonrunError
-            When the attempt was ended or released before.
+            If the attempt has already been ended or released.
         """
         return await self._finish(
             attempt, claim_module.ClaimState.RELEASED, None
@@ -226,8 +227,8 @@
                 detail=f"attempt {attempt.record.attempt} is not open; "
                 "valid: one end or release per attempt",
             )
-        # Closed before the write: a task that is about to send finds
-        # `may_send` false, however long the store takes.
+        # Closed before the write, so that `may_send` is false for a task
+        # about to send, however long the store takes.
         self._open_attempts.discard(attempt.record.attempt)
         final_record = dataclasses.replace(
             attempt.record, state=state, outcome=outcome
@@ -239,23 +240,23 @@
         )
 
     async def _decide(
-        self, progress: "_Claiming", deadline: float
+        self, claiming: "_Claiming", deadline: float
     ) -> ClaimResult:
         detail = "contended"
         for _ in range(_MAXIMUM_TRIES):
-            result = await self._write(progress, deadline)
+            result = await self._write(claiming, deadline)
             match result:
                 case group_commit_module.Written():
-                    return self._won(progress, result.revision)
+                    return self._won(claiming, result.revision)
                 case group_commit_module.Conflict(found=found):
-                    decision = self._interpret(progress, found)
+                    decision = self._interpret(claiming, found)
                     if decision is not None:
                         return decision
                 case group_commit_module.Indeterminate(detail=why):
-                    # Sent again as it is: the answer then says whether the
-                    # first one applied, and if both do, the second fails.
-                    # A plain read could show "absent" before it applies.
-                    progress.may_be_written = True
+                    # The same write is sent again: its result shows whether
+                    # the first was applied, as only one of them can succeed.
+                    # A read could find no key before the first is applied.
+                    claiming.may_be_written = True
                     detail = why
                 case group_commit_module.NotWritten(detail=why):
                     detail = why
@@ -269,44 +270,47 @@
         )
 
     async def _write(
-        self, progress: "_Claiming", deadline: float
+        self, claiming: "_Claiming", deadline: float
     ) -> group_commit_module.WriteResult:
         left = deadline - self._clock.monotonic()
         if left <= 0:
             return group_commit_module.NotWritten(detail="deadline passed")
-        pending_write = self._group.submit(progress.write())
+        pending_write = self._group.submit(claiming.write())
         try:
             done, _ = await asyncio.wait([pending_write.result], timeout=left)
         except asyncio.CancelledError:
-            if not pending_write.cancel():
-                progress.may_be_written = True
+            if not pending_write.withdraw():
+                claiming.may_be_written = True
             raise
         if done:
             return pending_write.result.result()
-        if not pending_write.cancel():
-            progress.may_be_written = True
+        if not pending_write.withdraw():
+            claiming.may_be_written = True
         return group_commit_module.NotWritten(detail="deadline passed")
 
     def _interpret(
-        self, progress: "_Claiming", found: store_module.KeyValue | None
+        self, claiming: "_Claiming", found: store_module.KeyValue | None
     ) -> ClaimResult | None:
-        """Return what a found record means; None: try from there."""
+        """Return the result that a stored record implies.
+
+        None if the claim should be tried again, expecting that record.
+        """
         if found is None:
-            progress.expected = store_module.ABSENT
+            claiming.expected = store_module.ABSENT
             return None
         try:
             record = claim_module.decode(found.value)
         except errors.LagoonrunError as error:
             return self._unavailable(error.detail)
-        if record.attempt == progress.record.attempt:
-            return self._won(progress, found.modified)
-        # Another attempt's record: our unsettled writes, if any, expected
-        # an older write of the key and cannot apply any more.
-        progress.may_be_written = False
+        if record.attempt == claiming.record.attempt:
+            return self._won(claiming, found.modified)
+        # Another attempt's record: any indeterminate write of this attempt
+        # expected an older revision of the key and can no longer be applied.
+        claiming.may_be_written = False
         if record.state is claim_module.ClaimState.RELEASED:
-            progress.expected = found.modified
+            claiming.expected = found.modified
             return None
-        if record.body_digest != progress.record.body_digest:
+        if record.body_digest != claiming.record.body_digest:
             return BodyDiffers(
                 entry_vm=record.entry_vm, request_id=record.request_id
             )
@@ -320,31 +324,31 @@
 
     def _won(
         self,
-        progress: "_Claiming",
+        claiming: "_Claiming",
         revision: store_module.StoreRevision,
     ) -> Won:
-        self._open_attempts.add(progress.record.attempt)
+        self._open_attempts.add(claiming.record.attempt)
         return Won(
             attempt=Attempt(
-                record=progress.record,
+                record=claiming.record,
                 revision=revision,
-                send_deadline=progress.started_at + self._send_window_seconds,
+                send_deadline=claiming.started_at + self._send_window_seconds,
             )
         )
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Claiming:
-    """One attempt's progress.
+    """Progress of one attempt to claim a key.
 
     Attributes
     ----------
-    started
-        Monotonic reading from before the first write.
+    started_at
+        Monotonic time before the first write.
     expected
-        The key's write that the claim replaces.
+        Revision of the key that the claim replaces.
     may_be_written
-        A write was sent whose end is not known.
+        Whether a write with an unknown result was sent.
     """
 
     record: claim_module.ClaimRecord
--- a/packages/claims/src/lagoonrun_claims/final_states.py
+++ b/packages/claims/src/lagoonrun_claims/final_states.py
@@ -1,9 +1,9 @@
-"""Backlog of claim records that still have to reach the store.
+"""Writing of the final states of claims to the store.
 
-Ends, releases and abandoned claims are not on a caller's path. Those that
-the store did not take at once are tried again with backoff until it does.
-What is lost with the process leaves the record at `CLAIMED`, which promises
-nothing and so stays true.
+The final states of attempts (ended, released or abandoned) are not on a
+caller's critical path. Writes that fail are retried with backoff until they
+succeed. A state that is lost with the process leaves the record at `CLAIMED`,
+which makes no statement about the request and so remains correct.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class WriteStatus(enum.Enum):
-    """Whether a record's last state is in the store."""
+    """Whether a record's final state is in the store."""
 
     RECORDED = "recorded"
     PENDING = "pending"
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FinalState:
-    """Last state of one attempt's record, on its way to the store.
+    """Final state of one attempt's record, to be written to the store.
 
     Parameters
     ----------
     record
-        What is to be written.
+        The record in its final state.
     expected
-        The key's write that this one replaces.
+        Revision of the key that this write replaces.
     """
 
     record: claim_module.ClaimRecord
@@ -48,12 +48,12 @@
 
 
 class FinalStateWriter:
-    """Writes last states; keeps those that could not be written.
+    """Writes final states, and retries those that could not be written.
 
     Parameters
     ----------
     capacity
-        Most states that wait; further ones are dropped.
+        Maximum number of pending states; further ones are dropped.
     """
 
     def __init__(
@@ -76,15 +76,15 @@
 
     @property
     def pending(self) -> int:
-        """Return how many states wait or are being tried again."""
+        """Return the number of states waiting or being retried."""
         return len(self._pending) + len(self._retrying)
 
     async def start(self) -> None:
-        """Start the task that tries again."""
+        """Start the retry task."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop the task; what still waits is lost."""
+        """Stop the retry task; pending states are lost without `flush`."""
         if self._task is None:
             return
         self._task.cancel()
@@ -93,7 +93,7 @@
         self._task = None
 
     def add(self, final_state: FinalState) -> None:
-        """Leave one state to the task."""
+        """Add one state to those that the retry task writes."""
         if self.pending >= self._capacity:
             self.dropped += 1
             return
@@ -101,7 +101,7 @@
         self._has_pending.set()
 
     async def write_now(self, final_state: FinalState) -> WriteStatus:
-        """Write one state now; leave it to the task when that fails."""
+        """Write one state now; leave it to the retry task if that fails."""
         try:
             left = await self._write(final_state)
         except asyncio.CancelledError:
@@ -146,13 +146,14 @@
             self._pending.extendleft(reversed(left))
 
     async def _write(self, final_state: FinalState) -> FinalState | None:
-        """Return None when done, else what is left to do."""
+        """Return None once written or obsolete, else the state to retry."""
         key = claim_module.store_key(
             final_state.record.organisation, final_state.record.key_digest
         )
         value = claim_module.encode(final_state.record)
         expected = final_state.expected
-        # A release lets a caller in that waits; an end only informs.
+        # A release makes the key usable for a waiting caller; an end only
+        # informs later callers.
         urgent = final_state.record.state is claim_module.ClaimState.RELEASED
         while True:
             pending_write = self._group.submit(
@@ -177,10 +178,10 @@
 def _is_still_claimed(
     record: claim_module.ClaimRecord, found: store_module.KeyValue
 ) -> bool:
-    """Return whether the key is still this attempt's open claim.
+    """Return whether the stored record is still this attempt's open claim.
 
-    Anything else is either this very state, applied although its reply was
-    lost, or another attempt's record, which must stay as it is.
+    Anything else is either this state, applied although its reply was lost,
+    or another attempt's record, which must not be overwritten.
     """
     try:
         stored = claim_module.decode(found.value)
--- a/packages/claims/src/lagoonrun_claims/group_commit.py
+++ b/packages/claims/src/lagoonrun_claims/group_commit.py
@@ -1,9 +1,9 @@
-"""Group commit: many compare-and-swaps in one transaction of the store.
+"""Group commit: many compare-and-swap writes in one store transaction.
 
-The store counts calls, not keys. Writes of one shard of the key space are
-gathered while the shard's last transaction is on its way and go into the
-next one. A transaction is all or nothing; when one comparison fails, the
-answer says which, that write gets its conflict, and the others go again.
+The store counts calls, not keys. Writes to one shard of the key space are
+collected while the shard's previous transaction is in progress and committed
+by the next one. A transaction is all or nothing; if comparisons fail, the
+reply says which: those writes get a conflict and the others are retried.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from lagoonrun_platform import store as store_module
 
 MAXIMUM_REJECTIONS = 8
-"""Rejected transactions after which a write is given back unwritten."""
+"""Rejected transactions after which a write is reported as not written."""
 
 DEFAULT_SHARDS = 1
 DEFAULT_MAXIMUM_BATCH = 100
@@ -27,12 +27,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Write:
-    """Compare-and-swap of one key.
+    """Compare-and-swap write of one key.
 
     Parameters
     ----------
     expected
-        The key's last write, `ABSENT` to create it.
+        Revision of the key's last write, `ABSENT` to create the key.
     """
 
     key: str
@@ -49,21 +49,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """The key was not as expected; nothing was written to it."""
+    """The key did not have the expected revision; it was not written."""
 
     found: store_module.KeyValue | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Indeterminate:
-    """The write was sent without an answer; it may apply even later."""
+    """The write was sent but got no reply; it may still be applied later."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotWritten:
-    """The write was certainly not applied."""
+    """The write was not applied and will not be."""
 
     detail: str
 
@@ -72,7 +72,7 @@
 
 
 class PendingWrite:
-    """A submitted write; `result` is set when its end is known."""
+    """A submitted write; `result` is set when it is resolved."""
 
     def __init__(self, write: Write) -> None:
         self.write = write
@@ -82,8 +82,8 @@
         self.sent = False
         self.rejections = 0
 
-    def cancel(self) -> bool:
-        """Stop waiting; return whether the write is certainly not made."""
+    def withdraw(self) -> bool:
+        """Stop waiting; return whether the write is certainly not applied."""
         if self.result.done():
             return isinstance(self.result.result(), NotWritten | Conflict)
         if self.sent:
@@ -92,24 +92,24 @@
         return True
 
     def resolve(self, result: WriteResult) -> None:
-        """Set the result unless there is one."""
+        """Set the result if there is none."""
         if not self.result.done():
             self.result.set_result(result)
 
 
 class GroupCommit:
-    """Gathers writes by shard of the key space and makes them.
+    """Batches writes by shard of the key space and commits them.
 
     Parameters
     ----------
     shards
-        Transactions that may be on their way at once.
+        Maximum number of concurrent transactions.
     maximum_batch
-        Most writes in one transaction.
+        Maximum number of writes in one transaction.
     write_timeout_seconds
-        Wait for one answer of the store; after it the write is unsettled.
+        Timeout of one store call, after which its writes are indeterminate.
     linger_seconds
-        How long a write that is not urgent waits for others to join.
+        How long a write that is not urgent waits for others to join it.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
             self._tasks.append(asyncio.create_task(self._run(shard)))
 
     async def close(self) -> None:
-        """Stop the tasks; what is on its way becomes unsettled."""
+        """Stop the tasks; writes in progress become indeterminate."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -151,13 +151,13 @@
         self._tasks.clear()
 
     def submit(self, write: Write, *, urgent: bool = True) -> PendingWrite:
-        """Queue one write; it is refused at once while backing off.
+        """Queue one write; during a backoff it is refused at once.
 
         Parameters
         ----------
         urgent
-            Whether it calls for a transaction of its own. Otherwise it
-            joins the next one, or makes one after `linger_seconds`.
+            Whether it triggers a transaction. Otherwise it joins the next
+            one, or triggers one after `linger_seconds`.
         """
         pending_write = PendingWrite(write)
         if not self._tasks:
@@ -187,11 +187,11 @@
         try:
             await self._commit(shard, batch)
         except asyncio.CancelledError:
-            # Closed on the way: a write that was sent may still apply.
+            # Closed during a transaction: a sent write may still be applied.
             for pending_write in batch:
                 if pending_write.sent:
                     pending_write.resolve(
-                        Indeterminate(detail="closed on the way")
+                        Indeterminate(detail="closed while in progress")
                     )
                 else:
                     pending_write.resolve(NotWritten(detail="closed"))
@@ -201,10 +201,10 @@
         lease = await self._lease()
         if lease is None:
             self._rate_limit.record_failure(reached=False)
-            _resolve_all(batch, NotWritten(detail="no lease of the store"))
+            _resolve_all(batch, NotWritten(detail="store granted no lease"))
             return
-        # The deadline of a claim may have passed while the lease was asked
-        # for; its owner was told that nothing was written, so it is left out.
+        # The deadline of a claim may have passed while the lease was being
+        # granted; its result is then `NotWritten`, so it must be left out.
         waiting = [one for one in batch if not one.result.done()]
         if not waiting:
             return
@@ -218,8 +218,8 @@
             async with asyncio.timeout(self._write_timeout_seconds):
                 return await self._retention.lease()
         except Exception:
-            # No answer in time, or a fault of the adapter: as in `_transact`,
-            # neither may end the shard's task.
+            # A timeout or a fault of the adapter must not end the shard's
+            # task; see `_transact`.
             return None
 
     async def _transact(
@@ -243,7 +243,7 @@
             return store_module.Unknown(detail="no answer in time")
         except Exception as error:
             # A fault of the adapter must not end the shard's task: all later
-            # claims of the shard would wait for their deadlines in vain.
+            # claims of the shard would time out.
             return store_module.Unknown(detail=f"store failed: {error!r}")
 
     def _apply_result(
@@ -275,8 +275,8 @@
         rejected: store_module.Rejected,
     ) -> None:
         if not rejected.items:
-            # Either the store has lost the lease, or the keys are gone. Both
-            # look alike; with a new lease the second answer tells.
+            # Either the lease or the keys no longer exist in the store. The
+            # reply is the same; a retry with a new lease tells them apart.
             self._retention.discard(lease)
         found_by_key = {item.key: item for item in rejected.items}
         others = []
@@ -301,7 +301,7 @@
 
 
 class _Shard:
-    """Writes of one part of the key space that wait for a transaction."""
+    """Queue of writes to one shard of the key space."""
 
     def __init__(self, linger_seconds: float) -> None:
         self.queue: collections.deque[PendingWrite] = collections.deque()
@@ -327,7 +327,7 @@
             self.ready.set()
 
     def take(self, limit: int) -> list[PendingWrite]:
-        """Remove up to `limit` writes of different keys, oldest first."""
+        """Remove and return up to `limit` writes of distinct keys, in order."""
         taken: dict[str, PendingWrite] = {}
         left = []
         while self.queue and len(taken) < limit:
--- a/packages/claims/src/lagoonrun_claims/rate_limit.py
+++ b/packages/claims/src/lagoonrun_claims/rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits on calls to the store: a rate, and backoff after failures."""
+"""Rate limit and backoff for calls to the store."""
 
 import random
 
@@ -6,16 +6,17 @@
 
 
 class StoreRateLimit:
-    """Token bucket of writes and backoff with jitter after failures.
+    """Token bucket for writes, and backoff with jitter after failures.
 
     Parameters
     ----------
     writes_per_second
-        Lasting rate of writes of this entry VM.
+        Sustained rate of writes of this entry VM.
     burst
-        Writes that may follow each other at once after a pause.
+        Number of writes that may be made at once after an idle period.
     backoff_seconds
-        First pause after a failure; it doubles up to the maximum.
+        Base of the backoff, which doubles with each failure up to the
+        maximum.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         self._blocked_until = clock.monotonic()
 
     def wait_seconds(self) -> float:
-        """Take one write; return how long to wait before making it."""
+        """Take one token; return how long to wait before the write."""
         now = self._clock.monotonic()
         earned = (now - self._refilled_at) * self._rate
         self._tokens = min(float(self._burst), self._tokens + earned) - 1
@@ -48,21 +49,22 @@
         return max(0.0, -self._tokens / self._rate)
 
     def blocked_seconds(self) -> float:
-        """Return how long no call should be made; 0 when one may."""
+        """Return how long no call may be made; 0 outside a backoff."""
         return max(0.0, self._blocked_until - self._clock.monotonic())
 
     def record_success(self) -> None:
-        """Record an answer of the store."""
+        """Record a call that the store replied to."""
         self._failures = 0
 
     def record_failure(self, *, reached: bool) -> None:
-        """Record a call without an answer.
+        """Record a call without a reply.
 
         Parameters
         ----------
         reached
-            The call was sent and its reply lost. One such call alone is
-            followed up at once, to learn what became of the write.
+            Whether the call was sent and may have been applied. The first
+            such failure starts no backoff, so that the write can be retried
+            at once to learn its result.
         """
         self._failures += 1
         if reached and self._failures < 2:
@@ -70,7 +72,7 @@
         self._blocked_until = self._clock.monotonic() + self._next_backoff()
 
     def retry_after_seconds(self) -> float:
-        """Return when a refused caller should come back, with jitter."""
+        """Return the retry delay for a refused caller, with jitter."""
         base = max(self.blocked_seconds(), 0.5)
         return base * self._random.uniform(1.0, 2.0)
 
--- a/packages/claims/src/lagoonrun_claims/results.py
+++ b/packages/claims/src/lagoonrun_claims/results.py
@@ -1,4 +1,4 @@
-"""Ends of a try to claim an idempotency key."""
+"""Results of an attempt to claim an idempotency key."""
 
 import dataclasses
 
@@ -15,9 +15,9 @@
     ----------
     revision
         Store revision of the write that claimed the key.
-    send_before
-        Monotonic reading from which the request must no longer be sent,
-        since the store may have forgotten the claim; see `may_send`.
+    send_deadline
+        Monotonic time from which the request must no longer be sent, since
+        the claim may have expired in the store; see `Claims.may_send`.
     """
 
     record: claim_module.ClaimRecord
@@ -27,23 +27,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Won:
-    """The key is this attempt's: it may write the request once."""
+    """The attempt owns the key and may send the request once."""
 
     attempt: Attempt
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Taken:
-    """Another attempt has the key.
+    """Another attempt owns the key.
 
     Parameters
     ----------
     state
-        `CLAIMED` (not known whether it was sent) or `ENDED`.
+        `CLAIMED` (unknown whether its request was sent) or `ENDED`.
     outcome
-        How it ended, where the state is `ENDED`.
+        Its outcome if the state is `ENDED`.
     age_seconds
-        Since that attempt's claim, by two wall clocks: for people only.
+        Age of its claim by the wall clocks of two VMs; informative only.
     """
 
     state: claim_module.ClaimState
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BodyDiffers:
-    """Another attempt has the key for a different request."""
+    """Another attempt owns the key, for a different request."""
 
     entry_vm: types.EntryVmId
     request_id: types.RequestId
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unavailable:
-    """The claim could not be made sure of: the request must not be sent."""
+    """The claim could not be confirmed; the request must not be sent."""
 
     retry_after_seconds: float
     detail: str
--- a/packages/claims/src/lagoonrun_claims/retention.py
+++ b/packages/claims/src/lagoonrun_claims/retention.py
@@ -1,9 +1,9 @@
-"""Leases that delete claims after their retention time.
+"""Store leases that delete claims after their retention time.
 
-Claims share a lease: an entry VM asks for one per period and attaches all
-claims written in that period to it. The lease is never kept alive, so its
-claims go away `retention` to `retention + 2 * period` after their last write,
-without a sweep and without a call; a dead entry VM's claims do as well.
+Claims share leases: an entry VM requests one per period and attaches to it
+all claims written in that period. A lease is never renewed, so its claims
+expire `retention` to `retention + 2 * period` after their last write, without
+a sweep and without a call, also after the entry VM has crashed.
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetentionLease:
-    """A lease and the monotonic reading before it was asked for."""
+    """A lease and the monotonic time just before it was requested."""
 
     lease: store_module.LeaseId
     requested_at: float
 
 
 class Retention:
-    """Provides the lease for claims that are written now.
+    """Provides the lease to attach new claims to.
 
     Parameters
     ----------
     retention_seconds
-        Least time for which a claim outlives its last write.
+        Minimum time for which a claim is kept after its last write.
     period_seconds
-        How long one lease takes new claims; a lease that cannot be replaced
-        takes them for as long again.
+        How long a lease is used for new claims; one that cannot be replaced
+        is used for twice as long.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
     async def lease(self) -> RetentionLease | None:
         """Return a lease that keeps claims for the retention time, or None.
 
-        A lost reply leaves an empty lease in the store that ends by itself.
+        A lost reply leaves an unused lease in the store, which expires.
         """
         async with self._lock:
             if not self._younger_than(self._period_seconds):
@@ -64,7 +64,7 @@
             return None
 
     def discard(self, lease: RetentionLease) -> None:
-        """Stop using a lease that the store did not accept."""
+        """Stop using a lease that may no longer exist in the store."""
         if self._current == lease:
             self._current = None
 
@@ -85,8 +85,8 @@
             )
         if not isinstance(result, store_module.LeaseGranted):
             return
-        # A shorter lease would forget a claim while a caller may still
-        # retry, and the retry would run a second time: it is not used.
+        # With a shorter lease a claim could expire while a caller may still
+        # retry, and the request would run twice: it is not used.
         if result.ttl_seconds < required_ttl_seconds:
             return
         self._current = RetentionLease(
--- a/packages/claims/tests/conftest.py
+++ b/packages/claims/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a fake store and claims of several entry VMs."""
+"""Shared fixtures: an in-memory store and claims of several entry VMs."""
 
 import asyncio
 import itertools
@@ -25,7 +25,7 @@
 
 @pytest_asyncio.fixture
 async def make_claims(store, clock):
-    """Return a function that starts the claims of one more entry VM."""
+    """Return a function that starts `Claims` for another entry VM."""
     started = []
     numbers = itertools.count(1)
 
@@ -34,7 +34,7 @@
 
     async def make(**options):
         number = next(numbers)
-        made = claims_module.Claims(
+        claims = claims_module.Claims(
             store=store,
             entry_vm=types.EntryVmId(f"vm-{number}"),
             clock=clock,
@@ -44,18 +44,18 @@
             sleep=yield_once,
             **options,
         )
-        await made.start()
-        started.append(made)
-        return made
+        await claims.start()
+        started.append(claims)
+        return claims
 
     yield make
-    for made in started:
-        await made.close()
+    for claims in started:
+        await claims.close()
 
 
 @pytest.fixture
 def arrive():
-    """Return a function that claims a key for a new arrival."""
+    """Return a function that claims a key for a new request."""
     numbers = itertools.count(1)
 
     async def claim(claims, key="k", body="b", organisation="house", **options):
--- a/packages/claims/tests/test_at_most_once.py
+++ b/packages/claims/tests/test_at_most_once.py
@@ -1,9 +1,9 @@
-"""State machine: several claimants of a few keys, every step held by hand.
+"""State machine test of concurrent claims with fully controlled scheduling.
 
-Each call to the store and each step of an ingress waits until a rule lets it
-go on, so any of them may be frozen for any time. The oracle is the receiver:
-it notes each execution of a key. Two executions of one key are allowed only
-when half the retention time lies between them.
+Each call to the store and each step of an ingress waits until a rule resumes
+it, so any of them may be paused for any time. The oracle is the receiver,
+which records each execution of a key. Two executions of one key are allowed
+only if at least half the retention time lies between them.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 from lagoonrun_platform import store as store_module
 
 RETENTION_SECONDS = 24 * 3600.0
-HOUSE = types.OrganisationId("house")
+ORGANISATION = types.OrganisationId("house")
 KEYS = ("a",)
 VMS = range(2)
 _ANY_VM = strategies.sampled_from(VMS)
-_LOST = store_module.Unknown(detail="reply lost")
-_DOWN = store_module.Unreachable(detail="outage")
+_REPLY_LOST = store_module.Unknown(detail="reply lost")
+_UNREACHABLE = store_module.Unreachable(detail="outage")
 _ANY_KEY = strategies.sampled_from(KEYS)
 _JUMPS_SECONDS = (0.5, 70.0, 70.0, 9000.0, 90000.0)
 _ANY_ACTION = strategies.sampled_from(
@@ -49,23 +49,23 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class _Held:
-    """A step that waits: a call to the store, or a pause of an ingress."""
+class _PausedStep:
+    """A paused step: a call to the store, or a step of an ingress."""
 
     vm: int
     apply: object = None
     writes: bool = False
     checked: bool = False
-    go_on: asyncio.Future = dataclasses.field(
+    reply: asyncio.Future = dataclasses.field(
         default_factory=lambda: asyncio.get_event_loop().create_future()
     )
 
 
-class _HeldStore:
-    """One entry VM's way to the store: each call waits in `held`."""
+class _PausingStore:
+    """One entry VM's store connection; calls wait in `paused_steps`."""
 
-    def __init__(self, *, inner, vm, held):
-        self._inner, self._vm, self._held = inner, vm, held
+    def __init__(self, *, inner, vm, paused_steps):
+        self._inner, self._vm, self._paused_steps = inner, vm, paused_steps
         self.alive = True
 
     def __getattr__(self, name):
@@ -75,14 +75,14 @@
         apply = functools.partial(
             getattr(self._inner, name), *arguments, **options
         )
-        held = _Held(vm=self._vm, apply=apply, writes=name != "get")
+        step = _PausedStep(vm=self._vm, apply=apply, writes=name != "get")
         if self.alive:
-            self._held.append(held)
-        return await held.go_on
+            self._paused_steps.append(step)
+        return await step.reply
 
 
 class _AtMostOnce(stateful.RuleBasedStateMachine):
-    """Real `Claims` on three entry VMs over one store."""
+    """Real `Claims` of several entry VMs over one store."""
 
     claims_type = claims_module.Claims
     checks_usable = True
@@ -93,22 +93,24 @@
         asyncio.set_event_loop(self.loop)
         self.clock = clock_module.ManualClock()
         self.store = memory_store.MemoryStore(clock=self.clock)
-        self.held, self.late, self.tasks, self.dead = [], [], [], []
-        self.killed, self.numbers = False, 0
-        self.claims_by_vm, self.way_by_vm = {}, {}
-        self.asked_key_by_request, self.ended_by_request = {}, {}
+        self.paused_steps, self.late, self.tasks, self.dead = [], [], [], []
+        self.killed, self.count = False, 0
+        self.claims_by_vm, self.store_by_vm = {}, {}
+        self.key_by_request, self.ended_by_request = {}, {}
         self.sent_by_key = {key: [] for key in KEYS}
         for vm in VMS:
             self.boot(vm)
 
     def boot(self, vm):
-        self.numbers += 1
-        self.way_by_vm[vm] = _HeldStore(inner=self.store, vm=vm, held=self.held)
+        self.count += 1
+        self.store_by_vm[vm] = _PausingStore(
+            inner=self.store, vm=vm, paused_steps=self.paused_steps
+        )
         self.claims_by_vm[vm] = self.claims_type(
-            store=self.way_by_vm[vm],
+            store=self.store_by_vm[vm],
             entry_vm=types.EntryVmId(f"vm-{vm}"),
             clock=self.clock,
-            random=random.Random(self.numbers),
+            random=random.Random(self.count),
             retention_seconds=RETENTION_SECONDS,
             linger_seconds=0.0,
             sleep=lambda _: asyncio.sleep(0),
@@ -116,35 +118,35 @@
         self.run(self.claims_by_vm[vm].start())
 
     def run(self, work=None):
-        async def spin():
+        async def run_until_idle():
             result = await work if work is not None else None
             for _ in range(25):
                 await asyncio.sleep(0)
             return result
 
-        return self.loop.run_until_complete(spin())
+        return self.loop.run_until_complete(run_until_idle())
 
     async def pause(self, vm, *, checked=False):
-        held = _Held(vm=vm, checked=checked)
-        self.held.append(held)
+        step = _PausedStep(vm=vm, checked=checked)
+        self.paused_steps.append(step)
         try:
-            return await held.go_on
+            return await step.reply
         finally:
-            if held in self.held:
-                self.held.remove(held)
+            if step in self.paused_steps:
+                self.paused_steps.remove(step)
 
     async def ingress(self, vm, key, request):
-        """Serve one arrival as an ingress does."""
+        """Serve one request as an ingress does."""
         claims = self.claims_by_vm[vm]
         result = await claims.claim(
-            organisation=HOUSE,
+            organisation=ORGANISATION,
             key=key,
             request_id=request,
             body_digest="b",
             deadline_seconds=60.0,
         )
         if isinstance(result, claims_module.Taken):
-            self.check_truth(key, result)
+            self.check_result(key, result)
         if not isinstance(result, claims_module.Won):
             return
         sent = False
@@ -172,52 +174,52 @@
         if len(sent) > 1:
             assert sent[-1] - sent[-2] >= RETENTION_SECONDS / 2, "ran twice"
 
-    def check_truth(self, key, taken):
-        assert self.asked_key_by_request[taken.request_id] == key
+    def check_result(self, key, taken):
+        assert self.key_by_request[taken.request_id] == key
         if taken.state is claim_module.ClaimState.ENDED:
             assert self.ended_by_request[taken.request_id] is taken.outcome
         else:
             assert taken.state is claim_module.ClaimState.CLAIMED
 
-    def finish(self, held, reply):
-        if held in self.held:
-            self.held.remove(held)
-        if not held.go_on.done():
-            held.go_on.set_result(reply)
+    def finish(self, step, reply):
+        if step in self.paused_steps:
+            self.paused_steps.remove(step)
+        if not step.reply.done():
+            step.reply.set_result(reply)
         self.run()
         for task in self.tasks:
             if task.done() and not task.cancelled() and task.exception():
                 raise task.exception()
 
-    def go_on(self, *, vm, until=lambda held: False):
-        """Let one entry VM go on until what it waits in is `until`."""
-        while waiting := [held for held in self.held if held.vm == vm]:
-            held = waiting[0]
-            if until(held):
+    def resume(self, *, vm, until=lambda step: False):
+        """Resume the steps of one entry VM until `until` holds for one."""
+        while waiting := [step for step in self.paused_steps if step.vm == vm]:
+            step = waiting[0]
+            if until(step):
                 return
-            reply = self.run(held.apply()) if held.apply else True
-            self.finish(held, reply)
+            reply = self.run(step.apply()) if step.apply else True
+            self.finish(step, reply)
 
     def pick(self, data, *, calls, vm=None):
         chosen = [
-            held
-            for held in self.held
-            if calls == bool(held.apply) and vm in (None, held.vm)
+            step
+            for step in self.paused_steps
+            if calls == bool(step.apply) and vm in (None, step.vm)
         ]
         return data.draw(strategies.sampled_from(chosen)) if chosen else None
 
     @stateful.rule(data=strategies.data(), action=_ANY_ACTION)
     def act(self, data, action):
-        """Take one step; a single rule keeps all kinds in each run."""
+        """Do one action; a single rule keeps every kind in each run."""
         getattr(self, action)(data)
 
     def arrive(self, data):
         self.serve(vm=data.draw(_ANY_VM), key=data.draw(_ANY_KEY))
 
     def serve(self, *, vm, key):
-        self.numbers += 1
-        request = types.RequestId(f"r{self.numbers}")
-        self.asked_key_by_request[request] = key
+        self.count += 1
+        request = types.RequestId(f"r{self.count}")
+        self.key_by_request[request] = key
         task = self.loop.create_task(self.ingress(vm, key, request))
         task.vm = vm
         self.tasks.append(task)
@@ -226,35 +228,35 @@
     def answer_calls(self, data):
         vm = data.draw(_ANY_VM)
         for _ in range(data.draw(strategies.integers(1, 6))):
-            held = self.pick(data, calls=True, vm=vm)
-            if held is not None:
-                self.finish(held, self.run(held.apply()))
+            step = self.pick(data, calls=True, vm=vm)
+            if step is not None:
+                self.finish(step, self.run(step.apply()))
 
     def resume_ingress(self, data):
-        held = self.pick(data, calls=False)
-        if held is not None:
-            self.finish(held, True)
+        step = self.pick(data, calls=False)
+        if step is not None:
+            self.finish(step, True)
 
     def fail_to_connect(self, data):
-        held = self.pick(data, calls=False)
-        if held is not None:
-            self.finish(held, False)
+        step = self.pick(data, calls=False)
+        if step is not None:
+            self.finish(step, False)
 
     def lose_reply(self, data):
-        held = self.pick(data, calls=True)
-        if held is None or not held.writes:
+        step = self.pick(data, calls=True)
+        if step is None or not step.writes:
             return
         applied = data.draw(strategies.sampled_from(["now", "later", "never"]))
         if applied == "now":
-            self.run(held.apply())
+            self.run(step.apply())
         elif applied == "later":
-            self.late.append(held.apply)
-        self.finish(held, _LOST)
+            self.late.append(step.apply)
+        self.finish(step, _REPLY_LOST)
 
     def fail_call(self, data):
-        held = self.pick(data, calls=True)
-        if held is not None:
-            self.finish(held, _DOWN)
+        step = self.pick(data, calls=True)
+        if step is not None:
+            self.finish(step, _UNREACHABLE)
 
     def apply_late(self, data):
         if self.late:
@@ -269,30 +271,32 @@
             self.run()
 
     def kill(self, data):
-        """End a process without a last word; its calls may still arrive."""
+        """Crash a process; its calls may still reach the store."""
         vm = data.draw(_ANY_VM)
         self.killed = True
-        self.way_by_vm[vm].alive = False
+        self.store_by_vm[vm].alive = False
         self.dead.extend(task for task in self.tasks if task.vm == vm)
         self.tasks = [task for task in self.tasks if task.vm != vm]
-        lost = [held for held in self.held if held.vm == vm]
-        self.late.extend(held.apply for held in lost if held.writes)
-        self.held[:] = [held for held in self.held if held.vm != vm]
+        lost = [step for step in self.paused_steps if step.vm == vm]
+        self.late.extend(step.apply for step in lost if step.writes)
+        self.paused_steps[:] = [
+            step for step in self.paused_steps if step.vm != vm
+        ]
         self.boot(vm)
 
     def advance(self, data):
         seconds = data.draw(strategies.sampled_from(_JUMPS_SECONDS))
-        # Not proved: an ingress frozen for half the retention time between
-        # its last check and its write, and a call under way for as long.
+        # Out of scope: an ingress paused for half the retention time between
+        # its last check and its send, and a call in transit for as long.
         if seconds > 9000.0:
-            if any(held.checked for held in self.held):
+            if any(step.checked for step in self.paused_steps):
                 return
             self.late.clear()
         self.clock.advance(seconds)
         self.run()
 
     def teardown(self):
-        """Without a kill, a key that never ran is usable in the end."""
+        """Check that a key that never ran is usable, unless a VM crashed."""
         try:
             if self.checks_usable and not self.killed:
                 self.finish_all()
@@ -301,8 +305,8 @@
             self.end_loop()
 
     def end_loop(self):
-        for way in self.way_by_vm.values():
-            way.alive = False
+        for store in self.store_by_vm.values():
+            store.alive = False
         while tasks := asyncio.all_tasks(self.loop):
             for task in tasks:
                 task.cancel()
@@ -311,53 +315,53 @@
 
     def finish_all(self):
         for _ in range(400):
-            if not self.held:
+            if not self.paused_steps:
                 self.clock.advance(10.0)
                 self.run()
-                if not self.held:
+                if not self.paused_steps:
                     return
-            held = self.held[0]
-            reply = self.run(held.apply()) if held.apply else False
-            self.finish(held, reply)
-        raise AssertionError("claims never come to rest")
+            step = self.paused_steps[0]
+            reply = self.run(step.apply()) if step.apply else False
+            self.finish(step, reply)
+        raise AssertionError("claims do not finish")
 
     def check_usable_keys(self):
         unused = [key for key in KEYS if not self.sent_by_key[key]]
         for key in unused:
             self.serve(vm=0, key=key)
             while not self.tasks[-1].done():
-                held = self.held[0]
-                reply = self.run(held.apply()) if held.apply else True
-                self.finish(held, reply)
-            assert self.sent_by_key[key], f"key {key} is held by nobody"
+                step = self.paused_steps[0]
+                reply = self.run(step.apply()) if step.apply else True
+                self.finish(step, reply)
+            assert self.sent_by_key[key], f"key {key} is still claimed"
 
 
 class _TakeoverByTimeout(claims_module.Claims):
-    """Naive: takes a claim over when it has not ended for a minute."""
+    """Naive: takes over a claim that has not ended for a minute."""
 
-    def _interpret(self, progress, found):
-        result = super()._interpret(progress, found)
+    def _interpret(self, claiming, found):
+        result = super()._interpret(claiming, found)
         if not isinstance(result, claims_module.Taken):
             return result
         if result.state is not claim_module.ClaimState.CLAIMED:
             return result
         if result.age_seconds <= 60.0:
             return result
-        progress.expected = found.modified
+        claiming.expected = found.modified
         return None
 
 
 class _CheckThenPut(claims_module.Claims):
-    """Naive: reads the key and then writes it without a comparison."""
+    """Naive: reads the key, then writes it without a comparison."""
 
-    async def _decide(self, progress, deadline):
-        write = progress.write()
+    async def _decide(self, claiming, deadline):
+        write = claiming.write()
         item = await self._group._store.get(write.key)
         if getattr(item, "found", None) is None:
             put = store_module.Put(key=write.key, value=write.value)
             await self._group._store.transact(comparisons=(), puts=[put])
-            return self._won(progress, store_module.ABSENT)
-        return self._interpret(progress, item.found) or self._unavailable("")
+            return self._won(claiming, store_module.ABSENT)
+        return self._interpret(claiming, item.found) or self._unavailable("")
 
 
 def _machine(claims_type, *, checks_usable):
@@ -371,65 +375,65 @@
 
 
 def test_no_key_runs_twice():
-    """A spill warning goes out twice, or a caller is told an untruth.
+    """No request runs twice, and no caller gets a false result.
 
-    Entry VMs are frozen at any step, killed, retried at; replies of the
-    store are lost, writes arrive late, and the store goes away.
+    Entry VMs are paused at any step and crash, callers retry, replies of the
+    store are lost, writes arrive late, and the store is unreachable.
     """
     _run(claims_module.Claims)
 
 
 @contextlib.contextmanager
-def _torn_down(machine):
+def _teardown(machine):
     try:
         yield
     finally:
         machine.teardown()
 
 
-def _freeze_before_sending(machine):
-    """Freeze the first ingress right before it sends, for a minute."""
+def _pause_before_sending(machine):
+    """Pause the first ingress right before it sends, for a minute."""
     machine.serve(vm=0, key=KEYS[0])
-    machine.go_on(vm=0, until=lambda held: held.checked)
+    machine.resume(vm=0, until=lambda step: step.checked)
     machine.clock.advance(61.0)
     machine.serve(vm=1, key=KEYS[0])
-    machine.go_on(vm=1)
-    machine.go_on(vm=0)
+    machine.resume(vm=1)
+    machine.resume(vm=0)
 
 
-def _ask_at_two_at_once(machine):
-    """Bring both ingresses to their write before either is applied."""
+def _claim_concurrently(machine):
+    """Let both ingresses reach their write before either is applied."""
     for vm in (0, 1):
         machine.serve(vm=vm, key=KEYS[0])
-        machine.go_on(vm=vm, until=_is_transaction)
-    machine.go_on(vm=0)
-    machine.go_on(vm=1)
+        machine.resume(vm=vm, until=_is_transaction)
+    machine.resume(vm=0)
+    machine.resume(vm=1)
 
 
-def _is_transaction(held):
-    return held.apply is not None and held.apply.func.__name__ == "transact"
+def _is_transaction(step):
+    return step.apply is not None and step.apply.func.__name__ == "transact"
 
 
 @pytest.mark.parametrize(
     ("naive", "story"),
     [
-        (_TakeoverByTimeout, _freeze_before_sending),
-        (_CheckThenPut, _ask_at_two_at_once),
+        (_TakeoverByTimeout, _pause_before_sending),
+        (_CheckThenPut, _claim_concurrently),
     ],
 )
-def test_the_oracle_catches_a_naive_version(naive, story):
-    """A caller asks with one key at two entry VMs, and both send.
+def test_oracle_detects_a_naive_version(naive, story):
+    """Two entry VMs get requests with one key, and a naive version sends both.
 
-    Either the second takes the claim of a frozen first for abandoned, or
-    both look before either has written. The claims as they are send once.
+    Either the second takes over the claim of the first, which is paused, or
+    both read before either has written. `Claims` sends only once.
     """
     machine = _machine(naive, checks_usable=False)()
     with (
-        _torn_down(machine),
+        _teardown(machine),
         pytest.raises(AssertionError, match="ran twice"),
     ):
         story(machine)
     machine = _machine(claims_module.Claims, checks_usable=False)()
-    with _torn_down(machine):
+    with _teardown(machine):
         story(machine)
         assert len(machine.sent_by_key[KEYS[0]]) == 1
--- a/packages/claims/tests/test_claim.py
+++ b/packages/claims/tests/test_claim.py
@@ -1,4 +1,4 @@
-"""Keys, digests and encoding of a claim."""
+"""Store keys, digests and encoding of claims."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
     one=strategies.tuples(strategies.text(), strategies.text(min_size=1)),
     other=strategies.tuples(strategies.text(), strategies.text(min_size=1)),
 )
-def test_different_owners_and_keys_are_different_store_keys(one, other):
+def test_store_keys_are_unique_per_organisation_and_key(one, other):
     hypothesis.assume(len(one[1].encode()) < 200 > len(other[1].encode()))
     found = []
     for organisation, key in (one, other):
@@ -34,7 +34,7 @@
     assert (found[0] == found[1]) == (one == other)
 
 
-def test_the_key_text_is_not_in_the_store():
+def test_key_text_is_not_stored():
     key = "order-17-of-the-archive"
     digest = claim_module.digest_key(types.OrganisationId("house"), key)
     record = dataclasses.replace(_RECORD, key_digest=digest)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("key", ["", "k" * 256, "é" * 128])
-def test_a_key_out_of_bounds_is_refused(key):
+def test_key_with_an_invalid_length_is_refused(key):
     with pytest.raises(errors.LagoonrunError, match="valid: 1 to 255"):
         claim_module.digest_key(types.OrganisationId("house"), key)
 
@@ -56,7 +56,7 @@
         (claim_module.ClaimState.ENDED, outcomes.Outcome.PARTIAL),
     ],
 )
-def test_a_record_is_read_back_as_it_was_written(state, outcome):
+def test_record_survives_encoding(state, outcome):
     record = dataclasses.replace(_RECORD, state=state, outcome=outcome)
     assert claim_module.decode(claim_module.encode(record)) == record
 
@@ -64,6 +64,6 @@
 @pytest.mark.parametrize(
     "value", [b"", b"[]", b"{}", b'{"version":2}', b'{"version":1}', b"\xff"]
 )
-def test_an_unreadable_record_is_an_error(value):
+def test_unreadable_record_is_an_error(value):
     with pytest.raises(errors.LagoonrunError, match="record unreadable"):
         claim_module.decode(value)
--- a/packages/claims/tests/test_claims.py
+++ b/packages/claims/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims under failures, one story each."""
+"""Claims under failures, one scenario per test."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
     raise AssertionError("condition did not come true")
 
 
-async def test_the_second_arrival_learns_of_the_first(
+async def test_second_arrival_gets_the_state_of_the_first(
     make_claims, arrive, clock
 ):
     first, second = await make_claims(), await make_claims()
@@ -42,10 +42,10 @@
     assert (taken.state, taken.outcome) == (ENDED, outcomes.Outcome.PARTIAL)
 
 
-async def test_two_entry_vms_at_once_have_one_winner(make_claims, arrive):
-    """A balancer sends a caller's retry to another entry VM at once.
+async def test_concurrent_claims_have_one_winner(make_claims, arrive):
+    """A load balancer sends a caller's retry to another entry VM.
 
-    Both ingresses claim in the same moment; exactly one may send.
+    Both ingresses claim the key at the same time; exactly one may send.
     """
     vms = [await make_claims() for _ in range(4)]
     results = await asyncio.gather(*(arrive(vm) for vm in vms * 3))
@@ -54,7 +54,9 @@
     assert sum(isinstance(r, claims_module.Taken) for r in results) == 11
 
 
-async def test_keys_of_two_organisations_are_two_claims(make_claims, arrive):
+async def test_equal_keys_of_two_organisations_are_separate_claims(
+    make_claims, arrive
+):
     claims = await make_claims()
     one = await arrive(claims, organisation="house")
     other = await arrive(claims, organisation="rival")
@@ -62,18 +64,20 @@
     assert isinstance(other, claims_module.Won)
 
 
-async def test_another_body_under_the_key_is_told(make_claims, arrive):
+async def test_different_body_under_the_same_key_is_reported(
+    make_claims, arrive
+):
     claims = await make_claims()
     await arrive(claims, body="b")
     other = await arrive(claims, body="c")
     assert isinstance(other, claims_module.BodyDiffers)
 
 
-async def test_a_lost_reply_is_read_back(make_claims, arrive, store):
-    """The caller waits for a warning that nobody else has asked for.
+async def test_claim_with_a_lost_reply_is_won(make_claims, arrive, store):
+    """The store applies a claim, but its reply is lost.
 
-    The store applies the claim and its reply is lost. Taken for a failure,
-    the key would be held by an attempt that never sends.
+    If that counted as a failure, the key would be held by an attempt that
+    never sends.
     """
     claims = await make_claims()
     store.lost_replies = 1
@@ -83,20 +87,20 @@
     assert store.lost_replies == 0
 
 
-async def test_a_lost_request_is_sent_again(make_claims, arrive, store):
+async def test_lost_request_is_sent_again(make_claims, arrive, store):
     claims = await make_claims()
     await arrive(claims, key="first")
     store.lost_requests = 1
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_an_outage_after_the_claim_leaves_a_usable_key(
+async def test_outage_after_the_claim_leaves_a_usable_key(
     make_claims, arrive, store, clock
 ):
-    """A caller is told "not run, come back", comes back and is let through.
+    """A caller that got "not run" can retry once the store is back.
 
-    The claim was applied, its reply lost, and the store went away before it
-    could be read back. When it returns, the abandoned claim is released.
+    The claim was applied and its reply lost, and the store failed before the
+    claim could be read back. Afterwards the abandoned claim is released.
     """
     claims = await make_claims()
     await arrive(claims, key="first")
@@ -115,37 +119,37 @@
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_a_claim_applied_after_its_release_is_refused(
+async def test_claim_that_arrives_after_its_release_is_rejected(
     make_claims, arrive, store, clock
 ):
-    """A key seems free, and an hour later it is held by nobody.
+    """A delayed claim reaches the store after its release.
 
-    The claim hung on its way to the store, its caller was told "not run",
-    the release found no record, and only then did the claim arrive. The
-    release therefore leaves a record, which the late claim runs into.
+    Its caller got "not run" in the meantime. If the release left no record
+    where it finds none, the late claim would be applied and the key held by
+    an attempt that never sends.
     """
     claims = await make_claims(write_timeout_seconds=0.01)
     await arrive(claims, key="first")
     transact = store.transact
-    hanging = []
+    delayed = []
 
-    async def hang(**options):
+    async def delay(**options):
         store.transact = transact
-        hanging.append(options)
+        delayed.append(options)
         await asyncio.Event().wait()
 
-    store.transact = hang
+    store.transact = delay
     waiting = asyncio.create_task(arrive(claims))
-    await _until(lambda: hanging)
+    await _until(lambda: delayed)
     waiting.cancel()
     await asyncio.wait([waiting])
     await _until(lambda: claims.pending == 0)
-    late = await transact(**hanging[0])
+    late = await transact(**delayed[0])
     assert isinstance(late, store_module.Rejected)
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_a_released_key_goes_to_the_next(make_claims, arrive):
+async def test_released_key_can_be_claimed_again(make_claims, arrive):
     first, second = await make_claims(), await make_claims()
     won = await arrive(first)
     status = await first.release(won.attempt)
@@ -154,7 +158,7 @@
     assert isinstance(await arrive(second, body="new"), claims_module.Won)
 
 
-async def test_an_attempt_ends_once(make_claims, arrive):
+async def test_attempt_ends_only_once(make_claims, arrive):
     claims = await make_claims()
     won = await arrive(claims)
     with pytest.raises(ValueError, match="valid: release"):
@@ -164,23 +168,27 @@
         await claims.release(won.attempt)
 
 
-async def test_a_dead_claimant_is_never_taken_over(make_claims, arrive, clock):
-    """A spill warning is sent twice, hours apart.
+async def test_claim_of_a_paused_claimant_is_never_taken_over(
+    make_claims, arrive, clock
+):
+    """An ingress is paused between its claim and its send, for hours.
 
-    An ingress froze between its claim and its write; a retry took the old
-    claim for dead and ran, and the frozen one woke and wrote as well.
+    If a retry took over the old claim, the request would run twice: once for
+    the retry, and once when the paused ingress resumes.
     """
-    frozen, other = await make_claims(), await make_claims()
-    won = await arrive(frozen)
+    paused, other = await make_claims(), await make_claims()
+    won = await arrive(paused)
     clock.advance(DAY_SECONDS * 0.49)
     assert (await arrive(other)).state is CLAIMED
-    assert frozen.may_send(won.attempt)
+    assert paused.may_send(won.attempt)
     clock.advance(DAY_SECONDS * 0.02)
-    assert not frozen.may_send(won.attempt)
+    assert not paused.may_send(won.attempt)
     assert (await arrive(other)).state is CLAIMED
 
 
-async def test_claims_go_away_after_the_retention(make_claims, arrive, clock):
+async def test_claims_expire_after_the_retention_time(
+    make_claims, arrive, clock
+):
     first, second = await make_claims(), await make_claims()
     won = await arrive(first)
     clock.advance(DAY_SECONDS - 1.0)
@@ -192,13 +200,13 @@
     assert isinstance(await arrive(second), claims_module.Won)
 
 
-async def test_a_lost_lease_does_not_lose_a_release(
+async def test_lost_lease_does_not_lose_a_release(
     make_claims, arrive, store, clock
 ):
-    """A key stays claimed for a day although its request never left.
+    """The lease of newer claims is revoked before a release.
 
-    The lease of later claims was revoked, and the store's refusal was taken
-    for a record that is gone, so the release was thought needless.
+    If the store's rejection were taken for a missing record, the release
+    would be skipped and the key stay claimed for a day unused.
     """
     claims = await make_claims()
     won = await arrive(claims)
@@ -210,10 +218,12 @@
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_an_outage_is_not_hammered(make_claims, arrive, store, clock):
-    """The store comes back and is called by everything that waited.
+async def test_store_is_not_called_repeatedly_during_an_outage(
+    make_claims, arrive, store, clock
+):
+    """Arrivals during an outage are refused without a store call each.
 
-    In an outage each arrival is refused without a call of its own.
+    Otherwise a recovering store would be overloaded by calls.
     """
     claims = await make_claims()
     await arrive(claims, key="first")
@@ -228,7 +238,7 @@
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_a_deadline_ends_the_wait_for_a_slow_store(
+async def test_deadline_ends_the_wait_for_a_slow_store(
     make_claims, arrive, store
 ):
     claims = await make_claims()
@@ -242,16 +252,14 @@
     assert isinstance(await arrive(claims), claims_module.Won)
 
 
-async def test_an_unreadable_record_is_not_taken_over(
-    make_claims, arrive, store
-):
+async def test_unreadable_record_is_not_taken_over(make_claims, arrive, store):
     claims = await make_claims()
     won = await arrive(claims)
     record = won.attempt.record
     key = claim_module.store_key(record.organisation, record.key_digest)
     found = (await store.get(key)).found
     await store.transact(
-        comparisons=[_at(found)], puts=[_put(key, b'{"version":9}')]
+        comparisons=[_comparison(found)], puts=[_put(key, b'{"version":9}')]
     )
     refused = await arrive(claims)
     assert isinstance(refused, claims_module.Unavailable)
@@ -260,7 +268,7 @@
     assert (await store.get(key)).found.value == b'{"version":9}'
 
 
-def _at(found):
+def _comparison(found):
     return store_module.Comparison(key=found.key, modified=found.modified)
 
 
@@ -269,13 +277,13 @@
 
 
 @pytest.mark.parametrize("name", ["transact", "grant_lease"])
-async def test_a_fault_of_the_adapter_does_not_end_the_claims(
+async def test_fault_of_the_adapter_does_not_stop_claims(
     make_claims, arrive, store, clock, monkeypatch, name
 ):
-    """Every request with a key is refused until the entry VM is replaced.
+    """The store's client raises once, on a reply that it cannot parse.
 
-    The store's client failed once on an answer that it could not read, and
-    the task that writes claims ended with it.
+    If the task that writes claims ended with it, every request with a key
+    would be refused until the entry VM is restarted.
     """
     claims = await make_claims()
 
