--- a/packages/claims/src/lagoonrun_claims/__init__.py
+++ b/packages/claims/src/lagoonrun_claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of idempotency keys: at most once across entry VMs."""
+"""At-most-once claims of idempotency keys across entry VMs."""
--- a/packages/claims/src/lagoonrun_claims/claims.py
+++ b/packages/claims/src/lagoonrun_claims/claims.py
@@ -156,17 +156,17 @@
             claimed_wall=self._clock.wall(),
         )
         started = self._clock.monotonic()
-        claiming = _Claiming(record=record, started_at=started)
+        progress = _ClaimProgress(record=record, started_at=started)
         won = False
         try:
-            result = await self._decide(claiming, started + deadline_seconds)
+            result = await self._decide(progress, started + deadline_seconds)
             won = isinstance(result, Won)
         finally:
             # The caller gets "not run" or has disconnected. A write with an
             # unknown result would hold the key for no use, and may still be
             # applied later. The release replaces it or precedes it.
-            if not won and claiming.may_be_written:
-                self._final_state_writer.add(claiming.release())
+            if not won and progress.may_be_written:
+                self._final_state_writer.add(progress.release())
         _log(record, result)
         return result
 
@@ -240,23 +240,23 @@
         )
 
     async def _decide(
-        self, claiming: "_Claiming", deadline: float
+        self, progress: "_ClaimProgress", deadline: float
     ) -> ClaimResult:
         detail = "contended"
         for _ in range(_MAXIMUM_TRIES):
-            result = await self._write(claiming, deadline)
+            result = await self._write(progress, deadline)
             match result:
                 case group_commit_module.Written():
-                    return self._won(claiming, result.revision)
+                    return self._won(progress, result.revision)
                 case group_commit_module.Conflict(found=found):
-                    decision = self._interpret(claiming, found)
+                    decision = self._interpret(progress, found)
                     if decision is not None:
                         return decision
                 case group_commit_module.Indeterminate(detail=why):
                     # The same write is sent again: its result shows whether
                     # the first was applied, as only one of them can succeed.
                     # A read could find no key before the first is applied.
-                    claiming.may_be_written = True
+                    progress.may_be_written = True
                     detail = why
                 case group_commit_module.NotWritten(detail=why):
                     detail = why
@@ -270,47 +270,47 @@
         )
 
     async def _write(
-        self, claiming: "_Claiming", deadline: float
+        self, progress: "_ClaimProgress", deadline: float
     ) -> group_commit_module.WriteResult:
         left = deadline - self._clock.monotonic()
         if left <= 0:
             return group_commit_module.NotWritten(detail="deadline passed")
-        pending_write = self._group.submit(claiming.write())
+        pending_write = self._group.submit(progress.write())
         try:
             done, _ = await asyncio.wait([pending_write.result], timeout=left)
         except asyncio.CancelledError:
             if not pending_write.withdraw():
-                claiming.may_be_written = True
+                progress.may_be_written = True
             raise
         if done:
             return pending_write.result.result()
         if not pending_write.withdraw():
-            claiming.may_be_written = True
+            progress.may_be_written = True
         return group_commit_module.NotWritten(detail="deadline passed")
 
     def _interpret(
-        self, claiming: "_Claiming", found: store_module.KeyValue | None
+        self, progress: "_ClaimProgress", found: store_module.KeyValue | None
     ) -> ClaimResult | None:
         """Return the result that a stored record implies.
 
         None if the claim should be tried again, expecting that record.
         """
         if found is None:
-            claiming.expected = store_module.ABSENT
+            progress.expected = store_module.ABSENT
             return None
         try:
             record = claim_module.decode(found.value)
         except errors.LagoonrunError as error:
             return self._unavailable(error.detail)
-        if record.attempt == claiming.record.attempt:
-            return self._won(claiming, found.modified)
+        if record.attempt == progress.record.attempt:
+            return self._won(progress, found.modified)
         # Another attempt's record: any indeterminate write of this attempt
         # expected an older revision of the key and can no longer be applied.
-        claiming.may_be_written = False
+        progress.may_be_written = False
         if record.state is claim_module.ClaimState.RELEASED:
-            claiming.expected = found.modified
+            progress.expected = found.modified
             return None
-        if record.body_digest != claiming.record.body_digest:
+        if record.body_digest != progress.record.body_digest:
             return BodyDiffers(
                 entry_vm=record.entry_vm, request_id=record.request_id
             )
@@ -324,21 +324,21 @@
 
     def _won(
         self,
-        claiming: "_Claiming",
+        progress: "_ClaimProgress",
         revision: store_module.StoreRevision,
     ) -> Won:
-        self._open_attempts.add(claiming.record.attempt)
+        self._open_attempts.add(progress.record.attempt)
         return Won(
             attempt=Attempt(
-                record=claiming.record,
+                record=progress.record,
                 revision=revision,
-                send_deadline=claiming.started_at + self._send_window_seconds,
+                send_deadline=progress.started_at + self._send_window_seconds,
             )
         )
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Claiming:
+class _ClaimProgress:
     """Progress of one attempt to claim a key.
 
     Attributes
--- a/packages/claims/tests/test_at_most_once.py
+++ b/packages/claims/tests/test_at_most_once.py
@@ -36,7 +36,7 @@
 _ANY_ACTION = strategies.sampled_from(
     ("arrive", "answer_calls", "resume_ingress") * 4
     + ("advance", "lose_reply") * 2
-    + ("fail_to_connect", "fail_call", "apply_late", "caller_leaves", "kill")
+    + ("fail_to_connect", "fail_call", "apply_late", "cancel_request", "crash")
 )
 _SETTINGS = hypothesis.settings(
     derandomize=True,
@@ -94,7 +94,7 @@
         self.clock = clock_module.ManualClock()
         self.store = memory_store.MemoryStore(clock=self.clock)
         self.paused_steps, self.late, self.tasks, self.dead = [], [], [], []
-        self.killed, self.count = False, 0
+        self.crashed, self.count = False, 0
         self.claims_by_vm, self.store_by_vm = {}, {}
         self.key_by_request, self.ended_by_request = {}, {}
         self.sent_by_key = {key: [] for key in KEYS}
@@ -264,16 +264,16 @@
             self.late.remove(chosen)
             self.run(chosen())
 
-    def caller_leaves(self, data):
+    def cancel_request(self, data):
         waiting = [task for task in self.tasks if not task.done()]
         if waiting:
             data.draw(strategies.sampled_from(waiting)).cancel()
             self.run()
 
-    def kill(self, data):
+    def crash(self, data):
         """Crash a process; its calls may still reach the store."""
         vm = data.draw(_ANY_VM)
-        self.killed = True
+        self.crashed = True
         self.store_by_vm[vm].alive = False
         self.dead.extend(task for task in self.tasks if task.vm == vm)
         self.tasks = [task for task in self.tasks if task.vm != vm]
@@ -298,7 +298,7 @@
     def teardown(self):
         """Check that a key that never ran is usable, unless a VM crashed."""
         try:
-            if self.checks_usable and not self.killed:
+            if self.checks_usable and not self.crashed:
                 self.finish_all()
                 self.check_usable_keys()
         finally:
@@ -339,29 +339,29 @@
 class _TakeoverByTimeout(claims_module.Claims):
     """Naive: takes over a claim that has not ended for a minute."""
 
-    def _interpret(self, claiming, found):
-        result = super()._interpret(claiming, found)
+    def _interpret(self, progress, found):
+        result = super()._interpret(progress, found)
         if not isinstance(result, claims_module.Taken):
             return result
         if result.state is not claim_module.ClaimState.CLAIMED:
             return result
         if result.age_seconds <= 60.0:
             return result
-        claiming.expected = found.modified
+        progress.expected = found.modified
         return None
 
 
 class _CheckThenPut(claims_module.Claims):
     """Naive: reads the key, then writes it without a comparison."""
 
-    async def _decide(self, claiming, deadline):
-        write = claiming.write()
+    async def _decide(self, progress, deadline):
+        write = progress.write()
         item = await self._group._store.get(write.key)
         if getattr(item, "found", None) is None:
             put = store_module.Put(key=write.key, value=write.value)
             await self._group._store.transact(comparisons=(), puts=[put])
-            return self._won(claiming, store_module.ABSENT)
-        return self._interpret(claiming, item.found) or self._unavailable("")
+            return self._won(progress, store_module.ABSENT)
+        return self._interpret(progress, item.found) or self._unavailable("")
 
 
 def _machine(claims_type, *, checks_usable):
@@ -415,13 +415,13 @@
 
 
 @pytest.mark.parametrize(
-    ("naive", "story"),
+    ("naive", "scenario"),
     [
         (_TakeoverByTimeout, _pause_before_sending),
         (_CheckThenPut, _claim_concurrently),
     ],
 )
-def test_oracle_detects_a_naive_version(naive, story):
+def test_oracle_detects_a_naive_version(naive, scenario):
     """Two entry VMs get requests with one key, and a naive version sends both.
 
     Either the second takes over the claim of the first, which is paused, or
@@ -432,8 +432,8 @@
         _teardown(machine),
         pytest.raises(AssertionError, match="ran twice"),
     ):
-        story(machine)
+        scenario(machine)
     machine = _machine(claims_module.Claims, checks_usable=False)()
     with _teardown(machine):
-        story(machine)
+        scenario(machine)
         assert len(machine.sent_by_key[KEYS[0]]) == 1
--- a/packages/policy/src/lagoonrun_policy/__init__.py
+++ b/packages/policy/src/lagoonrun_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure scheduling decisions: order of service, admission, choice of upstream."""
+"""Pure scheduling decisions: service order, admission, choice of upstream."""
--- a/packages/policy/src/lagoonrun_policy/floors.py
+++ b/packages/policy/src/lagoonrun_policy/floors.py
@@ -7,7 +7,7 @@
 credit are therefore limited to the same share of the slots, and at least one.
 
 Beyond its share a class is served early only if that cannot make a request of
-a higher tier miss its deadline: see `is_harmless`.
+a higher tier miss its deadline: see `keeps_higher_deadlines`.
 """
 
 import math
@@ -75,7 +75,7 @@
     return None
 
 
-def is_harmless(
+def keeps_higher_deadlines(
     state: class_state.ClassState,
     classes: Sequence[class_state.ClassState],
     *,
--- a/packages/policy/src/lagoonrun_policy/granting.py
+++ b/packages/policy/src/lagoonrun_policy/granting.py
@@ -108,7 +108,9 @@
         if class_due is not None:
             return class_due
         for state in passed_over:
-            if self._is_urgent(state, now) and self._is_harmless(state, now):
+            if self._is_urgent(state, now) and self._keeps_higher_deadlines(
+                state, now
+            ):
                 return state
         return None
 
@@ -124,8 +126,10 @@
             state.policy.limit_seconds - expected_service_seconds
         )
 
-    def _is_harmless(self, state: class_state.ClassState, now: float) -> bool:
-        return floors.is_harmless(
+    def _keeps_higher_deadlines(
+        self, state: class_state.ClassState, now: float
+    ) -> bool:
+        return floors.keeps_higher_deadlines(
             state,
             self._shard.classes,
             total_capacity=self._shard.pool.total_capacity(),
--- a/packages/policy/tests/test_floors.py
+++ b/packages/policy/tests/test_floors.py
@@ -214,7 +214,7 @@
 
 
 def test_harm_check_detects_an_unconditional_floor(drive, monkeypatch):
-    monkeypatch.setattr(floors, "is_harmless", lambda *_, **__: True)
+    monkeypatch.setattr(floors, "keeps_higher_deadlines", lambda *_, **__: True)
     runs = [_overload(drive, seed) for seed in range(8)]
     assert any(r.harmed for r in runs)
 
--- a/packages/policy/tests/test_runners.py
+++ b/packages/policy/tests/test_runners.py
@@ -231,12 +231,12 @@
     assert driver.upstream_by_key[other] != first_runner
 
 
-@pytest.mark.parametrize("houses", [1, 3])
-def test_prefix_memory_is_bounded_per_organisation(houses):
+@pytest.mark.parametrize("organisations", [1, 3])
+def test_prefix_memory_is_bounded_per_organisation(organisations):
     subject = affinity.PrefixAffinity()
     for number in range(2000):
         subject.record_served(
-            organisation=types.OrganisationId(f"o{number % houses}"),
+            organisation=types.OrganisationId(f"o{number % organisations}"),
             prefix=types.PrefixHash(number + 1),
             upstream=types.UpstreamId("r0"),
             now=0.0,
@@ -245,9 +245,9 @@
         number
         for number in range(2000)
         if subject.cache_likelihoods(
-            organisation=types.OrganisationId(f"o{number % houses}"),
+            organisation=types.OrganisationId(f"o{number % organisations}"),
             prefix=types.PrefixHash(number + 1),
             now=0.0,
         )
     ]
-    assert len(known) == 512 * houses
+    assert len(known) == 512 * organisations
--- a/packages/policy/tests/test_shard_ranking.py
+++ b/packages/policy/tests/test_shard_ranking.py
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "wait", "distance", "far_first"),
+    ("target", "wait", "distance", "other_region_first"),
     [
         (1.0, 0.5, 0.05, False),  # the same region meets the target
         (1.0, 5.0, 0.05, True),  # only the other region does
@@ -176,7 +176,7 @@
     ],
 )
 def test_free_shard_of_another_region_against_a_queue(
-    target, wait, distance, far_first
+    target, wait, distance, other_region_first
 ):
     nearby = shard_ranking.ShardView(
         shard="near", same_domain=False, wait_seconds=wait
@@ -194,7 +194,7 @@
         remaining_seconds=30.0,
         remaining_target_seconds=target,
     )
-    assert (order[0] == "far") is far_first
+    assert (order[0] == "far") is other_region_first
 
 
 def test_summary_has_free_slots_and_lowest_tiers(drive):
