--- a/packages/policy/tests/test_runners.py
+++ b/packages/policy/tests/test_runners.py
@@ -7,7 +7,7 @@
 from lagoonrun_core import outcomes, types
 from lagoonrun_policy import affinity, concurrency_limit, features, messages
 
-from .conftest import class_policy
+from .conftest import class_policy, shard_policy
 
 _FEATURES = features.Features(adaptive_room=False, straggler_penalty=False)
 _PROFILE = types.ProfileName("lookup")
@@ -119,6 +119,52 @@
     assert "r1" in _runners_used(driver, 8)
 
 
+def _reconfigure_leaving_runner(drive, *, with_digest):
+    """Return the runners granted after a revision with the leaving "r1"."""
+    lookup = class_policy("lookup", 1)
+    driver = drive(lookup, runners=1)
+    leaving = types.UpstreamId("r1")
+    driver.send(
+        messages.UpstreamChanged(
+            upstream=leaving, state=messages.UpstreamState.LEAVING
+        )
+    )
+    running = messages.InFlight(
+        key=messages.PermitKey(
+            request_id=types.RequestId("earlier"),
+            attempt_id=types.AttemptId(1),
+        ),
+        upstream=leaving,
+        profile=_PROFILE,
+        organisation=types.OrganisationId("house"),
+        running_seconds=1.0,
+        tokens=1,
+    )
+    if with_digest:
+        driver.send(
+            messages.InFlightDigest(
+                ingress=types.EntryVmId("vm0"), running=(running,), waiting=()
+            )
+        )
+    policy = shard_policy([lookup], runners=2)
+    driver.send(messages.PolicyChanged(policy=policy))
+    for _ in range(4):
+        driver.request("lookup")
+    return set(driver.upstream_by_key.values())
+
+
+def test_leaving_runner_stays_excluded_after_a_digest(drive):
+    """A digest registers a request at a leaving runner not yet configured.
+
+    The runner is then added as live, and gets requests from the next revision.
+    """
+    assert _reconfigure_leaving_runner(drive, with_digest=True) == {"r0"}
+
+
+def test_leaving_runner_stays_excluded_without_a_digest(drive):
+    assert _reconfigure_leaving_runner(drive, with_digest=False) == {"r0"}
+
+
 def test_straggler_gets_fewer_requests(drive):
     driver = drive(
         class_policy("lookup", 1),
