--- a/packages/protocol/src/lagoonrun_protocol/datagrams.py
+++ b/packages/protocol/src/lagoonrun_protocol/datagrams.py
@@ -1,11 +1,13 @@
-"""Authenticated datagrams of the membership, without any I/O.
+"""Authenticated datagrams of the membership protocol; performs no I/O.
 
-    version (1) | sender's length (1) | sender | incarnation (8) |
+A datagram has this layout, with the length of each field in bytes:
+
+    version (1) | length of sender (1) | sender | incarnation (8) |
     sequence (8) | tag (16) | body
 
-The tag is a keyed BLAKE2b over all the rest. Incarnation and sequence rise
-with each datagram of a sender, so that a replayed one is refused; a window
-lets datagrams that overtook each other pass once each.
+The tag is a keyed BLAKE2b hash of all other fields. The pair of incarnation
+and sequence number increases with each datagram of a sender, so that replayed
+datagrams are rejected. A sliding window accepts reordered datagrams once each.
 """
 
 import collections
@@ -16,30 +18,38 @@
 from lagoonrun_protocol import frames
 
 MAXIMUM_DATAGRAM_BYTES = 1200
-"""Fits an Ethernet frame through a tunnel, so that nothing is fragmented."""
+"""Fits into an Ethernet frame with tunnel headers, so is not fragmented."""
 
 OVERHEAD_BYTES = 34
-"""Bytes around the body, less the sender's name."""
+"""Length of all fields other than the sender's name and the body."""
 
 _VERSION = 1
 _PREFIX = struct.Struct(">BB")
-_STAMP = struct.Struct(">QQ")
+_SEQUENCE_HEADER = struct.Struct(">QQ")
 _PERSON = b"lagoonrun-dgram"
-_WINDOW = 64
-_MAXIMUM_SENDERS = 8192
+_WINDOW_BITS = 64
+_MAX_SENDERS = 8192
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Datagram:
-    """A datagram whose sender has proved the key."""
+    """A received datagram whose tag has been verified."""
 
     sender: types.EntryVmId
     body: bytes
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Stamps:
-    """Stamps already seen from one sender: the highest and a bit window."""
+class _ReplayWindow:
+    """Sequence numbers received from one sender.
+
+    Parameters
+    ----------
+    highest
+        Highest sequence number received in this incarnation.
+    seen
+        Bit n is set if sequence number `highest - n` was received.
+    """
 
     incarnation: int
     highest: int
@@ -47,16 +57,17 @@
 
 
 class DatagramSealer:
-    """Wrap bodies into stamped, tagged datagrams.
+    """Adds sequence numbers and authentication tags to datagrams.
 
     Parameters
     ----------
     key
         Shared secret.
     sender
-        This entry VM.
+        Name of this entry VM.
     incarnation
-        Of this process; higher than that of any earlier process of the name.
+        Incarnation of this process; higher than that of any earlier process
+        of the same name.
     """
 
     def __init__(
@@ -73,26 +84,29 @@
         self._sequence = 0
 
     def raise_incarnation(self, incarnation: types.Incarnation) -> None:
-        """Stamp datagrams with a higher incarnation from now on.
+        """Use a higher incarnation for all further datagrams.
 
-        A process whose predecessor had a clock that was ahead learns so from
-        others' news of itself. With its own lower incarnation its datagrams
-        would be taken for replays of the predecessor's time.
+        If the clock of the previous process of this name was ahead, its
+        incarnation is higher than this one's, and peers reject the datagrams
+        of this process as replays. The membership updates that peers send
+        about this entry VM contain the higher incarnation.
         """
         self._incarnation = max(self._incarnation, incarnation)
 
     def seal(self, body: bytes) -> bytes:
         """Return the datagram of `body`."""
         self._sequence += 1
-        stamp = _STAMP.pack(self._incarnation, self._sequence)
-        header = self._prefix + stamp
+        sequence_header = _SEQUENCE_HEADER.pack(
+            self._incarnation, self._sequence
+        )
+        header = self._prefix + sequence_header
         return (
-            header + frames.keyed_tag(self._key, _PERSON, header, body) + (body)
+            header + frames.keyed_tag(self._key, _PERSON, header, body) + body
         )
 
 
 class DatagramOpener:
-    """Check datagrams and refuse each one that was seen before.
+    """Verifies datagrams and rejects replayed ones.
 
     Parameters
     ----------
@@ -102,8 +116,8 @@
 
     def __init__(self, *, key: bytes) -> None:
         self._key = frames.normalised_key(key)
-        self._stamps_by_sender: collections.OrderedDict[
-            types.EntryVmId, _Stamps
+        self._windows_by_sender: collections.OrderedDict[
+            types.EntryVmId, _ReplayWindow
         ] = collections.OrderedDict()
 
     def open(self, data: bytes, *, peer: str = "") -> Datagram:
@@ -114,20 +128,20 @@
         data
             A received datagram.
         peer
-            Where it came from, for errors.
+            Address of the sender, for error messages.
 
         Raises
         ------
         lagoonrun_core.errors.LagoonrunError
-            If it is malformed, made with another key, or seen before.
+            If it is malformed, made with another key, or was received before.
         """
         if len(data) < _PREFIX.size or data[0] != _VERSION:
             raise frames.frame_error(
                 peer=peer,
                 detail=f"datagram of {len(data)} bytes has no valid prefix",
             )
-        stamp_start = _PREFIX.size + data[1]
-        tag_start = stamp_start + _STAMP.size
+        sequence_start = _PREFIX.size + data[1]
+        tag_start = sequence_start + _SEQUENCE_HEADER.size
         body_start = tag_start + frames.TAG_BYTES
         body = data[body_start:]
         expected = frames.keyed_tag(self._key, _PERSON, data[:tag_start], body)
@@ -136,9 +150,11 @@
                 peer=peer, detail="datagram has a wrong tag"
             )
         sender = types.EntryVmId(
-            data[_PREFIX.size : stamp_start].decode(errors="replace")
+            data[_PREFIX.size : sequence_start].decode(errors="replace")
+        )
+        incarnation, sequence = _SEQUENCE_HEADER.unpack_from(
+            data, sequence_start
         )
-        incarnation, sequence = _STAMP.unpack_from(data, stamp_start)
         if not self._is_new(sender, incarnation, sequence):
             raise frames.frame_error(
                 peer=peer,
@@ -148,45 +164,46 @@
         return Datagram(sender=sender, body=body)
 
     def forget(self, sender: types.EntryVmId) -> None:
-        """Forget the stamps of a sender that the membership has forgotten.
+        """Discard the replay window of a sender that the membership removed.
 
-        Otherwise a VM that comes back under its old name with a clock set
-        back, and so a lower incarnation, would be refused for ever.
+        Otherwise the datagrams of a VM that returns under the same name with
+        a clock that was set back, and so with a lower incarnation, would be
+        rejected for ever.
         """
-        self._stamps_by_sender.pop(sender, None)
+        self._windows_by_sender.pop(sender, None)
 
     def _is_new(
         self, sender: types.EntryVmId, incarnation: int, sequence: int
     ) -> bool:
-        stamps = self._stamps_by_sender.get(sender)
-        if stamps is None or incarnation > stamps.incarnation:
-            self._stamps_by_sender[sender] = _Stamps(
+        window = self._windows_by_sender.get(sender)
+        if window is None or incarnation > window.incarnation:
+            self._windows_by_sender[sender] = _ReplayWindow(
                 incarnation=incarnation, highest=sequence, seen=1
             )
             self._forget_oldest()
             return True
-        if incarnation < stamps.incarnation:
+        if incarnation < window.incarnation:
             return False
-        return _mark_seen(stamps, sequence)
+        return _mark_seen(window, sequence)
 
     def _forget_oldest(self) -> None:
-        # Only holders of the key add senders; the bound is against names
-        # piling up over months of replaced VMs.
-        if len(self._stamps_by_sender) > _MAXIMUM_SENDERS:
-            self._stamps_by_sender.popitem(last=False)
+        # Only senders with the key get an entry. The limit keeps the names of
+        # VMs replaced over several months from accumulating.
+        if len(self._windows_by_sender) > _MAX_SENDERS:
+            self._windows_by_sender.popitem(last=False)
 
 
-def _mark_seen(stamps: _Stamps, sequence: int) -> bool:
-    """Mark `sequence` as seen; return whether it was new."""
-    ahead = sequence - stamps.highest
+def _mark_seen(window: _ReplayWindow, sequence: int) -> bool:
+    """Mark `sequence` as received; return whether it was new."""
+    ahead = sequence - window.highest
     if ahead > 0:
-        window = (1 << _WINDOW) - 1
-        shift = min(ahead, _WINDOW)
-        stamps.seen = ((stamps.seen << shift) | 1) & window
-        stamps.highest = sequence
+        mask = (1 << _WINDOW_BITS) - 1
+        shift = min(ahead, _WINDOW_BITS)
+        window.seen = ((window.seen << shift) | 1) & mask
+        window.highest = sequence
         return True
     bit = 1 << -ahead
-    if -ahead >= _WINDOW or stamps.seen & bit:
+    if -ahead >= _WINDOW_BITS or window.seen & bit:
         return False
-    stamps.seen |= bit
+    window.seen |= bit
     return True
--- a/packages/protocol/tests/test_datagrams.py
+++ b/packages/protocol/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams pass once, and only from holders of the key."""
+"""Datagrams are accepted once, and only if made with the shared key."""
 
 import random
 
@@ -23,7 +23,7 @@
     return datagrams.DatagramOpener(key=_KEY)
 
 
-def test_body_and_sender_come_back(opener):
+def test_body_and_sender_are_returned(opener):
     data = _sealer().seal(b"news")
     assert len(data) == datagrams.OVERHEAD_BYTES + len("vm-1") + len(b"news")
     opened = opener.open(data)
@@ -31,10 +31,9 @@
 
 
 def test_replayed_datagram_is_refused(opener):
-    """Someone on the network repeats an old heartbeat of a dead entry VM.
+    """Guards against replayed heartbeats of a dead entry VM.
 
-    Accepted, it would keep the VM alive in the membership. Its stamp was
-    seen, so it is refused.
+    If they were accepted, the membership would consider the VM alive.
     """
     data = _sealer().seal(b"news")
     opener.open(data)
@@ -42,7 +41,7 @@
         opener.open(data)
 
 
-def test_datagrams_that_overtook_each_other_pass_once_each(opener):
+def test_reordered_datagrams_are_accepted_once_each(opener):
     sealer = _sealer()
     sent = [sealer.seal(bytes([n])) for n in range(60)]
     random.Random(3).shuffle(sent)
@@ -53,10 +52,10 @@
 
 
 def test_older_process_of_the_same_name_is_refused(opener):
-    """A VM is replaced under its name, and an old datagram is replayed.
+    """Guards against replayed datagrams of a replaced VM of the same name.
 
-    The replacement has a higher incarnation; what the old process sent must
-    not speak for it.
+    The replacement has a higher incarnation, and the datagrams of the previous
+    process must not be attributed to it.
     """
     old = _sealer(incarnation=5)
     replayed = old.seal(b"old")
