--- a/packages/protocol/src/lagoonrun_protocol/__init__.py
+++ b/packages/protocol/src/lagoonrun_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between lagoonrun's own processes."""
+"""Wire protocol between lagoonrun's own processes."""
--- a/packages/protocol/src/lagoonrun_protocol/codec.py
+++ b/packages/protocol/src/lagoonrun_protocol/codec.py
@@ -1,4 +1,4 @@
-"""Messages of the membership and of permits, as bytes; see `messages`."""
+"""Encode and decode the membership and permit messages of `messages`."""
 
 import typing
 
--- a/packages/protocol/src/lagoonrun_protocol/envelope_codec.py
+++ b/packages/protocol/src/lagoonrun_protocol/envelope_codec.py
@@ -1,9 +1,10 @@
-"""Carry messages to packed Cap'n Proto bytes and back.
+"""Convert message dataclasses to and from packed Cap'n Proto bytes.
 
-The schema is loaded at run time from this package, so the build needs no
-generator. Conversions are worked out once per message type. Each program has a
-codec for its own messages: to define and work out those of the others would add
-a tenth to the time that an entry VM takes to start.
+The schema is loaded at run time from this package, so the build runs no code
+generator. The field conversions are computed once per message type. Each
+program has a codec for the messages that it uses: defining the messages of the
+other programs and computing their conversions would add a tenth to the startup
+time of an entry VM.
 """
 
 import dataclasses
@@ -21,8 +22,8 @@
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("schema.capnp")))
 
 
-class _Shape(enum.Enum):
-    """How a field's value is written."""
+class _FieldKind(enum.Enum):
+    """How the value of a field is encoded."""
 
     PLAIN = "plain"
     ENUM = "enum"
@@ -35,7 +36,7 @@
 class _FieldCodec:
     name: str
     wire_name: str
-    shape: _Shape = _Shape.PLAIN
+    kind: _FieldKind = _FieldKind.PLAIN
     from_wire: Callable[[Any], Any] | None = None
 
 
@@ -50,28 +51,28 @@
 
 
 def _field_codec(name: str, field_type: Any) -> _FieldCodec:
-    shape = _Shape.PLAIN
+    kind = _FieldKind.PLAIN
     from_wire: Callable[[Any], Any] | None = None
     if typing.get_origin(field_type) is tuple:
-        item = typing.get_args(field_type)[0]
-        if dataclasses.is_dataclass(item):
-            shape = _Shape.STRUCT_LIST
-            from_wire = _struct_list_reader(typing.cast(type, item))
+        item_type = typing.get_args(field_type)[0]
+        if dataclasses.is_dataclass(item_type):
+            kind = _FieldKind.STRUCT_LIST
+            from_wire = _struct_list_reader(typing.cast(type, item_type))
         else:
-            shape = _Shape.LIST
+            kind = _FieldKind.LIST
             from_wire = tuple
     elif dataclasses.is_dataclass(field_type):
-        shape = _Shape.STRUCT
+        kind = _FieldKind.STRUCT
         from_wire = _struct_reader(typing.cast(type, field_type))
     elif isinstance(field_type, type) and issubclass(field_type, enum.Enum):
-        shape = _Shape.ENUM
+        kind = _FieldKind.ENUM
         from_wire = field_type
     elif field_type is bytes:
         from_wire = bytes
     return _FieldCodec(
         name=name,
         wire_name=_camel_case(name),
-        shape=shape,
+        kind=kind,
         from_wire=from_wire,
     )
 
@@ -100,12 +101,12 @@
 
 
 class EnvelopeCodec:
-    """Encodes and decodes messages of some types.
+    """Encodes and decodes messages of the given types.
 
     Parameters
     ----------
     message_types
-        Dataclasses that the schema's envelope names.
+        Message dataclasses; each is a member of the schema's `Envelope` union.
     """
 
     def __init__(self, *, message_types: Iterable[type]) -> None:
@@ -127,14 +128,14 @@
         Parameters
         ----------
         body
-            Packed bytes as `encode` gives them.
+            Packed bytes, as returned by `encode`.
         peer
-            Sender, for errors.
+            Name of the sender, for error messages.
 
         Raises
         ------
         lagoonrun_core.errors.LagoonrunError
-            If the bytes are no message of a known kind.
+            If the bytes are not a message of one of the types.
         """
         try:
             envelope = _SCHEMA.Envelope.from_bytes_packed(body)
@@ -152,20 +153,20 @@
 def _write(builder: Any, message: Any) -> None:
     """Set the fields of a struct one by one.
 
-    Building the struct from a dictionary of all fields costs seven times as
-    much; zero and empty values are the defaults and need no bytes.
+    Building the struct from a dictionary of all fields takes seven times as
+    long. Zero and empty values are skipped: they are the schema's defaults.
     """
     for codec in _codecs_of(type(message)):
         value = getattr(message, codec.name)
         if not value:
             continue
-        if codec.shape is _Shape.PLAIN:
+        if codec.kind is _FieldKind.PLAIN:
             setattr(builder, codec.wire_name, value)
-        elif codec.shape is _Shape.ENUM:
+        elif codec.kind is _FieldKind.ENUM:
             setattr(builder, codec.wire_name, value.value)
-        elif codec.shape is _Shape.STRUCT:
+        elif codec.kind is _FieldKind.STRUCT:
             _write(builder.init(codec.wire_name), value)
-        elif codec.shape is _Shape.LIST:
+        elif codec.kind is _FieldKind.LIST:
             setattr(builder, codec.wire_name, list(value))
         else:
             items = builder.init(codec.wire_name, len(value))
--- a/packages/protocol/src/lagoonrun_protocol/router_codec.py
+++ b/packages/protocol/src/lagoonrun_protocol/router_codec.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs that decide alone, as bytes; see `router_messages`."""
+"""Encode and decode the messages of `router_messages`."""
 
 import typing
 
--- a/packages/protocol/tests/test_codec.py
+++ b/packages/protocol/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages come back from the wire as they were sent."""
+"""Messages are decoded as they were encoded."""
 
 import pytest
 
