--- a/packages/protocol/src/lagoonrun_protocol/frames.py
+++ b/packages/protocol/src/lagoonrun_protocol/frames.py
@@ -1,13 +1,13 @@
-"""Authenticated frames of the inner protocol, without any I/O.
+"""Authenticated frames of the protocol between entry VMs; performs no I/O.
 
-A connection opens with three handshake frames that prove the shared key both
-ways and carry a nonce of each side. From then on each frame is
+A connection begins with three handshake messages, by which both sides prove
+that they know the shared key and exchange a nonce each. Every later frame is
 
     length (4 bytes, big endian) | tag (16 bytes) | body
 
-where the tag is a keyed BLAKE2b over the frame's number and its body, under a
-key derived from both nonces. The number is counted on both sides and never
-sent: a replayed, dropped or reordered frame therefore fails its check.
+The tag is a keyed BLAKE2b hash of the frame's number and body, with a key that
+is derived from both nonces. Both sides count the frames and never send the
+number, so the tag of a replayed, dropped or reordered frame does not match.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 from lagoonrun_core import errors
 
 MAXIMUM_FRAME_BYTES = 2 * 1024 * 1024
-"""Largest body of a frame: a platform value of 1 MB and its envelope."""
+"""Largest body of a frame: a value of the platform's store (1 MB) fits in."""
 
 NONCE_BYTES = 16
 TAG_BYTES = 16
@@ -31,14 +31,14 @@
 
 
 def frame_error(*, peer: str, detail: str) -> errors.LagoonrunError:
-    """Return the error of a frame or datagram that is refused."""
+    """Return the error to raise for a rejected frame or datagram."""
     return errors.LagoonrunError(
         step=errors.Step.PEER_FRAME, peer=peer, detail=detail
     )
 
 
 def normalised_key(key: bytes) -> bytes:
-    """Return a key of the fixed length that BLAKE2b takes.
+    """Hash `key` to a fixed length, since BLAKE2b limits that of its key.
 
     Raises
     ------
@@ -51,7 +51,7 @@
 
 
 def keyed_tag(key: bytes, person: bytes, *parts: bytes) -> bytes:
-    """Return the keyed BLAKE2b tag of `parts`, separated by their lengths."""
+    """Return the keyed BLAKE2b tag of `parts`, each prefixed by its length."""
     tag = hashlib.blake2b(key=key, person=person, digest_size=TAG_BYTES)
     for part in parts:
         tag.update(_LENGTH.pack(len(part)))
@@ -60,24 +60,24 @@
 
 
 def tags_match(first: bytes, second: bytes) -> bool:
-    """Return whether two tags are equal, in constant time."""
+    """Compare two tags in constant time."""
     return hmac.compare_digest(first, second)
 
 
 class Handshake:
-    """Tags and session keys of one connection.
+    """Computes the tags and the session key of one connection.
 
-    The acceptor speaks first, with its nonce. The connector answers with its
-    own nonce, its hello and `connect_tag`; the acceptor answers with its hello
-    and `accept_tag`. Each tag covers both nonces, so that neither can be
-    replayed on another connection.
+    The acceptor sends its nonce first. The connector replies with its own
+    nonce, its hello and `connect_tag`; the acceptor replies with its hello and
+    `accept_tag`. Each tag covers both nonces, so that neither can be replayed
+    on another connection.
 
     Parameters
     ----------
     key
         The shared key, of any length.
     accept_nonce, connect_nonce
-        Fresh random bytes of the accepting and of the connecting side.
+        Random bytes that each side generates for this connection.
     """
 
     def __init__(
@@ -87,15 +87,15 @@
         self._nonces = accept_nonce + connect_nonce
 
     def connect_tag(self, hello: bytes) -> bytes:
-        """Return the connector's proof over its encoded `hello`."""
+        """Return the tag of the connector's encoded `hello`."""
         return keyed_tag(self._key, _PERSON_CONNECT, self._nonces, hello)
 
     def accept_tag(self, hello: bytes) -> bytes:
-        """Return the acceptor's proof over its encoded `hello`."""
+        """Return the tag of the acceptor's encoded `hello`."""
         return keyed_tag(self._key, _PERSON_ACCEPT, self._nonces, hello)
 
     def session_key(self) -> bytes:
-        """Return the key of the frames after the handshake."""
+        """Return the key that authenticates frames after the handshake."""
         return hashlib.blake2b(
             self._nonces,
             key=self._key,
@@ -105,7 +105,7 @@
 
 
 class FrameWriter:
-    """Wrap bodies into numbered, tagged frames.
+    """Adds length and authentication tag to frames.
 
     Parameters
     ----------
@@ -125,16 +125,16 @@
 
 
 class FrameReader:
-    """Cut a byte stream into frames and check each.
+    """Splits a byte stream into frames and verifies them.
 
     Parameters
     ----------
     session_key
         Key of this direction of this connection.
     peer
-        The other side, for errors.
+        Name of the sender, for error messages.
     maximum_bytes
-        Largest body that is accepted.
+        Maximum length of a body.
     """
 
     def __init__(
@@ -151,13 +151,13 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes and return the bodies now complete.
+        """Append received bytes and return the bodies that are complete.
 
         Raises
         ------
         lagoonrun_core.errors.LagoonrunError
-            If a frame is too long or its tag is wrong; the connection must
-            be closed, because its numbering is lost.
+            If a frame is too long or its tag is wrong. The connection must
+            then be closed, since the frame numbers no longer match.
         """
         self._buffer += data
         bodies = []
@@ -172,8 +172,8 @@
         if len(self._buffer) - offset < _LENGTH.size:
             return None
         (length,) = _LENGTH.unpack_from(self._buffer, offset)
-        # A corrupt or hostile length would make us buffer without bound, so
-        # it is judged before any of its bytes are waited for.
+        # Checked before the body is read: a corrupt or malicious length would
+        # otherwise grow the buffer without limit.
         if length > self._maximum_bytes:
             raise frame_error(
                 peer=self._peer,
@@ -187,8 +187,8 @@
         start = offset + _HEADER_BYTES
         tag = bytes(self._buffer[offset + _LENGTH.size : start])
         body = bytes(self._buffer[start:end])
-        # A frame that was altered, replayed or taken out of order has the
-        # wrong number under its tag and is refused here.
+        # The tag of a modified, replayed or reordered frame covers another
+        # body or frame number and does not match.
         if not tags_match(
             tag, _frame_tag(self._session_key, self._number, body)
         ):
--- a/packages/protocol/src/lagoonrun_protocol/handshake.py
+++ b/packages/protocol/src/lagoonrun_protocol/handshake.py
@@ -1,8 +1,8 @@
-"""Open a connection between two entry VMs over asyncio streams.
+"""Handshake between two entry VMs over asyncio streams.
 
 The acceptor sends its nonce; the connector sends its nonce, hello and tag;
-the acceptor sends its hello and tag. Nothing that the peer says is used before
-its tag is checked.
+the acceptor sends its hello and tag. Nothing that the peer sends is used before
+its tag has been verified.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 
 _MAGIC = b"lagoonr1"
 _HELLO_LENGTH = struct.Struct(">H")
-_MAXIMUM_HELLO_BYTES = 1024
+_MAX_HELLO_BYTES = 1024
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Session:
-    """An open connection: who is there, and the key of its frames."""
+    """Result of a handshake: the peer's hello and the key of the frames."""
 
     hello: messages.Hello
     session_key: bytes
@@ -34,12 +34,12 @@
     hello: messages.Hello,
     peer: str,
 ) -> Session:
-    """Prove the key to a connector and have it prove its own.
+    """Perform the acceptor's side of the handshake.
 
     Raises
     ------
     lagoonrun_core.errors.LagoonrunError
-        If the connector does not know the key or speaks another protocol.
+        If the connector has another key or uses another protocol.
     """
     accept_nonce = os.urandom(frames.NONCE_BYTES)
     writer.write(_MAGIC + accept_nonce)
@@ -47,12 +47,16 @@
     proof = frames.Handshake(
         key=key, accept_nonce=accept_nonce, connect_nonce=connect_nonce
     )
-    theirs = await _read_hello(reader, peer=peer)
-    await _check_tag(reader, expected=proof.connect_tag(theirs), peer=peer)
-    decoded = _decoded_hello(theirs, peer=peer)
-    ours = codec.encode(hello)
-    writer.write(_hello_bytes(ours) + proof.accept_tag(ours))
-    return Session(hello=decoded, session_key=proof.session_key())
+    peer_hello_bytes = await _read_hello(reader, peer=peer)
+    await _check_tag(
+        reader, expected=proof.connect_tag(peer_hello_bytes), peer=peer
+    )
+    peer_hello = _decode_hello(peer_hello_bytes, peer=peer)
+    own_hello_bytes = codec.encode(hello)
+    writer.write(
+        _with_length(own_hello_bytes) + proof.accept_tag(own_hello_bytes)
+    )
+    return Session(hello=peer_hello, session_key=proof.session_key())
 
 
 async def connect(
@@ -63,13 +67,13 @@
     hello: messages.Hello,
     expected: types.EntryVmId,
 ) -> Session:
-    """Prove the key to an acceptor, and check that it is `expected`.
+    """Perform the connector's side; verify that the acceptor is `expected`.
 
     Raises
     ------
     lagoonrun_core.errors.LagoonrunError
-        If the acceptor does not know the key, speaks another protocol or is
-        another entry VM.
+        If the acceptor has another key, uses another protocol or is another
+        entry VM.
     """
     greeting = await reader.readexactly(len(_MAGIC) + frames.NONCE_BYTES)
     if not greeting.startswith(_MAGIC):
@@ -84,33 +88,39 @@
         accept_nonce=greeting[len(_MAGIC) :],
         connect_nonce=connect_nonce,
     )
-    ours = codec.encode(hello)
-    writer.write(connect_nonce + _hello_bytes(ours) + proof.connect_tag(ours))
-    theirs = await _read_hello(reader, peer=expected)
-    await _check_tag(reader, expected=proof.accept_tag(theirs), peer=expected)
-    decoded = _decoded_hello(theirs, peer=expected)
-    # A replaced VM's address may already belong to another one. Its permits
-    # would be granted under the wrong name, so the name is checked.
-    if decoded.entry_vm != expected:
+    own_hello_bytes = codec.encode(hello)
+    writer.write(
+        connect_nonce
+        + _with_length(own_hello_bytes)
+        + proof.connect_tag(own_hello_bytes)
+    )
+    peer_hello_bytes = await _read_hello(reader, peer=expected)
+    await _check_tag(
+        reader, expected=proof.accept_tag(peer_hello_bytes), peer=expected
+    )
+    peer_hello = _decode_hello(peer_hello_bytes, peer=expected)
+    # The address of a replaced VM may already belong to another one, whose
+    # permits would be attributed to the wrong entry VM.
+    if peer_hello.entry_vm != expected:
         raise frames.frame_error(
             peer=expected,
-            detail=f"the address belongs to entry VM {decoded.entry_vm!r}",
+            detail=f"the address belongs to entry VM {peer_hello.entry_vm!r}",
         )
-    return Session(hello=decoded, session_key=proof.session_key())
+    return Session(hello=peer_hello, session_key=proof.session_key())
 
 
-def _hello_bytes(hello: bytes) -> bytes:
+def _with_length(hello: bytes) -> bytes:
     return _HELLO_LENGTH.pack(len(hello)) + hello
 
 
 async def _read_hello(reader: asyncio.StreamReader, *, peer: str) -> bytes:
     header = await reader.readexactly(_HELLO_LENGTH.size)
     (length,) = _HELLO_LENGTH.unpack(header)
-    if length > _MAXIMUM_HELLO_BYTES:
+    if length > _MAX_HELLO_BYTES:
         raise frames.frame_error(
             peer=peer,
             detail=f"hello of {length} bytes; valid: at most "
-            f"{_MAXIMUM_HELLO_BYTES}",
+            f"{_MAX_HELLO_BYTES}",
         )
     return await reader.readexactly(length)
 
@@ -125,7 +135,7 @@
         )
 
 
-def _decoded_hello(body: bytes, *, peer: str) -> messages.Hello:
+def _decode_hello(body: bytes, *, peer: str) -> messages.Hello:
     hello = codec.decode(body, peer=peer)
     if not isinstance(hello, messages.Hello):
         raise frames.frame_error(
--- a/packages/protocol/tests/test_frames.py
+++ b/packages/protocol/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames are delivered whole, once and in order, or not at all."""
+"""Frames are delivered complete, once and in order, or not at all."""
 
 import hypothesis
 import pytest
@@ -23,7 +23,7 @@
     bodies=strategies.lists(strategies.binary(max_size=80), max_size=8),
     size=strategies.integers(1, 50),
 )
-def test_any_cutting_of_the_stream_gives_the_bodies(bodies, size):
+def test_frames_are_reassembled_from_chunks_of_any_size(bodies, size):
     writer, reader = _pair()
     stream = b"".join(writer.frame(body) for body in bodies)
     received = []
@@ -38,10 +38,9 @@
     ids=["replayed", "reordered", "dropped"],
 )
 def test_frames_out_of_order_are_refused(order):
-    """A grant is sent again, or later, by someone on the network.
+    """Guards against replayed, reordered or dropped frames.
 
-    Its tag covers the frame's number in its connection, so the reader sees
-    that it does not belong here.
+    The tag covers the number of the frame in its connection.
     """
     writer, reader = _pair()
     sent = [writer.frame(bytes([n])) for n in range(3)]
@@ -50,9 +49,9 @@
 
 
 def test_frame_of_another_connection_is_refused():
-    """A frame recorded on one connection is replayed on another.
+    """Guards against a frame that is replayed on another connection.
 
-    The session key comes from both nonces, so its tag is wrong there.
+    The session key is derived from both nonces of a connection.
     """
     keys = [
         frames.Handshake(
@@ -66,7 +65,7 @@
         reader.feed(recorded)
 
 
-def test_oversize_length_is_refused_before_its_bytes_come():
+def test_oversize_frame_is_refused_before_its_body_is_received():
     writer, reader = _pair(maximum_bytes=100)
     assert reader.feed(writer.frame(b"x" * 100)) == [b"x" * 100]
     with pytest.raises(errors.LagoonrunError, match="101 bytes"):
@@ -77,7 +76,7 @@
 @hypothesis.given(
     position=strategies.integers(0, 27), bit=strategies.integers(0, 7)
 )
-def test_no_altered_frame_is_delivered(position, bit):
+def test_modified_frame_is_not_delivered(position, bit):
     writer, reader = _pair(maximum_bytes=1000)
     data = bytearray(writer.frame(b"eight by"))
     data[position] ^= 1 << bit
