--- a/packages/protocol/src/lagoonrun_protocol/hub.py
+++ b/packages/protocol/src/lagoonrun_protocol/hub.py
@@ -1,7 +1,8 @@
-"""Connections between entry VMs: one outgoing per peer, incoming only read.
+"""Connections between entry VMs, each of which carries messages one way.
 
-Each task owns one socket. Replies travel on the receiver's own outgoing
-connection, so that no socket is written by two tasks.
+An entry VM sends to a peer on its own outgoing connection and only reads from
+incoming ones. A reply is sent on the outgoing connection of its sender, so no
+two tasks write to one socket.
 """
 
 import asyncio
@@ -15,45 +16,45 @@
 
 _HANDSHAKE_TIMEOUT_SECONDS = 2.0
 _READ_BYTES = 256 * 1024
-_MAXIMUM_HANDSHAKES = 256
+_MAX_HANDSHAKES = 256
 
 AddressBook = outgoing.AddressBook
 PeerAddress = outgoing.PeerAddress
 
 
 class MessageHandler(Protocol):
-    """What the hub tells its owner. Neither call may block."""
+    """Receives the hub's events. Neither method may block."""
 
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take one authenticated message."""
+        """Receive one authenticated message."""
 
     def on_link_lost(self, peer: types.EntryVmId) -> None:
-        """Learn that a connection with `peer` ended or could not be made.
+        """Receive the end of a connection, or a failure to open it.
 
-        Whatever was queued for the peer is lost.
+        All messages queued for the peer are lost.
         """
 
 
 class PeerHub:
-    """Exchange messages with the other entry VMs over TCP.
+    """Exchanges messages with the other entry VMs over TCP.
 
     Parameters
     ----------
     entry_vm, incarnation, domain
-        Who this process is; told to peers in the handshake.
+        Identity of this process, sent to peers in the handshake.
     host, port
         Address to listen on; port 0 lets the system choose.
     key
         Shared secret that authenticates peers.
     address_book
-        Where peers are reached.
+        Addresses of the peers.
     handler
-        Receives messages and losses.
+        Receives messages and lost connections.
     clock
-        Times the back-off.
-    random_source
+        Clock of the back-off.
+    rng
         Jitter of the back-off.
     """
 
@@ -81,17 +82,17 @@
         self._address_book = address_book
         self._handler = handler
         self._clock = clock
-        self._random = rng or random.Random()
+        self._rng = rng or random.Random()
         self._server: asyncio.Server | None = None
         self._links_by_peer: dict[types.EntryVmId, outgoing.OutgoingLink] = {}
         self._incoming_by_peer: dict[types.EntryVmId, asyncio.Task[None]] = {}
         self._incoming: set[asyncio.Task[None]] = set()
-        self._handshakes = 0
+        self._handshake_count = 0
         self._closing = False
 
     @property
     def port(self) -> int:
-        """Port that the hub listens on."""
+        """Return the port that the hub listens on."""
         return self._port
 
     async def start(self) -> None:
@@ -114,13 +115,20 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def flush(self, *, timeout_seconds: float = 1.0) -> None:
-        """Wait until queued messages were handed to the system, at most so long.
+        """Wait until queued messages were written to the sockets.
 
-        Called before `close` by a planned stop, whose last messages hand
-        over what it owned.
+        A planned stop calls it before `close`, since its last messages hand
+        over what this entry VM owned.
+
+        Parameters
+        ----------
+        timeout_seconds
+            Maximum time to wait.
         """
         links = tuple(self._links_by_peer.values())
-        waits = [asyncio.create_task(link.flushed()) for link in links]
+        waits = [
+            asyncio.create_task(link.wait_until_flushed()) for link in links
+        ]
         if waits:
             _, late = await asyncio.wait(waits, timeout=timeout_seconds)
             for task in late:
@@ -132,14 +140,14 @@
         Returns
         -------
         bool
-            False if it will not be sent: the queue is full, the peer has no
-            known address, is this process itself, or could not be reached
-            just now. True promises nothing more than a try.
+            False if the message was not queued: the queue is full, the address
+            of the peer is unknown, the peer is this process itself, or its
+            back-off has not ended. True does not guarantee delivery.
 
         Raises
         ------
         lagoonrun_core.errors.LagoonrunError
-            If the message is longer than a frame may be.
+            If the message exceeds the maximum length of a frame.
         """
         if to == self._entry_vm or self._closing:
             return False
@@ -147,7 +155,7 @@
         if address is None:
             return False
         link = self._link_to(to)
-        if not link.can_take(address=address):
+        if not link.can_queue(address=address):
             return False
         body = codec.encode(message)
         if len(body) > frames.MAXIMUM_FRAME_BYTES:
@@ -159,11 +167,11 @@
         return link.put(body, address=address)
 
     def drop(self, peer: types.EntryVmId) -> None:
-        """End connections with a peer that the membership holds for dead.
+        """Close the connections with a peer that the membership declared dead.
 
-        A frozen or unplugged peer keeps its sockets open; without this the
-        handler would hear of the loss only when the write timeout runs out.
-        Links of replaced VMs also would pile up.
+        The sockets of a frozen or disconnected peer stay open; otherwise the
+        handler would be notified only after the write timeout, and links to
+        replaced VMs would accumulate.
         """
         link = self._links_by_peer.pop(peer, None)
         if link is not None:
@@ -180,13 +188,13 @@
                 hello=self._hello,
                 key=self._key,
                 clock=self._clock,
-                random_source=self._random,
-                on_lost=self._lost,
+                rng=self._rng,
+                on_lost=self._report_lost_link,
             )
             self._links_by_peer[to] = link
         return link
 
-    def _lost(self, peer: types.EntryVmId) -> None:
+    def _report_lost_link(self, peer: types.EntryVmId) -> None:
         if self._closing:
             return
         try:
@@ -212,8 +220,8 @@
                 detail=error.detail,
             )
         except (OSError, EOFError, TimeoutError, asyncio.CancelledError):
-            # The peer left, or `close`, `drop` or a newer connection of the
-            # same peer ended this one; nothing is left to tell it.
+            # The peer closed the connection, or `close`, `drop` or a newer
+            # connection of the same peer cancelled this task.
             pass
         finally:
             self._incoming.discard(task)
@@ -226,13 +234,13 @@
         task: asyncio.Task[None],
         address: str,
     ) -> None:
-        # Strangers that connect and say nothing would hold sockets without
-        # bound; only so many may be in the handshake, each for a short time.
-        if self._handshakes >= _MAXIMUM_HANDSHAKES:
+        # The limit and the timeout bound the sockets held by unauthenticated
+        # clients that connect and send nothing.
+        if self._handshake_count >= _MAX_HANDSHAKES:
             raise frames.frame_error(
                 peer=address, detail="too many connections in the handshake"
             )
-        self._handshakes += 1
+        self._handshake_count += 1
         try:
             async with asyncio.timeout(_HANDSHAKE_TIMEOUT_SECONDS):
                 session = await handshake.accept(
@@ -243,20 +251,20 @@
                     peer=address,
                 )
         finally:
-            self._handshakes -= 1
+            self._handshake_count -= 1
         peer = session.hello.entry_vm
-        # After a half-open connection (the peer's VM vanished without a
-        # reset) the old socket would linger; the peer's newer one replaces it.
-        older = self._incoming_by_peer.get(peer)
+        # If the peer's VM disappeared without a TCP reset, its previous
+        # connection is half open and would stay until a timeout.
+        previous = self._incoming_by_peer.get(peer)
         self._incoming_by_peer[peer] = task
-        if older is not None:
-            older.cancel()
+        if previous is not None:
+            previous.cancel()
         try:
             await self._read_frames(reader, session)
         finally:
             if self._incoming_by_peer.get(peer) is task:
                 del self._incoming_by_peer[peer]
-                self._lost(peer)
+                self._report_lost_link(peer)
 
     async def _read_frames(
         self, reader: asyncio.StreamReader, session: handshake.Session
@@ -273,8 +281,8 @@
         try:
             message = codec.decode(body, peer=peer)
         except errors.LagoonrunError as error:
-            # An authentic frame of an unknown kind comes from a newer version
-            # during a rolling replacement: skip it and keep the connection.
+            # During a rolling upgrade a newer version may send a kind of
+            # message that is unknown here: skip it, keep the connection.
             logs.emit(
                 events.LogEvent.PEER_FRAME_REJECTED,
                 level=logging.WARNING,
@@ -289,7 +297,7 @@
 
 
 def _emit_handler_failure(peer: types.EntryVmId, error: Exception) -> None:
-    """Log a handler's fault; the connection and its other messages go on."""
+    """Log an exception of the handler; the connection stays open."""
     logs.emit(
         events.LogEvent.TASK_FAILED,
         level=logging.ERROR,
--- a/packages/protocol/src/lagoonrun_protocol/outgoing.py
+++ b/packages/protocol/src/lagoonrun_protocol/outgoing.py
@@ -1,4 +1,4 @@
-"""One outgoing connection to a peer, with its bounded queue and back-off."""
+"""An outgoing connection to a peer, with a bounded queue and back-off."""
 
 import asyncio
 import collections
@@ -18,41 +18,41 @@
 
 _CONNECT_TIMEOUT_SECONDS = 1.0
 _WRITE_TIMEOUT_SECONDS = 3.0
-_MINIMUM_BACKOFF_SECONDS = 0.05
-_MAXIMUM_BACKOFF_SECONDS = 1.0
+_MIN_BACKOFF_SECONDS = 0.05
+_MAX_BACKOFF_SECONDS = 1.0
 _BATCH_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerAddress:
-    """IP number and TCP port of a peer's hub."""
+    """IP address and TCP port of a peer's hub."""
 
     host: str
     port: int
 
 
 class AddressBook(Protocol):
-    """Where entry VMs are reached."""
+    """Addresses of entry VMs."""
 
     def address_of(self, entry_vm: types.EntryVmId) -> PeerAddress | None:
-        """Return the address of `entry_vm`, or None where it is unknown."""
+        """Return the address of `entry_vm`, None if it is unknown."""
 
 
 class OutgoingLink:
-    """Send frames to one peer; connect on demand.
+    """Sends frames to one peer; connects on demand.
 
     Parameters
     ----------
     peer
-        The entry VM at the other end.
+        Entry VM to connect to.
     hello
-        Who we are.
+        Identity of this process.
     key
         Shared secret.
-    clock, random_source
-        Time and jitter of the back-off.
+    clock, rng
+        Clock and jitter of the back-off.
     on_lost
-        Called when the connection ends or can't be made.
+        Called when the connection ends or could not be opened.
     """
 
     def __init__(
@@ -62,57 +62,60 @@
         hello: messages.Hello,
         key: bytes,
         clock: clocks.Clock,
-        random_source: random.Random,
+        rng: random.Random,
         on_lost: Callable[[types.EntryVmId], None],
     ) -> None:
         self._peer = peer
         self._hello = hello
         self._key = key
         self._clock = clock
-        self._random = random_source
+        self._rng = rng
         self._on_lost = on_lost
         self._bodies: collections.deque[bytes] = collections.deque()
         self._queued_bytes = 0
         self._wakeup = asyncio.Event()
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._queue_empty = asyncio.Event()
+        self._queue_empty.set()
         self._task: asyncio.Task[None] | None = None
         self._address: PeerAddress | None = None
         self._failures = 0
         self._retry_at = float("-inf")
 
-    def can_take(self, *, address: PeerAddress) -> bool:
-        """Return whether a message would be queued now."""
+    def can_queue(self, *, address: PeerAddress) -> bool:
+        """Return whether a message for `address` can be queued now."""
         if len(self._bodies) >= MAXIMUM_QUEUED_MESSAGES:
             return False
         if self._queued_bytes >= MAXIMUM_QUEUED_BYTES:
             return False
-        # Within the back-off a message would only wait to be lost; saying so
-        # at once lets the sender turn to the next-ranked entry VM.
+        # Rejecting a message during the back-off lets the sender use the
+        # next-ranked entry VM at once.
         if self._task is None and address == self._address:
             return self._clock.monotonic() >= self._retry_at
         return True
 
     def put(self, body: bytes, *, address: PeerAddress) -> bool:
-        """Queue an encoded message; return False if it can't be taken."""
+        """Queue an encoded message; call `can_queue` first.
+
+        A new address closes the connection to the previous one.
+        """
         if self._address is not None and address != self._address:
             self.drop()
             self._failures = 0
         self._bodies.append(body)
         self._queued_bytes += len(body)
-        self._idle.clear()
+        self._queue_empty.clear()
         self._wakeup.set()
         if self._task is None:
             self._address = address
             self._task = asyncio.create_task(self._run(address))
         return True
 
-    async def flushed(self) -> None:
-        """Return once nothing is queued any more."""
-        await self._idle.wait()
+    async def wait_until_flushed(self) -> None:
+        """Wait until the queue is empty."""
+        await self._queue_empty.wait()
 
     def drop(self) -> None:
-        """End the connection and forget what is queued."""
+        """Close the connection and discard the queue."""
         task = self._task
         if task is None:
             return
@@ -122,7 +125,7 @@
         self._on_lost(self._peer)
 
     async def close(self) -> None:
-        """End the connection and wait for its task."""
+        """Close the connection and wait for its task to end."""
         task = self._task
         self._task = None
         if task is not None:
@@ -132,7 +135,7 @@
     def _clear(self) -> None:
         self._bodies.clear()
         self._queued_bytes = 0
-        self._idle.set()
+        self._queue_empty.set()
 
     async def _run(self, address: PeerAddress) -> None:
         task = asyncio.current_task()
@@ -147,7 +150,7 @@
                 detail=error.detail,
             )
         except (OSError, EOFError, TimeoutError):
-            # Refused, reset, closed or stuck: told to the owner below.
+            # Refused, reset, closed or timed out: `on_lost` is called below.
             pass
         if self._task is task:
             self._task = None
@@ -156,17 +159,18 @@
             self._on_lost(self._peer)
 
     def _back_off(self) -> None:
-        """Delay the next try, with jitter.
+        """Set the time of the next connection attempt, with jitter.
 
-        When a peer or a cut comes back, all other entry VMs want to connect;
-        full jitter over a doubling range keeps them from doing so at once.
+        When a peer or the network recovers, all other entry VMs reconnect.
+        Full jitter over a range that doubles with each failure spreads their
+        attempts.
         """
         ceiling = min(
-            _MAXIMUM_BACKOFF_SECONDS,
-            _MINIMUM_BACKOFF_SECONDS * 2 ** min(self._failures, 10),
+            _MAX_BACKOFF_SECONDS,
+            _MIN_BACKOFF_SECONDS * 2 ** min(self._failures, 10),
         )
         self._failures += 1
-        delay = self._random.uniform(_MINIMUM_BACKOFF_SECONDS / 2, ceiling)
+        delay = self._rng.uniform(_MIN_BACKOFF_SECONDS / 2, ceiling)
         self._retry_at = self._clock.monotonic() + delay
 
     async def _connect_and_write(self, address: PeerAddress) -> None:
@@ -184,7 +188,7 @@
                     expected=self._peer,
                 )
             self._failures = 0
-            _limit_unacknowledged(writer)
+            _set_unacknowledged_timeout(writer)
             await self._write_until_closed(reader, writer, session)
         finally:
             writer.transport.abort()
@@ -196,7 +200,8 @@
         session: handshake.Session,
     ) -> None:
         writing = asyncio.create_task(self._write(writer, session))
-        # The peer never writes here; the read ends when it closes.
+        # The peer never writes on this connection, so the read returns only
+        # when the peer closes it.
         closing = asyncio.create_task(reader.read(1))
         try:
             done, _ = await asyncio.wait(
@@ -218,11 +223,11 @@
             self._wakeup.clear()
             while self._bodies:
                 writer.write(self._next_batch(frame_writer))
-                # A frozen peer keeps its socket open and reads nothing; the
-                # timeout turns that into a lost link.
+                # A frozen peer keeps its socket open but does not read; after
+                # the timeout the connection counts as lost.
                 async with asyncio.timeout(_WRITE_TIMEOUT_SECONDS):
                     await writer.drain()
-            self._idle.set()
+            self._queue_empty.set()
 
     def _next_batch(self, frame_writer: frames.FrameWriter) -> bytes:
         batch = []
@@ -235,11 +240,11 @@
         return b"".join(batch)
 
 
-def _limit_unacknowledged(writer: asyncio.StreamWriter) -> None:
-    """Bound how long sent bytes may stay unacknowledged.
+def _set_unacknowledged_timeout(writer: asyncio.StreamWriter) -> None:
+    """Limit the time for which sent bytes may stay unacknowledged.
 
-    A peer whose VM vanished sends no reset; the system would retransmit for
-    many minutes while messages seem to be sent.
+    A peer whose VM disappeared sends no TCP reset. The kernel would retransmit
+    for many minutes, during which messages seem to be sent.
     """
     connection = writer.get_extra_info("socket")
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
--- a/packages/protocol/tests/conftest.py
+++ b/packages/protocol/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures of the protocol's tests: hubs on loopback."""
+"""Fixtures of the protocol's tests: hubs on the loopback interface."""
 
 import asyncio
 import random
@@ -13,18 +13,18 @@
 
 
 class RecordingHandler:
-    """Keep what the hub tells, and let a test wait for it."""
+    """Records the hub's events; a test can wait for the next one."""
 
     def __init__(self):
         self.received = asyncio.Queue()
         self.lost = asyncio.Queue()
 
     def on_message(self, sender, message):
-        """Keep the message."""
+        """Record the message."""
         self.received.put_nowait((sender, message))
 
     def on_link_lost(self, peer):
-        """Keep the loss."""
+        """Record the lost connection."""
         self.lost.put_nowait(peer)
 
     async def next_message(self):
@@ -32,12 +32,12 @@
         return await asyncio.wait_for(self.received.get(), WAIT_SECONDS)
 
     async def next_loss(self):
-        """Return the next lost peer."""
+        """Return the peer of the next lost connection."""
         return await asyncio.wait_for(self.lost.get(), WAIT_SECONDS)
 
 
 class DictionaryAddressBook:
-    """Addresses that the test fills in."""
+    """Address book that a test fills."""
 
     def __init__(self):
         self.addresses_by_id = {}
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 async def start_hub(address_book, clock):
-    """Return a function that starts a hub which all others can reach."""
+    """Return a function that starts a hub and adds its address."""
     started = []
 
     async def start(entry_vm, *, key=KEY):
--- a/packages/protocol/tests/test_hub.py
+++ b/packages/protocol/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Hubs exchange messages, and refuse what is not from a peer."""
+"""Hubs exchange messages, and reject data that is not from a peer."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def rejections(monkeypatch):
-    """Queue of the fields of each log line 601."""
+    """Return a queue of the fields of each event 601."""
     queue = asyncio.Queue()
 
     def emit(event, *, level=0, **fields):
@@ -43,17 +43,17 @@
     assert await first_handler.next_message() == ("vm-2", _REQUEST)
 
 
-async def test_send_says_no_to_self_and_to_strangers(start_hub):
+async def test_send_to_self_or_unknown_peer_returns_false(start_hub):
     first, _ = await start_hub("vm-1")
     assert not first.send("vm-1", _REQUEST)
     assert not first.send("vm-unknown", _REQUEST)
 
 
-async def test_full_queue_is_said_at_once(start_hub):
-    """The queue to a peer is bounded and `send` never waits.
+async def test_send_with_full_queue_returns_false(start_hub):
+    """Guards against unbounded memory: the queue to a peer is limited.
 
-    A burst of permit requests goes to a dispatcher before its connection is
-    up. Without a bound the memory would grow; the sender is told no instead.
+    A burst of permit requests is sent to a dispatcher before the connection
+    is open.
     """
     first, _ = await start_hub("vm-1")
     await start_hub("vm-2")
@@ -72,11 +72,11 @@
         )
 
 
-async def test_closed_peer_is_told_as_lost_link(start_hub):
-    """A dispatcher's VM is killed while permits are out.
+async def test_closed_peer_is_reported_as_lost_link(start_hub):
+    """A dispatcher's VM is killed while permits are granted.
 
-    The ingress must hear of it to register its work elsewhere; both the
-    reading and the writing side of the connection tell it.
+    The ingress must be notified, so that it registers its running requests
+    with another dispatcher.
     """
     first, first_handler = await start_hub("vm-1")
     second, second_handler = await start_hub("vm-2")
@@ -86,10 +86,10 @@
     assert await first_handler.next_loss() == "vm-2"
 
 
-async def test_unreachable_peer_backs_off_and_comes_back(start_hub, clock):
-    """A peer is down, then its replacement listens at another port.
+async def test_unreachable_peer_backs_off_and_reconnects(start_hub, clock):
+    """A peer is down, then its replacement listens on another port.
 
-    While the back-off runs, `send` says no, so that the caller turns to the
+    During the back-off `send` returns False, so that the caller uses the
     next-ranked entry VM. A new address is tried at once.
     """
     first, first_handler = await start_hub("vm-1")
@@ -107,10 +107,10 @@
 
 
 async def test_wrong_key_is_refused_on_both_sides(start_hub, rejections):
-    """A process with another key must neither give nor get messages.
+    """A process with another key must neither send nor receive messages.
 
-    An operator rolls out a key to some VMs only. Each side says so by event
-    601 with the peer, and nothing is delivered.
+    This happens when a key is rolled out to some VMs only. Both sides log
+    event 601 with the peer.
     """
     first, first_handler = await start_hub("vm-1", key=b"another key")
     _, second_handler = await start_hub("vm-2")
@@ -125,9 +125,9 @@
 async def test_address_of_another_entry_vm_is_refused(
     start_hub, address_book, rejections
 ):
-    """A replaced VM's address was given to a VM of another name.
+    """The address of a replaced VM was reassigned to another VM.
 
-    A permit request for the first must not be answered by the second.
+    A permit request to the first must not be answered by the second.
     """
     first, first_handler = await start_hub("vm-1")
     _, second_handler = await start_hub("vm-2")
@@ -145,7 +145,7 @@
 ):
     """A port scanner writes arbitrary bytes to the hub.
 
-    The connection is closed with event 601, and peers go on being served.
+    Its connection is closed with event 601, and peers are still served.
     """
     _, handler = await start_hub("vm-1")
     second, _ = await start_hub("vm-2")
@@ -170,10 +170,10 @@
 async def test_recorded_connection_cannot_be_replayed(
     start_hub, address_book, rejections
 ):
-    """Someone records all that one entry VM wrote to another.
+    """Guards against replaying all bytes of a connection on a new one.
 
-    Replayed on a new connection, the same bytes would run the same requests
-    again. The acceptor's nonce is another one, so the proof no longer fits.
+    The same requests would run again. The acceptor uses another nonce, so the
+    connector's tag does not match.
     """
     receiver, handler = await start_hub("vm-1")
     sender, _ = await start_hub("vm-2")
@@ -215,10 +215,10 @@
 async def test_peer_that_stops_reading_is_lost(
     start_hub, address_book, monkeypatch
 ):
-    """A dispatcher's process is frozen with its sockets open.
+    """A dispatcher's process is frozen while its sockets stay open.
 
-    The system takes messages until its buffers are full. Then the link must
-    be given up, or its queue would stay full and `send` say no for ever.
+    Once the socket buffers are full, the link must be closed. Otherwise its
+    queue would stay full and `send` return False for ever.
     """
     monkeypatch.setattr(outgoing, "_WRITE_TIMEOUT_SECONDS", 0.05)
     first, first_handler = await start_hub("vm-1")
@@ -256,10 +256,10 @@
 
 
 async def test_newer_connection_replaces_a_half_open_one(start_hub):
-    """A peer's VM vanishes without a reset and comes back.
+    """A peer's VM disappears without a TCP reset and reconnects.
 
-    Its old socket stays open at our side; the newer one of the same name
-    takes its place, so that sockets don't pile up.
+    Its previous socket is still open here and must be closed, or sockets
+    would accumulate.
     """
     _, handler = await start_hub("vm-1")
     old, old_handler = await start_hub("vm-2")
@@ -271,7 +271,7 @@
     assert await old_handler.next_loss() == "vm-1"
 
 
-async def test_fault_of_the_handler_keeps_the_connection(start_hub):
+async def test_handler_exception_keeps_the_connection(start_hub):
     first, _ = await start_hub("vm-1")
     _, second_handler = await start_hub("vm-2")
     accept = second_handler.on_message
@@ -290,11 +290,11 @@
     assert message.revision == 4
 
 
-async def test_dropped_peer_is_told_as_lost(start_hub):
-    """A dispatcher's process is frozen: its sockets stay open.
+async def test_dropped_peer_is_reported_as_lost(start_hub):
+    """A dispatcher's process is frozen while its sockets stay open.
 
-    When the membership holds it for dead, the owner drops the link and the
-    handler hears of the loss at once.
+    When the membership declares it dead, the owner drops the link and the
+    handler is notified at once.
     """
     first, first_handler = await start_hub("vm-1")
     _, second_handler = await start_hub("vm-2")
