--- a/packages/protocol/src/lagoonrun_protocol/messages.py
+++ b/packages/protocol/src/lagoonrun_protocol/messages.py
@@ -1,7 +1,8 @@
 """Messages between entry VMs, as frozen dataclasses.
 
-Field names are those of `schema.capnp` in snake case; `codec` carries them
-over. Instants never cross between machines: only durations do.
+Field names are those of `schema.capnp` in snake case; `codec` encodes and
+decodes them. Clocks of different machines are not comparable, so messages
+contain durations and no times of day.
 """
 
 import dataclasses
@@ -11,7 +12,7 @@
 
 
 class MemberState(enum.Enum):
-    """What the membership believes of an entry VM."""
+    """State of an entry VM according to the membership protocol."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -19,12 +20,13 @@
     DEAD = "dead"
 
 
-# Permits: ingress to dispatcher.
+# Permits: from the ingress (the entry VM that received the request) to the
+# dispatcher (the entry VM that assigns the runners of a shard to requests).
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Hello:
-    """First frame of a connection: who calls."""
+    """First message of each side of a connection: its identity."""
 
     entry_vm: types.EntryVmId
     incarnation: types.Incarnation
@@ -33,13 +35,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitRequest:
-    """Ask the dispatcher of a shard for a runner.
+    """Ask the dispatcher of a shard for permission to use a runner.
 
     Parameters
     ----------
     handover
-        The entry VMs ranked before the callee did not answer, so the callee
-        is to dispatch even if it believes that one of them lives.
+        The entry VMs ranked before the receiver did not answer, so the
+        receiver must dispatch even if it considers one of them alive.
     """
 
     request_id: types.RequestId
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitReturn:
-    """Withdraw a waiting request, or give a grant back unused."""
+    """Withdraw a waiting request, or return an unused permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -68,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitEnd:
-    """Report the end of granted work."""
+    """Report the end of a request that had a permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -83,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RunningWork:
-    """One granted request of an ingress, as its digest lists it."""
+    """Entry of a `WorkDigest`: one request that has a permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -97,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WaitingWork:
-    """One waiting request of an ingress, as its digest lists it."""
+    """Entry of a `WorkDigest`: one request that waits for a permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -105,19 +107,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkDigest:
-    """All that an ingress has running and waiting in one shard."""
+    """All running and waiting requests of an ingress in one shard."""
 
     shard: types.ShardId
     running: tuple[RunningWork, ...] = ()
     waiting: tuple[WaitingWork, ...] = ()
 
 
-# Permits: dispatcher to ingress.
+# Permits: from the dispatcher to the ingress.
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DigestAcknowledged:
-    """The dispatcher lives; it does not know of the requests in `unknown`."""
+    """Acknowledge a digest; the requests in `unknown` are not known here."""
 
     shard: types.ShardId
     unknown: tuple[WaitingWork, ...] = ()
@@ -125,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitAcknowledged:
-    """The dispatcher has the request in its queue."""
+    """Acknowledge that the request is in the dispatcher's queue."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -133,7 +135,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitGranted:
-    """The request may be sent to the upstream."""
+    """Permit the request to be sent to the upstream."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -143,7 +145,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitRefused:
-    """The request will not be run by this shard."""
+    """Refuse the request: this shard will not run it."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -153,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitNotMine:
-    """The callee does not dispatch this shard; `owner` is its belief."""
+    """The sender does not dispatch this shard; it assumes that `owner` does."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -162,32 +164,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CutWork:
-    """Stop granted work."""
+    """Stop a request that has a permit."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
     reason: outcomes.Reason
 
 
-# Between entry VMs in general.
+# Between any two entry VMs.
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShardSummary:
-    """What other domains need to know of a shard.
+    """State of a shard, for the entry VMs of other failure domains.
 
     Parameters
     ----------
     free
-        Requests that could start at once.
+        Number of requests that could start immediately.
     lowest_waiting_tier
-        Lowest tier (highest number) that waits; 0 where none waits.
+        Lowest tier (highest number) of the waiting requests; 0 for none.
     lowest_running_tier
-        Lowest tier that runs; 0 where none runs.
+        Lowest tier of the running requests; 0 for none.
     wait_seconds
-        Expected wait of a new request of the lowest tier.
+        Expected waiting time of a new request of the lowest tier.
     age_seconds
-        Time since the dispatcher made it, as far as the sender knows.
+        Time since the dispatcher created it, as far as the sender knows.
     """
 
     shard: types.ShardId
@@ -201,14 +203,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SnapshotRequest:
-    """Ask a peer for a configuration snapshot."""
+    """Request a configuration snapshot from a peer."""
 
     revision: types.Revision
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SnapshotReply:
-    """A configuration snapshot; revision 0 where the peer has none."""
+    """A configuration snapshot; revision 0 if the peer has none."""
 
     revision: types.Revision
     digest: str
@@ -220,7 +222,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MemberUpdate:
-    """What the sender believes of one entry VM."""
+    """The sender's view of the state of one entry VM."""
 
     entry_vm: types.EntryVmId
     domain: types.FailureDomain
@@ -235,7 +237,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamUpdate:
-    """What the sender believes of one upstream."""
+    """The sender's view of the state of one upstream."""
 
     upstream: types.UpstreamId
     incarnation: types.Incarnation
@@ -244,19 +246,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ping:
-    """Probe of a member, with news.
+    """Probe of a member, with piggybacked updates.
 
     Parameters
     ----------
     sequence
-        Numbers the probes of `source`; 0 asks for no answer.
+        Sequence number of the probe at `source`; 0 if no answer is expected.
     members
-        The sender's own record first, then its news.
+        The record of the sender itself first, then updates of others.
     digests
         Digests of the parts of the sender's tables; see
-        `lagoonrun_membership.digests`. Empty where it tells none.
+        `lagoonrun_membership.digests`. May be empty.
     page_after
-        Member after which an answer's page of the member table begins.
+        Member after which the page of the member table in the answer begins.
     """
 
     sequence: int
@@ -270,13 +272,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Acknowledge:
-    """Answer to a `Ping` or, through a third member, a `PingRequest`.
+    """Answer to a `Ping`, or through a third member to a `PingRequest`.
 
     Parameters
     ----------
     page_after
-        Last member of the page of the member table in it; empty where there
-        is none.
+        Last member of the page of the member table in this message; empty if
+        it has no page.
     """
 
     sequence: int
--- a/packages/protocol/src/lagoonrun_protocol/router_messages.py
+++ b/packages/protocol/src/lagoonrun_protocol/router_messages.py
@@ -1,4 +1,17 @@
-"""Messages between entry VMs that decide alone; see `messages`."""
+"""Messages between routers: entry VMs that each dispatch on their own.
+
+Like `messages`, they contain durations and no times of day. Terms:
+
+- store: the platform's key-value store, which holds the declarations and the
+  list of upstreams; some entry VMs of a failure domain read it and forward its
+  content to the others.
+- relay: the entry VM that summarises its failure domain for the others.
+- duties: the tasks that one entry VM at a time performs for the whole fleet;
+  that entry VM is the holder of the duties.
+- start: number of one run of a process, which tells it from earlier runs.
+- place: the right to send one request to a rate-limited upstream; the entry VM
+  that allocates the places of an upstream is the giver.
+"""
 
 import dataclasses
 
@@ -7,25 +20,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadRows:
-    """Work at several upstreams, in small whole numbers.
+    """Load of several upstreams, as integers.
 
-    All numbers are one field of bytes: a list is read number by number, which
-    takes a dozen times as long for the hundred upstreams of a large fleet, ten
-    times a second.
+    All numbers are packed into one field of bytes: a Cap'n Proto list is read
+    number by number, which takes a dozen times as long for the hundred
+    upstreams of a large fleet, ten times a second.
 
     Parameters
     ----------
     upstreams
-        Ids, one a line.
+        Ids, one per line.
     tiers
-        Numbers of waiting prompt tokens in each row.
+        Number of tiers in each row.
     numbers
-        A row for each upstream, four bytes a number, the lowest byte first:
-        prompt tokens of requests without a first event by tier, the highest
-        tier first; requests without an end; streams among them, each by the
-        inverse of its longest pause, in hundredths; prompt tokens of all of
-        them, less those that were cached; requests whose first event should
-        have come long ago.
+        One row per upstream of 32-bit little-endian numbers: for each tier,
+        the highest first, prompt tokens of the requests that have not
+        received their first event; requests that have not ended; the streams
+        among them, each counted as the inverse of its maximum pause, in
+        hundredths; prompt tokens of all of them, less the cached ones;
+        requests whose first event is long overdue.
     """
 
     upstreams: str = ""
@@ -35,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UsageRows:
-    """Requests that began to run, by window and organisation.
+    """Numbers of started requests by window and organisation.
 
     Parameters
     ----------
     windows
-        Window of each row.
+        Usage window of each row.
     organisations
-        Organisation of each row, one a line.
+        Organisation of each row, one per line.
     counts
-        Number of each row, four bytes each, the lowest byte first.
+        Number of requests of each row, 32-bit little-endian.
     """
 
     windows: tuple[int, ...] = ()
@@ -57,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PromptPlacement:
-    """A shared part of a prompt and the upstream that was given it."""
+    """A shared prompt part and the upstream that a prompt with it was sent to."""
 
     part: str
     upstream: types.UpstreamId
@@ -65,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PressedTier:
-    """Requests of a tier that could not be served a moment ago."""
+    """Requests of a tier that could not be admitted recently."""
 
     pool: types.PoolName
     tier: types.Tier
@@ -74,15 +87,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryVmAddress:
-    """Where an entry VM listens for the others.
+    """Address at which an entry VM listens for its peers.
 
     Parameters
     ----------
     domain
-        Its failure domain; empty where that is not known.
+        Its failure domain; empty if unknown.
     processor_hundredths
-        Processor time that it may use, in hundredths of a core; 0 where that
-        is not known.
+        Processor time that it may use, in hundredths of a core; 0 if unknown.
     """
 
     entry_vm: types.EntryVmId
@@ -94,12 +106,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeavingUpstream:
-    """An upstream that gets nothing new.
+    """An upstream that must not receive new requests.
 
     Parameters
     ----------
     start
-        Which start of it; it may have started again under its id since.
+        Start number of the upstream; it may have restarted under its id since.
     """
 
     upstream: types.UpstreamId
@@ -108,40 +120,41 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RouterState:
-    """What an entry VM tells the others several times a second.
+    """State that an entry VM sends to its peers several times a second.
 
     Parameters
     ----------
     start
-        Drawn at random by each start of the process.
+        Start number of the process, drawn at random.
     sequence
-        Grows with each message of one start: an overtaken one is dropped.
+        Increases with each message of one start; a reordered older message is
+        discarded.
     port
-        Where the sender listens, for datagrams and for calls.
+        Port on which the sender listens for datagrams and calls.
     revision
-        Declarations that it has in force; 0 for none.
+        Revision of the declarations in force; 0 for none.
     follows_store
-        Whether it reads the store itself and is up to date with it.
+        Whether it reads the store itself and is up to date.
     store_revision
-        Revision of the store that last changed what it knows of the upstreams;
-        0 for none.
+        Revision of the store at which its list of upstreams last changed; 0
+        for none.
     read_revision
-        Revision of the store up to which it knows all keys; 0 for none.
+        Revision of the store up to which it has all keys; 0 for none.
     stopping
-        Whether it is about to end and takes no more part.
+        Whether the process is about to stop.
     leaving_starts
-        Upstreams that get nothing new, the newest last.
+        Upstreams that must not receive new requests, the newest last.
     known
         Some of the entry VMs that it knows.
     processor_hundredths
         Processor time that it may use, in hundredths of a core.
     relay
-        Neighbour that it relies on to tell it of the fleet; empty where
-        neighbours tell each other all.
+        Neighbour from which it receives the state of the fleet; empty if the
+        neighbours send each other everything.
     usage
-        Counts of requests that have grown since they were told.
+        Request counts that have increased since they were last sent.
     holds_duties
-        Whether it does what one entry VM at a time does for all.
+        Whether it holds the duties.
     """
 
     entry_vm: types.EntryVmId
@@ -167,29 +180,29 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DomainNews:
-    """What one entry VM tells other failure domains of all of its own.
+    """State of a failure domain, sent to entry VMs of other domains.
 
     Parameters
     ----------
     entry_vm
-        Who summed it up.
+        Entry VM that aggregated the state.
     start
-        Drawn at random by each start of the process.
+        Start number of the process, drawn at random.
     sequence
-        Grows with each message of one start: an overtaken one is dropped.
+        Increases with each message of one start; a reordered older message is
+        discarded.
     loads
-        Work of the whole failure domain.
+        Load caused by the whole failure domain.
     port
-        Where the sender listens, for datagrams and for calls.
+        Port on which the sender listens for datagrams and calls.
     placements
-        Prompt parts that were placed since the message before.
+        Prompt parts that were placed since the previous message.
     revision, store_revision, read_revision
-        What the sender knows of the store; see `RouterState`.
+        Revisions that the sender has; see `RouterState`.
     reads_store
         Whether some entry VM of the failure domain reads the store.
     duties_holder
-        Entry VM of the failure domain that does what one at a time does for
-        all; empty for none.
+        Entry VM of the failure domain that holds the duties; empty for none.
     """
 
     entry_vm: types.EntryVmId
@@ -209,37 +222,41 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FleetNews:
-    """What the relay of a large failure domain tells all entry VMs there.
+    """State of the fleet, sent by a relay to the entry VMs of its domain.
+
+    Only large failure domains use a relay.
 
     Parameters
     ----------
     entry_vm
         The relay.
     start
-        Drawn at random by each start of the process.
+        Start number of the process, drawn at random.
     sequence
-        Grows with each message of one start: an overtaken one is dropped.
+        Increases with each message of one start; a reordered older message is
+        discarded.
     port
-        Where the relay listens, for datagrams and for calls.
+        Port on which the relay listens for datagrams and calls.
     loads
-        Work of the whole fleet, that of the reader included.
+        Load caused by the whole fleet, including the receiver.
     prefill_rates
-        Prompt tokens a second that were sent lately to each upstream of
-        `loads`, four bytes a number, the lowest byte first.
+        Prompt tokens a second that were recently sent to each upstream of
+        `loads`, as 32-bit little-endian numbers.
     placements
-        Prompt parts that were placed since the message before.
+        Prompt parts that were placed since the previous message.
     domains, silent_milliseconds
-        Other failure domains, and how long ago each was heard.
+        Other failure domains, and the time since the relay last received a
+        message from each.
     reading_domains
         Those of them in which some entry VM reads the store.
     tellers, teller_sequences
-        Short hashes of the entry VMs that told the relay, and the sequence of
-        the newest state of each: a reader takes its own work of that state out
-        of `loads`, and knows of the others that they live.
+        Short hashes of the entry VMs whose state the relay received, and the
+        sequence of the newest state of each. A receiver subtracts its own load
+        in that state from `loads`, and learns that the others are alive.
     readers
-        Those of the tellers that read the store and are up to date with it.
+        Those of the tellers that read the store and are up to date.
     leaving_starts
-        Upstreams that get nothing new, the newest last.
+        Upstreams that must not receive new requests, the newest last.
     """
 
     entry_vm: types.EntryVmId
@@ -261,12 +278,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UsageNews:
-    """Counts of a whole failure domain, for the holder of the duties.
+    """Request counts of a failure domain, sent to the holder of the duties.
 
     Parameters
     ----------
     entry_vm, domain
-        The relay that summed them up.
+        The relay that aggregated them.
     """
 
     entry_vm: types.EntryVmId
@@ -276,22 +293,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CrashedRun:
-    """A request ran at an upstream when that crashed.
+    """A request that ran at an upstream when the upstream crashed.
 
     Parameters
     ----------
     request
-        The same for each copy of the request.
+        Digest that all copies of the request share.
     route
         Name of its route, for operators.
     start
-        Which start of the upstream.
+        Start number of the upstream.
     age_milliseconds
         Time since the crash.
     silent
-        Whether its caller had nothing of its answer.
+        Whether no part of the answer had reached the caller.
     void
-        Whether the request was answered, or its block lifted, since.
+        Whether the request was answered or unblocked since.
     """
 
     request: types.RequestDigest
@@ -305,7 +322,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CrashNews:
-    """What an entry VM knows of requests that ran at crashed upstreams."""
+    """Requests that ran at crashed upstreams, as known to an entry VM."""
 
     entry_vm: types.EntryVmId
     domain: types.FailureDomain
@@ -314,17 +331,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamLimit:
-    """What an upstream has said of the requests that it takes.
+    """Rate limit that an upstream has announced.
 
     Parameters
     ----------
     start
-        Which start of the upstream.
+        Start number of the upstream.
     thousandths_per_second
-        Requests in a thousand seconds, of all entry VMs together; 0 where it
-        names no limit any more.
+        Requests of all entry VMs together per thousand seconds; 0 if the
+        upstream no longer announces a limit.
     age_milliseconds
-        Time since the answer that said so.
+        Time since the answer that announced it.
     """
 
     upstream: types.UpstreamId
@@ -335,7 +352,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LimitNews:
-    """What an entry VM knows of the limits that upstreams name."""
+    """Rate limits of upstreams, as known to an entry VM."""
 
     entry_vm: types.EntryVmId
     domain: types.FailureDomain
@@ -344,14 +361,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RestNews:
-    """An upstream has turned an entry VM away and asked it for rest.
+    """An upstream rejected a request and asked for a rest by Retry-After.
 
     Parameters
     ----------
     start
-        Which start of the upstream.
+        Start number of the upstream.
     left_milliseconds
-        What is left of the rest.
+        Time until the rest ends.
     """
 
     entry_vm: types.EntryVmId
@@ -363,16 +380,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlaceRequest:
-    """An entry VM asks for one place at a limited upstream.
+    """Request for one place at a rate-limited upstream.
 
     Parameters
     ----------
     entry_vm, host, port, domain
-        Who asks, and where the answer goes.
+        The requesting entry VM and the address for the answer.
     number
-        Names the question.
+        Identifies this request in its answer.
     limit
-        What the asker knows of the limit.
+        The limit as known to the requesting entry VM.
     upstream_domain
         Failure domain of the upstream.
     """
@@ -389,14 +406,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlaceAnswer:
-    """Whether an entry VM has the place that it asked for.
+    """Answer to a `PlaceRequest`.
 
     Parameters
     ----------
     wait_milliseconds
-        Time until the next place may come up, where it has none.
+        Time until a place may become available, if none was granted.
     giver
-        For whom places are given out where this was decided.
+        Which entry VM decided; a value of `lagoonrun_router.places.Giver`.
     """
 
     number: int
@@ -407,7 +424,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoredItem:
-    """A key of the store with its value, as it was read."""
+    """A key of the store and its value."""
 
     key: str
     value: bytes
@@ -415,12 +432,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoredItems:
-    """Keys of the store, for an entry VM that does not read it itself.
+    """Content of the store, for an entry VM that does not read it itself.
 
     Parameters
     ----------
     store_revision
-        Revision of the store that the items are of.
+        Revision of the store at which the items were read.
     """
 
     items: tuple[StoredItem, ...]
@@ -429,17 +446,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DeclaredChange:
-    """How to make the value of newer declarations out of an older one.
+    """Binary delta from one value of the declarations to a newer one.
 
     Parameters
     ----------
     revision
-        Of the declarations in the value that is made.
+        Revision of the newer declarations.
     base, result
-        Digests of the older value, empty for none, and of the one made.
+        Digests of the older value, empty for none, and of the newer one.
     new_lengths, copied_starts, copied_lengths
-        The n-th step takes so many bytes of the new text, then so many of the
-        older value from a place there on.
+        Step n appends `new_lengths[n]` bytes of the new text, then
+        `copied_lengths[n]` bytes of the older value from the offset
+        `copied_starts[n]` on.
     packed_text
         New text of all steps, compressed.
     """
@@ -455,7 +473,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangedItem:
-    """A key of the store as a change left it."""
+    """A key of the store after a change."""
 
     key: str
     value: bytes = b""
@@ -464,20 +482,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoreChanges:
-    """What a reader of the store has just seen, for the others.
+    """Changes that a reader of the store forwards to other entry VMs.
 
     Parameters
     ----------
     entry_vm, domain
         The reader.
     since
-        Revision of the upstreams that the items change.
+        Revision of the upstreams' keys to which the items apply.
     until
-        Revision of the upstreams with the changes.
+        Revision of the upstreams' keys after the changes.
     items
-        Upstreams' keys that have changed.
+        Changed keys of upstreams.
     declared
-        Change of the declarations; one at most.
+        Change of the declarations; at most one.
     """
 
     since: int
