--- a/packages/core/src/lagoonrun_core/bounded_log.py
+++ b/packages/core/src/lagoonrun_core/bounded_log.py
@@ -1,8 +1,8 @@
-"""A log handler that never waits and bounds its volume.
+"""A log handler that never blocks and limits the rate of log lines.
 
-A reader of the log that stops must not stop the router: a write to a full
-pipe would block the event loop, and with it every stream. What cannot be
-written at once is left out and counted, and so is what exceeds a kind's rate.
+If the reader of the log stops, a blocking write to the full pipe would block
+the event loop and with it every stream. Lines that cannot be written at once
+are dropped and counted, and so are lines that exceed the rate of their kind.
 """
 
 import collections
@@ -14,34 +14,34 @@
 from lagoonrun_core import events
 
 LINES_PER_SECOND = 200
-"""Lines of one kind and reason a second; the rest is counted.
+"""Lines a second of one kind and reason; further ones are only counted.
 
-A line costs about 30 microseconds; at this rate one kind takes less than one
+A line takes about 30 microseconds; at this rate one kind takes less than one
 hundredth of a core.
 """
 
-_MOST_KINDS = 512
-"""Kinds whose rates are kept; all further ones share one."""
+_MAX_KINDS = 512
+"""Kinds with a rate per reason; further reasons of an event share one rate."""
 
 _PENDING_BYTES = 64 * 1024
-"""What may wait for a slow reader: about what a pipe holds."""
+"""Maximum bytes buffered for a slow reader: about the capacity of a pipe."""
 
 
 class BoundedLogHandler(logging.Handler):
-    """Writes lines to a stream's descriptor without ever waiting.
+    """Writes log lines to a stream's file descriptor without blocking.
 
     Parameters
     ----------
     stream
-        Open file, usually standard output. Its descriptor is made not to
-        block where the system lets it.
+        Open file, usually standard output. Its file descriptor is set to
+        non-blocking mode.
     lines_per_second
-        Bound for each kind and reason.
+        Maximum for each kind and reason.
 
     Attributes
     ----------
     left_out
-        Lines that were not written, since the start.
+        Number of lines that were dropped since the start.
     """
 
     def __init__(
@@ -56,22 +56,22 @@
             collections.Counter()
         )
         self._pending = b""
-        self._untold = 0
+        self._unreported = 0
         self.left_out = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it as left out."""
+        """Write one line, or drop and count it."""
         if not self._admits(record):
-            self._leave_out()
+            self._count_dropped()
             return
         try:
             line = self.format(record) + "\n"
         except (TypeError, ValueError):
             self.handleError(record)
             return
-        self._tell_left_out(record)
+        self._report_dropped(record)
         if not self._write(line.encode("utf-8", "replace")):
-            self._leave_out()
+            self._count_dropped()
 
     def _admits(self, record: logging.LogRecord) -> bool:
         second = int(time.monotonic())
@@ -79,45 +79,45 @@
             self._second = second
             self._lines_by_kind.clear()
         kind = (record.msg, getattr(record, "reason", None))
-        if len(self._lines_by_kind) >= _MOST_KINDS:
+        if len(self._lines_by_kind) >= _MAX_KINDS:
             kind = (record.msg, None)
         self._lines_by_kind[kind] += 1
         return self._lines_by_kind[kind] <= self._lines_per_second
 
-    def _leave_out(self) -> None:
+    def _count_dropped(self) -> None:
         self.left_out += 1
-        self._untold += 1
+        self._unreported += 1
 
-    def _tell_left_out(self, record: logging.LogRecord) -> None:
-        if not self._untold or self._pending:
+    def _report_dropped(self, record: logging.LogRecord) -> None:
+        if not self._unreported or self._pending:
             return
         event = events.LogEvent.LOG_LINES_LEFT_OUT
-        told = logging.makeLogRecord(
+        report = logging.makeLogRecord(
             {
                 **record.__dict__,
                 "msg": event.label,
                 "args": (),
                 "exc_info": None,
                 "event": event.number,
-                "left_out": self._untold,
+                "left_out": self._unreported,
             }
         )
-        line = (self.format(told) + "\n").encode("utf-8", "replace")
+        line = (self.format(report) + "\n").encode("utf-8", "replace")
         if self._write(line):
-            self._untold = 0
+            self._unreported = 0
 
     def _write(self, line: bytes) -> bool:
-        """Write what fits at once; return whether the line was taken."""
-        # A line that was written in part must be ended before the next one.
-        taken = len(self._pending) + len(line) <= _PENDING_BYTES
-        data = self._pending + line if taken else self._pending
+        """Write without blocking; return whether the line was accepted."""
+        # The rest of a partially written line must precede the next line.
+        accepted = len(self._pending) + len(line) <= _PENDING_BYTES
+        data = self._pending + line if accepted else self._pending
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone for good; there is no one to tell.
+            # The reader closed the pipe, so the error can't be reported.
             self._pending = b""
             return False
         self._pending = data[written:]
-        return taken
+        return accepted
--- a/packages/core/src/lagoonrun_core/logs.py
+++ b/packages/core/src/lagoonrun_core/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines: one JSON object per numbered event."""
+"""Structured logging: one JSON object per numbered event."""
 
 import logging
 import sys
@@ -14,16 +14,16 @@
 def configure(
     *, entry_vm: str, level: int = logging.INFO, stream: TextIO | None = None
 ) -> None:
-    """Send all lagoonrun log lines to standard output as JSON.
+    """Write all lagoonrun log lines as JSON to a stream.
 
     Parameters
     ----------
     entry_vm
-        Name of this process, repeated on each line.
+        Name of this process, included in each line.
     level
         Lowest level that is written.
     stream
-        Where the lines go; standard output if None.
+        Output stream; standard output if None.
     """
     handler = bounded_log.BoundedLogHandler(stream=stream or sys.stdout)
     handler.setFormatter(
@@ -45,18 +45,18 @@
     exc_info: BaseException | None = None,
     **fields: object,
 ) -> None:
-    """Write one numbered event.
+    """Log one event.
 
     Parameters
     ----------
     event
-        Kind of the line.
+        Number and label of the line.
     level
-        Level of the line.
+        Log level.
     exc_info
-        Error whose traceback goes into the line.
+        Exception whose traceback is included.
     **fields
-        Values of the line; never prompts, answers or keys.
+        Fields of the line; must not contain prompts, answers or keys.
     """
     logger = logging.getLogger(_ROOT_NAME)
     if logger.isEnabledFor(level):
--- a/packages/core/tests/test_bounded_log.py
+++ b/packages/core/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines never stop the process, and their number is bounded."""
+"""Logging never blocks the process, and the rate of lines is limited."""
 
 import json
 import logging
@@ -47,10 +47,10 @@
 
 
 def test_full_pipe_does_not_block(pipe, logger):
-    """Whoever reads the log stops reading.
+    """The reader of the log stops reading, and the pipe fills up.
 
-    The pipe fills; a write that waited would stop every stream. Lines are
-    left out and counted, and the first line after that says how many.
+    A blocking write would stop every stream. Lines are dropped and counted,
+    and the first line after that reports their number.
     """
     handler = bounded_log.BoundedLogHandler(
         stream=pipe[1], lines_per_second=1 << 30
@@ -65,26 +65,26 @@
     more = read_lines(pipe[0])
     parsed = [json.loads(one) for one in whole[:-1]]
     assert all(one["event"] == 200 for one in parsed)
-    told = [one for one in more if b"log-lines-left-out" in one]
-    assert told or handler.left_out == before
+    reports = [one for one in more if b"log-lines-left-out" in one]
+    assert reports or handler.left_out == before
     assert json.loads(more[-1])["request_id"] == "after"
 
 
-def test_kind_above_its_rate_is_counted(pipe, logger):
+def test_lines_above_the_rate_are_counted(pipe, logger):
     emit(bounded_log.LINES_PER_SECOND * 3)
     handler = logger.handlers[0]
     assert handler.left_out >= bounded_log.LINES_PER_SECOND
 
 
-def test_refusals_of_distinct_causes_have_rates_of_their_own(pipe, logger):
-    """A flood of one refusal must not hide the single one of another cause."""
+def test_each_reason_has_its_own_rate(pipe, logger):
+    """Many refusals for one reason must not hide one for another reason."""
     emit(bounded_log.LINES_PER_SECOND * 2, reason="overloaded")
     emit(1, reason="no-upstream")
     lines = read_lines(pipe[0])
     assert any(b"no-upstream" in one for one in lines)
 
 
-def test_reader_that_is_gone_is_no_error(pipe, logger):
+def test_closed_pipe_is_no_error(pipe, logger):
     pipe[0].close()
     emit(3)
     assert logger.handlers[0].left_out == 3
