--- a/packages/core/src/lagoonrun_core/supervised_task.py
+++ b/packages/core/src/lagoonrun_core/supervised_task.py
@@ -1,4 +1,4 @@
-"""A task that runs for as long as its owner; a fault does not end it."""
+"""A background task that is restarted after an unexpected exception."""
 
 import asyncio
 import logging
@@ -8,22 +8,22 @@
 from lagoonrun_core import events, logs
 
 RESTART_SECONDS = 1.0
-"""Pause after a fault, so that a lasting one costs neither a core nor a log."""
+"""Delay of a restart: a permanent fault must not use up a core or the log."""
 
 
 class SupervisedTask:
-    """Runs a function until it is closed, and again after a fault.
+    """Runs a function in the background; restarts it after an exception.
 
-    A task that ends by an unforeseen error would otherwise end in silence:
-    the entry VM would serve on with what it knew, and never hear of the store
-    or its peers again.
+    Without it, an unexpected exception would end the task silently: the entry
+    VM would go on serving with outdated state and no longer receive changes
+    from the store or its peers.
 
     Parameters
     ----------
     name
-        What the log calls it.
+        Name of the task in the log.
     function
-        Runs until it is cancelled, or returns when it is done.
+        Function to run until it is cancelled; may return when it is done.
     """
 
     def __init__(
@@ -34,18 +34,18 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin; what runs already is left to run."""
+        """Start the task, unless it is already running."""
         if self._task is None:
             self._task = asyncio.create_task(self._run())
 
     def cancel(self) -> None:
-        """End without waiting; it may be started again."""
+        """Cancel the task without waiting; it may be started again."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def close(self) -> None:
-        """End, and wait for it."""
+        """Cancel the task and wait for it to end."""
         task = self._task
         self.cancel()
         if task is not None:
--- a/packages/core/tests/test_standing_task.py
+++ b/packages/core/tests/test_supervised_task.py
@@ -1,4 +1,4 @@
-"""Standing tasks outlive their faults, and say them."""
+"""Supervised tasks are restarted after an exception, which is logged."""
 
 import asyncio
 import logging
@@ -9,19 +9,21 @@
 
 
 @pytest.fixture
-def quick(monkeypatch):
+def short_restart_delay(monkeypatch):
     monkeypatch.setattr(supervised_task, "RESTART_SECONDS", 0.01)
 
 
 async def other_tasks_ended():
-    """Wait until nothing but the test itself runs."""
+    """Wait until all tasks but the current one have ended."""
     others = asyncio.all_tasks() - {asyncio.current_task()}
     async with asyncio.timeout(5):
         await asyncio.gather(*others, return_exceptions=True)
 
 
-async def test_task_goes_on_after_a_fault_and_logs_it(quick, caplog):
-    """A value that nobody foresaw raises in the middle of a task."""
+async def test_task_is_restarted_after_an_exception(
+    short_restart_delay, caplog
+):
+    """Guards against background tasks that end silently by an exception."""
     runs = []
     second = asyncio.Event()
 
@@ -38,12 +40,12 @@
         await asyncio.wait_for(second.wait(), 5)
     record = caplog.records[0]
     assert (record.task, record.error) == ("reader", "ValueError('unforeseen')")
-    assert "test_standing_task" in record.trace
+    assert "test_supervised_task" in record.trace
     await task.close()
     assert len(runs) == 2
 
 
-async def test_task_that_is_done_is_not_run_again(quick):
+async def test_finished_task_is_not_restarted(short_restart_delay):
     runs = []
 
     async def work():
