--- a/packages/core/tests/test_ticks.py
+++ b/packages/core/tests/test_ticks.py
@@ -1,4 +1,4 @@
-"""Timers that fall due together."""
+"""Timers with intervals that divide each other expire together."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class Loop:
-    """A loop that only knows the time."""
+    """Event loop that has only a time."""
 
     def __init__(self, now):
         self._now = now
@@ -27,8 +27,8 @@
 
 
 @given(now=st.floats(0.0, 1e5))
-def test_ticks_of_intervals_that_divide_each_other_meet(now):
-    """Else each timer of a process wakes it alone."""
+def test_ticks_of_intervals_that_divide_each_other_coincide(now):
+    """Otherwise each timer of a process needs a wake-up of its own."""
     second = ticks.next_tick(Loop(now), 1.0)
     before = Loop(second - 0.01)
     for interval in (0.05, 0.25):
