--- a/packages/core/src/lagoonrun_core/__init__.py
+++ b/packages/core/src/lagoonrun_core/__init__.py
@@ -1,1 +1,1 @@
-"""Ids, outcomes, log events and clocks that every lagoonrun package shares."""
+"""Ids, outcomes, log events and clocks shared by all lagoonrun packages."""
--- a/packages/core/src/lagoonrun_core/clock.py
+++ b/packages/core/src/lagoonrun_core/clock.py
@@ -1,4 +1,4 @@
-"""Clocks as a `Protocol`, so that tests drive time by hand."""
+"""Interface of clocks, with a clock that tests advance."""
 
 import time
 from typing import Protocol
@@ -8,10 +8,10 @@
     """Source of time in seconds."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go backwards; the origin means nothing."""
+        """Return seconds from an arbitrary origin; never decreases."""
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch, for people only."""
+        """Return seconds since the Unix epoch, for display only."""
 
 
 class SystemClock:
@@ -27,14 +27,14 @@
 
 
 class SuspendAwareClock:
-    """The operating system's clocks, with the time of suspensions counted.
+    """The operating system's clocks, including the time of suspensions.
 
-    Ages of idle connections and of what others told must grow while the VM
-    is suspended: the other side's time went on.
+    While the VM is suspended, time passes for its peers, so idle connections
+    and received state must age.
     """
 
     def monotonic(self) -> float:
-        """Return seconds since the VM's start, suspensions included."""
+        """Return seconds since the VM booted, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
@@ -43,27 +43,27 @@
 
 
 class ManualClock:
-    """Clock for tests that moves only when told.
+    """Clock for tests that changes only by `advance`.
 
     Parameters
     ----------
     start
-        First reading of both clocks, in seconds.
+        Initial time of both clocks, in seconds.
     """
 
     def __init__(self, *, start: float = 1000.0) -> None:
         self._now = start
 
     def monotonic(self) -> float:
-        """Return the current reading in seconds."""
+        """Return the current time in seconds."""
         return self._now
 
     def wall(self) -> float:
-        """Return the current reading in seconds."""
+        """Return the current time in seconds."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move forwards by `seconds`, which must not be negative."""
+        """Advance by `seconds`, which must not be negative."""
         if seconds < 0:
             raise ValueError(f"cannot go back by {seconds} s; valid: >= 0")
         self._now += seconds
--- a/packages/core/src/lagoonrun_core/errors.py
+++ b/packages/core/src/lagoonrun_core/errors.py
@@ -1,10 +1,10 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""Errors with the step and the peer at which they occurred."""
 
 import enum
 
 
 class Step(enum.Enum):
-    """Part of the work during which an error arose."""
+    """Step of the processing at which an error occurred."""
 
     SETTINGS = "settings"
     DECLARATION = "declaration"
@@ -27,16 +27,16 @@
 
 
 class LagoonrunError(Exception):
-    """Base of all errors that lagoonrun raises on purpose.
+    """Base class of the errors that lagoonrun raises.
 
     Parameters
     ----------
     step
-        Part of the work that failed.
+        Step that failed.
     peer
-        Name or address of the other side; empty where there is none.
+        Name or address of the peer; empty if there is none.
     detail
-        Names the offending value and what would be valid.
+        Description with the invalid value and what would be valid.
     """
 
     def __init__(self, *, step: Step, peer: str = "", detail: str) -> None:
--- a/packages/core/src/lagoonrun_core/events.py
+++ b/packages/core/src/lagoonrun_core/events.py
@@ -1,6 +1,6 @@
-"""Numbered log events; docs/log-events.md is the catalogue of the same.
+"""Numbered log events; docs/log-events.md describes each of them.
 
-Numbers are never given twice. Hundreds group by concern: 1xx process,
+Numbers are never reused. The hundreds are areas: 1xx process,
 2xx request and routing decisions, 3xx shards and permits, 4xx upstreams,
 5xx configuration, 6xx membership, 7xx platform, 8xx orders, 9xx admin.
 """
--- a/packages/core/src/lagoonrun_core/outcomes.py
+++ b/packages/core/src/lagoonrun_core/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a request, as a caller and a log line are told."""
+"""Outcomes of requests, as reported to callers and in log lines."""
 
 import dataclasses
 import enum
@@ -7,10 +7,10 @@
 
 
 class Outcome(enum.Enum):
-    """End of a request; the value goes into the `Lagoonrun-Outcome` header.
+    """Outcome of a request; the value of the `Lagoonrun-Outcome` header.
 
-    `NOT_RUN` is a promise: no byte of the request left for an upstream, or
-    the upstream said by protocol that it did not run it.
+    `NOT_RUN` is a guarantee: no byte of the request was sent to an upstream,
+    or the upstream reported that it did not run the request.
     """
 
     COMPLETE = "complete"
@@ -21,7 +21,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused, cut or ended other than complete."""
+    """Why a request was refused, cut or not completed."""
 
     NONE = "none"
     QUEUE_FULL = "queue-full"
@@ -57,13 +57,15 @@
     Parameters
     ----------
     outcome
-        Tag told to the caller.
+        Outcome reported to the caller.
     reason
-        Cause, `Reason.NONE` for a complete answer.
+        Cause; `Reason.NONE` for a complete answer.
     retry_after_seconds
-        When the caller should come back; 0 where that says nothing.
+        Time after which the caller should retry; 0 if there is none.
     detail
-        One sentence for people; never holds prompt text or keys.
+        One sentence for people; must not contain prompt text or keys.
+    upstream
+        Upstream that ran the request; None if there is none.
     """
 
     outcome: Outcome
--- a/packages/core/src/lagoonrun_core/types.py
+++ b/packages/core/src/lagoonrun_core/types.py
@@ -1,35 +1,35 @@
-"""Ids and small typing aliases shared by every package.
+"""Ids and type aliases shared by all packages.
 
-All durations are `float` seconds and carry a `_seconds` suffix; all instants
-are readings of a `Clock` in seconds.
+Durations are `float` seconds and have the suffix `_seconds`; points in time are
+values of a `Clock` in seconds.
 """
 
 from typing import NewType
 
 RequestId = NewType("RequestId", str)
-"""Identifies one arrival at one entry VM; passed on to the upstream."""
+"""Id of a request as received by one entry VM; forwarded to the upstream."""
 
 RequestDigest = NewType("RequestDigest", str)
-"""The same for all requests of one caller with the same path and body."""
+"""Digest shared by all requests of one caller with the same path and body."""
 
 UNKNOWN_REQUEST = RequestDigest("")
 
 AttemptId = NewType("AttemptId", int)
-"""Numbers the permit attempts of one request, from 1."""
+"""Number of a permit attempt of one request, from 1."""
 
 OrganisationId = NewType("OrganisationId", str)
 ServiceName = NewType("ServiceName", str)
 ProfileName = NewType("ProfileName", str)
-"""Names a profile, and thereby the class of the requests that carry it."""
+"""Name of a profile, which is also the class of the requests that use it."""
 
 PoolName = NewType("PoolName", str)
 UpstreamId = NewType("UpstreamId", str)
 
 UpstreamStart = NewType("UpstreamStart", int)
-"""Orders the starts of an upstream under one id; a later one is larger."""
+"""Start number of an upstream; increases with each start under one id."""
 
 UNKNOWN_UPSTREAM_START = UpstreamStart(0)
-"""Of an upstream that does not say when it started."""
+"""Start number of an upstream that does not report one."""
 
 EntryVmId = NewType("EntryVmId", str)
 NO_ENTRY_VM = EntryVmId("")
@@ -37,12 +37,13 @@
 UNKNOWN_DOMAIN = FailureDomain("")
 
 LoadReporter = EntryVmId | FailureDomain
-"""Who tells of work: an entry VM of its own, or one for a whole domain."""
+"""Source of a load report: an entry VM, or a failure domain as a whole."""
+
 DutyName = NewType("DutyName", str)
-"""Names what one entry VM at a time does for all others."""
+"""Name of a duty: a task that one entry VM at a time performs for all."""
 
 Region = NewType("Region", str)
-"""Failure domains that are near each other; empty for the unnamed one."""
+"""Group of failure domains near each other; empty for the unnamed region."""
 
 ShardId = NewType("ShardId", str)
 """`pool@domain/index`: at most 32 runners of one pool in one domain."""
@@ -51,7 +52,7 @@
 """Priority of a profile: 1 is the highest, 6 the lowest."""
 
 Revision = NewType("Revision", int)
-"""Number of an accepted configuration; grows by one with each change."""
+"""Number of an accepted configuration; increases by one with each change."""
 
 NO_REVISION = Revision(0)
 
