--- a/packages/config/src/lagoonrun_config/follower.py
+++ b/packages/config/src/lagoonrun_config/follower.py
@@ -1,9 +1,9 @@
-"""Keeps the configuration that is in force in one daemon.
+"""Keeps the configuration in force of one daemon up to date.
 
-It learns of revisions from the platform's head and from peers, fetches the
-snapshot, checks its digest, and only ever moves to a higher revision: an
-old head from a lagging store, or from a peer that was cut off, changes
-nothing.
+The follower receives revisions from the head in the platform's store and from
+peers, fetches the snapshot and checks its digest. It never changes to a lower
+revision: an old head from a lagging store, or from a peer that was
+disconnected, has no effect.
 """
 
 import asyncio
@@ -23,8 +23,8 @@
 
 _PLATFORM = "platform"
 _FETCH_TIMEOUT_SECONDS = 5.0
-_MOST_FETCHES = 3
-_MOST_REJECTED = 64
+_MAX_CONCURRENT_FETCHES = 3
+_MAX_REJECTED = 64
 _LARGE_SNAPSHOT_BYTES = 16_384
 _SNAPSHOT_ATTEMPTS = 4
 _SNAPSHOT_RETRY_SECONDS = 0.5
@@ -32,15 +32,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InForce:
-    """The configuration in force with its snapshot, for peers."""
+    """The configuration in force and its snapshot, which peers fetch."""
 
     configuration: model.Configuration
     snapshot: snapshot.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Wanted:
-    """A revision and who has it."""
+class _Candidate:
+    """A revision that a source has announced."""
 
     source: str
     revision: types.Revision
@@ -55,13 +55,13 @@
     store
         The platform's key-value service.
     peers
-        What other entry VMs have in force.
+        Snapshots and announcements of other entry VMs.
     watchers
-        Says whether this entry VM watches the head.
+        Decides whether this entry VM watches the head.
     rng
-        Source of the jitter.
+        Random numbers for the jitter.
     sleep
-        Waits between polls and retries.
+        Sleep function, used between polls and retries.
     """
 
     def __init__(
@@ -85,14 +85,14 @@
         )
         self._in_force: InForce | None = None
         self._subscribers: list[asyncio.Queue[model.Configuration]] = []
-        self._wanted_by_source: dict[str, _Wanted] = {}
+        self._candidates_by_source: dict[str, _Candidate] = {}
         self._fetches_by_source: dict[str, asyncio.Task[None]] = {}
-        self._rejected: set[_Wanted] = set()
+        self._rejected: set[_Candidate] = set()
         self._task: asyncio.Task[None] | None = None
 
     @property
     def in_force(self) -> InForce | None:
-        """Return what is in force; None while there is nothing to serve."""
+        """Return the configuration in force; None if there is none yet."""
         return self._in_force
 
     @property
@@ -106,10 +106,9 @@
         return self._source.reachable
 
     def subscribe(self) -> asyncio.Queue[model.Configuration]:
-        """Return a queue with the configuration now and each later one.
+        """Return a queue of the current and all later configurations.
 
-        It holds the newest only: a subscriber that was busy skips those
-        that came and went meanwhile.
+        It holds only the newest one: a slow subscriber skips the others.
         """
         queue: asyncio.Queue[model.Configuration] = asyncio.Queue(maxsize=1)
         self._subscribers.append(queue)
@@ -118,14 +117,14 @@
         return queue
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the head and the peers' announcements."""
         self._source.start()
-        self._task = asyncio.create_task(self._hear_peers())
+        self._task = asyncio.create_task(self._receive_announcements())
 
     async def close(self) -> None:
-        """End all tasks; what is in force stays readable."""
+        """Cancel all tasks; the configuration in force stays available."""
         await self._source.close()
-        self._wanted_by_source.clear()
+        self._candidates_by_source.clear()
         tasks = [self._task, *self._fetches_by_source.values()]
         running = [task for task in tasks if task is not None]
         for task in running:
@@ -133,12 +132,12 @@
         await asyncio.gather(*running, return_exceptions=True)
         self._task = None
 
-    async def _hear_peers(self) -> None:
-        announced = self._peers.announcements()
+    async def _receive_announcements(self) -> None:
+        announcements = self._peers.announcements()
         while True:
-            announcement = await announced.get()
-            self._want(
-                _Wanted(
+            announcement = await announcements.get()
+            self._consider(
+                _Candidate(
                     source=announcement.peer,
                     revision=announcement.revision,
                     digest=announcement.digest,
@@ -147,128 +146,128 @@
 
     def _on_head(self, head: head_module.Head) -> None:
         change = head.tail[-1]
-        self._want(
-            _Wanted(
+        self._consider(
+            _Candidate(
                 source=_PLATFORM,
                 revision=change.revision,
                 digest=change.digest,
             )
         )
 
-    def _want(self, wanted: _Wanted) -> None:
-        """Remember what a source has, if it is newer, and fetch."""
-        if self._contradicts(wanted):
-            self._reject(wanted, "same-revision-differs")
-        # Peers repeat themselves with each heartbeat; what can't be read
-        # from one of them is not fetched from it again and again.
-        if self._is_newer(wanted) and wanted not in self._rejected:
-            self._wanted_by_source[wanted.source] = wanted
+    def _consider(self, candidate: _Candidate) -> None:
+        """Fetch the announced revision if it is newer."""
+        if self._contradicts(candidate):
+            self._reject(candidate, "same-revision-differs")
+        # Peers repeat their announcement with each heartbeat; a snapshot that
+        # was rejected is not fetched from the same peer again.
+        if self._is_newer(candidate) and candidate not in self._rejected:
+            self._candidates_by_source[candidate.source] = candidate
             self._start_fetches()
 
-    def _contradicts(self, wanted: _Wanted) -> bool:
-        """Return whether two contents have the revision in force.
+    def _contradicts(self, candidate: _Candidate) -> bool:
+        """Return whether the revision in force has another digest.
 
-        The head is damaged, or a peer is of another fleet. Which one is
-        right can't be told here, and a switch could revert an accepted
-        change, so what is in force stays.
+        The head is damaged, or the peer belongs to another fleet. It is
+        unknown which content is right, and changing it could revert an
+        accepted change, so the configuration in force is kept.
         """
         if self._in_force is None:
             return False
         current = self._in_force.configuration
-        same_revision = wanted.revision == current.revision
-        return same_revision and wanted.digest != current.digest
+        same_revision = candidate.revision == current.revision
+        return same_revision and candidate.digest != current.digest
 
-    def _is_newer(self, wanted: _Wanted) -> bool:
+    def _is_newer(self, candidate: _Candidate) -> bool:
         if self._in_force is None:
-            return wanted.revision > 0
-        return wanted.revision > self._in_force.configuration.revision
+            return candidate.revision > 0
+        return candidate.revision > self._in_force.configuration.revision
 
     def _start_fetches(self) -> None:
-        """Fetch the newest, from a few sources at once.
+        """Fetch the newest revisions from a few sources concurrently.
 
-        One source alone would do until it freezes with the connection open;
-        all at once would send the same snapshot many times.
+        A single source may freeze with its connection open; using all of them
+        at once would transfer the same snapshot many times.
         """
         waiting = sorted(
-            self._wanted_by_source.values(),
-            key=lambda wanted: wanted.revision,
+            self._candidates_by_source.values(),
+            key=lambda candidate: candidate.revision,
             reverse=True,
         )
-        for wanted in waiting:
-            if len(self._fetches_by_source) >= _MOST_FETCHES:
+        for candidate in waiting:
+            if len(self._fetches_by_source) >= _MAX_CONCURRENT_FETCHES:
                 return
-            if wanted.source in self._fetches_by_source:
+            if candidate.source in self._fetches_by_source:
                 continue
-            del self._wanted_by_source[wanted.source]
-            if self._is_newer(wanted):
-                self._fetches_by_source[wanted.source] = asyncio.create_task(
-                    self._run_fetch(wanted)
+            del self._candidates_by_source[candidate.source]
+            if self._is_newer(candidate):
+                self._fetches_by_source[candidate.source] = asyncio.create_task(
+                    self._run_fetch(candidate)
                 )
 
-    async def _run_fetch(self, wanted: _Wanted) -> None:
+    async def _run_fetch(self, candidate: _Candidate) -> None:
         try:
             async with asyncio.timeout(_FETCH_TIMEOUT_SECONDS):
-                content = await self._fetch(wanted)
+                content = await self._fetch(candidate)
             if content is not None:
-                await self._take(wanted, content)
+                await self._apply(candidate, content)
         except (TimeoutError, errors.LagoonrunError):
-            # The source announces itself again if it still lives.
+            # The source announces its revision again if it is still alive.
             return
         finally:
-            del self._fetches_by_source[wanted.source]
+            del self._fetches_by_source[candidate.source]
             self._start_fetches()
 
-    async def _fetch(self, wanted: _Wanted) -> bytes | None:
-        if wanted.source == _PLATFORM:
-            return await self._fetch_from_store(wanted)
+    async def _fetch(self, candidate: _Candidate) -> bytes | None:
+        if candidate.source == _PLATFORM:
+            return await self._fetch_from_store(candidate)
         found = await self._peers.fetch(
-            peer=types.EntryVmId(wanted.source),
-            revision=wanted.revision,
-            digest=wanted.digest,
+            peer=types.EntryVmId(candidate.source),
+            revision=candidate.revision,
+            digest=candidate.digest,
         )
         return None if found is None else found.content
 
-    async def _fetch_from_store(self, wanted: _Wanted) -> bytes | None:
-        key = head_module.snapshot_key(wanted.digest)
+    async def _fetch_from_store(self, candidate: _Candidate) -> bytes | None:
+        key = head_module.snapshot_key(candidate.digest)
         for _ in range(_SNAPSHOT_ATTEMPTS):
             item = await self._store.get(key)
             if isinstance(item, store_module.Item) and item.found is not None:
                 return item.found.value
-            # A lagging store may show the head before the snapshot.
+            # A lagging store may return the head before the snapshot.
             await self._sleep(_SNAPSHOT_RETRY_SECONDS)
         return None
 
-    async def _take(self, wanted: _Wanted, content: bytes) -> None:
-        """Decode a snapshot and put it into force."""
-        encoded = snapshot.Snapshot(digest=wanted.digest, content=content)
+    async def _apply(self, candidate: _Candidate, content: bytes) -> None:
+        """Decode a snapshot and put it into force if it is valid."""
+        encoded = snapshot.Snapshot(digest=candidate.digest, content=content)
         try:
-            draft = await _decode(encoded, peer=wanted.source)
+            draft = await _decode(encoded, peer=candidate.source)
         except snapshot.SnapshotError as error:
-            self._reject(wanted, error.detail)
+            self._reject(candidate, error.detail)
             return
-        # A newer one may have come while this one was fetched and decoded.
-        if self._is_newer(wanted):
-            self._put_into_force(wanted, draft, encoded)
+        # A newer one may be in force since the fetch began.
+        if self._is_newer(candidate):
+            self._put_into_force(candidate, draft, encoded)
 
     def _put_into_force(
         self,
-        wanted: _Wanted,
+        candidate: _Candidate,
         draft: draft_module.Draft,
         encoded: snapshot.Snapshot,
     ) -> None:
         previous = self._in_force
         self._in_force = InForce(
             configuration=draft_module.configuration_of(
-                draft, revision=wanted.revision, digest=wanted.digest
+                draft, revision=candidate.revision, digest=candidate.digest
             ),
             snapshot=encoded,
         )
         self._rejected.clear()
         logs.emit(
             events.LogEvent.CONFIGURATION_IN_FORCE,
-            revision=wanted.revision,
-            digest=wanted.digest,
-            source=wanted.source,
+            revision=candidate.revision,
+            digest=candidate.digest,
+            source=candidate.source,
             previous=previous.configuration.revision if previous else 0,
         )
         self._publish(self._in_force.configuration)
@@ -283,15 +282,15 @@
                 queue.get_nowait()
             queue.put_nowait(configuration)
 
-    def _reject(self, wanted: _Wanted, reason: str) -> None:
-        if wanted in self._rejected or len(self._rejected) >= _MOST_REJECTED:
+    def _reject(self, candidate: _Candidate, reason: str) -> None:
+        if candidate in self._rejected or len(self._rejected) >= _MAX_REJECTED:
             return
-        self._rejected.add(wanted)
+        self._rejected.add(candidate)
         logs.emit(
             events.LogEvent.CONFIGURATION_REJECTED,
-            revision=wanted.revision,
-            digest=wanted.digest,
-            source=wanted.source,
+            revision=candidate.revision,
+            digest=candidate.digest,
+            source=candidate.source,
             reason=reason,
         )
 
@@ -301,6 +300,6 @@
 ) -> draft_module.Draft:
     if len(encoded.content) <= _LARGE_SNAPSHOT_BYTES:
         return snapshot.decode_snapshot(encoded, peer=peer)
-    # A large fleet's takes tens of milliseconds, during which the loop would
-    # relay nothing to any caller.
+    # Decoding the snapshot of a large fleet takes tens of milliseconds, during
+    # which the event loop would relay no answers to callers.
     return await asyncio.to_thread(snapshot.decode_snapshot, encoded, peer=peer)
--- a/packages/config/src/lagoonrun_config/follower_interfaces.py
+++ b/packages/config/src/lagoonrun_config/follower_interfaces.py
@@ -1,4 +1,4 @@
-"""What a follower of the configuration needs of its surroundings."""
+"""Interfaces that the configuration follower depends on."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Announcement:
-    """A peer says which revision it has in force."""
+    """Revision that a peer has in force."""
 
     peer: types.EntryVmId
     revision: types.Revision
@@ -19,10 +19,10 @@
 
 
 class PeerSnapshots(Protocol):
-    """Configurations that other entry VMs have in force."""
+    """Exchanges snapshots and announcements with other entry VMs."""
 
     def announcements(self) -> asyncio.Queue[Announcement]:
-        """Return the queue into which peers' announcements are put."""
+        """Return the queue of received announcements."""
 
     async def fetch(
         self,
@@ -31,23 +31,23 @@
         revision: types.Revision,
         digest: snapshot.Digest,
     ) -> snapshot.Snapshot | None:
-        """Return a peer's snapshot; None when it can't be had."""
+        """Return the snapshot of a peer; None if it is not available."""
 
     def announce(
         self, *, revision: types.Revision, digest: snapshot.Digest
     ) -> None:
-        """Tell peers from now on what this entry VM has in force."""
+        """Announce the revision in force to peers from now on."""
 
 
 class WatcherChoice(Protocol):
-    """Says which entry VMs watch the head on behalf of their domain."""
+    """Selects the entry VMs that watch the head for their failure domain."""
 
     def is_watcher(self) -> bool:
         """Return whether this entry VM is one of the two watchers."""
 
 
 class Sleep(Protocol):
-    """Waits, like `asyncio.sleep`; tests release it by hand."""
+    """Sleep function like `asyncio.sleep`, replaced in tests."""
 
     def __call__(self, seconds: float, /) -> Awaitable[None]:
         """Wait for `seconds`."""
--- a/packages/config/src/lagoonrun_config/head_source.py
+++ b/packages/config/src/lagoonrun_config/head_source.py
@@ -1,4 +1,4 @@
-"""Brings heads from the platform's store: by a watch and by a slow poll."""
+"""Receives heads from the platform's store by a watch and by polling."""
 
 import asyncio
 import contextlib
@@ -13,31 +13,31 @@
 _WATCHER_CHECK_SECONDS = 1.0
 _POLL_SECONDS = 60.0
 _WATCHER_POLL_SECONDS = 5.0
-_FIRST_RETRY_SECONDS = 0.2
-_LONGEST_RETRY_SECONDS = 10.0
+_INITIAL_RETRY_SECONDS = 0.2
+_MAX_RETRY_SECONDS = 10.0
 
-HeadSeen = Callable[[head_module.Head], None]
+HeadCallback = Callable[[head_module.Head], None]
 
 
 class HeadSource:
-    """Task that reports each head it sees, old ones included.
+    """Task that reports each head it reads, including old ones.
 
-    Every entry VM polls slowly. Watchers, which are few, poll every few
-    seconds, since a watch can die without a sign: the connection stays open
-    and brings nothing, and a change would be in force only a minute later.
+    Every entry VM polls at a long interval. The few watchers also poll every
+    few seconds, since a watch can fail silently: its connection stays open
+    without events, and a change would be in force only a minute later.
 
     Parameters
     ----------
     store
         The platform's key-value service.
     watchers
-        Says whether this entry VM holds a watch.
+        Decides whether this entry VM watches the head.
     on_head
         Called with each head.
     sleep
-        Waits between polls and retries.
+        Sleep function, used between polls and retries.
     rng
-        Source of the jitter.
+        Random numbers for the jitter.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         *,
         store: store_module.KeyValueStore,
         watchers: follower_interfaces.WatcherChoice,
-        on_head: HeadSeen,
+        on_head: HeadCallback,
         sleep: follower_interfaces.Sleep,
         rng: random.Random,
     ) -> None:
@@ -55,7 +55,7 @@
         self._sleep = sleep
         self._rng = rng
         self._reachable = True
-        self._seen = False
+        self._head_found = False
         self._tasks: list[asyncio.Task[None]] = []
         self._watch_task: asyncio.Task[None] | None = None
 
@@ -65,14 +65,14 @@
         return self._reachable
 
     def start(self) -> None:
-        """Begin to poll, and to watch while this entry VM is a watcher."""
+        """Start polling, and watching while this entry VM is a watcher."""
         self._tasks = [
             asyncio.create_task(self._poll()),
             asyncio.create_task(self._supervise_watch()),
         ]
 
     async def close(self) -> None:
-        """End the watch and the poll."""
+        """Stop the watch and the polling."""
         tasks = [*self._tasks, self._watch_task]
         self._tasks = []
         self._watch_task = None
@@ -84,11 +84,12 @@
         failures = 0
         while True:
             await self._read()
-            if self._seen:
+            if self._head_found:
                 await self._sleep(self._poll_period())
                 continue
-            # Nothing to serve by: ask again soon, but backing off with
-            # jitter, or all that wait call at once when it is back.
+            # Without a configuration nothing can be served, so retry soon. The
+            # back-off has jitter, or all waiting entry VMs would call the
+            # store at once when it recovers.
             failures += 1
             await self._sleep(self._retry_delay(failures))
 
@@ -117,21 +118,21 @@
             await self._sleep(self._retry_delay(failures))
 
     async def _read(self) -> store_module.StoreRevision | None:
-        """Read the head; return the store's revision, None in an outage."""
+        """Read the head; return the store's revision, None on failure."""
         item = await self._store.get(head_module.HEAD_KEY)
         if isinstance(item, store_module.Unreachable):
-            self._note_unreachable(item.detail)
+            self._record_unreachable(item.detail)
             return None
-        self._note_reachable()
+        self._record_reachable()
         if item.found is not None:
             self._report(item.found.value)
         return item.revision
 
     async def _follow(self, revision: store_module.StoreRevision) -> bool:
-        """Report changes after `revision`; return whether it was watched.
+        """Report changes after `revision`; return whether events arrived.
 
-        The watch begins right after the revision that was read, so that no
-        change falls between the two.
+        The watch starts at the revision after the one that was read, so that
+        no change is missed.
         """
         watched = False
         messages = self._store.watch(
@@ -141,12 +142,12 @@
         async with contextlib.aclosing(messages):
             async for message in messages:
                 if isinstance(message, store_module.Unreachable):
-                    self._note_unreachable(message.detail)
+                    self._record_unreachable(message.detail)
                     return watched
                 if isinstance(message, store_module.WatchCompacted):
                     return watched
                 watched = True
-                self._note_reachable()
+                self._record_reachable()
                 for event in message.events:
                     if event.value is not None:
                         self._report(event.value)
@@ -163,22 +164,22 @@
             )
             return
         if head.tail:
-            self._seen = True
+            self._head_found = True
             self._on_head(head)
 
     def _retry_delay(self, failures: int) -> float:
         ceiling = min(
-            _LONGEST_RETRY_SECONDS,
-            _FIRST_RETRY_SECONDS * 2 ** min(failures - 1, 16),
+            _MAX_RETRY_SECONDS,
+            _INITIAL_RETRY_SECONDS * 2 ** min(failures - 1, 16),
         )
         return ceiling * self._rng.uniform(0.5, 1.0)
 
-    def _note_unreachable(self, detail: str) -> None:
+    def _record_unreachable(self, detail: str) -> None:
         if self._reachable:
             self._reachable = False
             logs.emit(events.LogEvent.PLATFORM_UNREACHABLE, detail=detail)
 
-    def _note_reachable(self) -> None:
+    def _record_reachable(self) -> None:
         if not self._reachable:
             self._reachable = True
             logs.emit(events.LogEvent.PLATFORM_REACHABLE)
--- a/packages/config/tests/test_follower.py
+++ b/packages/config/tests/test_follower.py
@@ -1,8 +1,8 @@
-"""Daemons follow the accepted configuration, through cuts and outages.
+"""Daemons follow the accepted configuration, also during outages.
 
-Time is turned by hand. Peers announce in rounds: in each, every entry VM
-exchanges what it has in force with one other, as a heartbeat and its
-acknowledgement do.
+Time is controlled by the tests. Peers announce in rounds: in each round, every
+entry VM exchanges announcements with one other, like a heartbeat and its
+acknowledgement.
 """
 
 import asyncio
@@ -32,20 +32,20 @@
 
 
 class ManualTime:
-    """Sleeps that end when the test turns time on."""
+    """Sleep function whose time the test advances."""
 
     def __init__(self):
         self._now = 0.0
         self._sleeping = []
 
     async def sleep(self, seconds):
-        """Wait until time was turned on by `seconds`."""
+        """Wait until time has advanced by `seconds`."""
         woken = asyncio.get_running_loop().create_future()
         self._sleeping.append((self._now + seconds, woken))
         await woken
 
     async def advance(self, seconds):
-        """Turn time on, waking each sleeper at its instant."""
+        """Advance time, waking each sleeper when its time has come."""
         end = self._now + seconds
         while due := [one for one in self._sleeping if one[0] <= end]:
             first = min(due, key=lambda one: one[0])
@@ -59,7 +59,7 @@
 
 
 class SlowReads:
-    """The followers' view of the store: snapshots wait for a gate."""
+    """The followers' view of the store; a gate delays reads of snapshots."""
 
     def __init__(self, memory):
         self._memory = memory
@@ -67,7 +67,7 @@
         self.mute = False
 
     async def watch(self, key, **options):
-        """Watch the store; while muted, what happens is not told."""
+        """Watch the store; while muted, events are discarded."""
         async with contextlib.aclosing(
             self._memory.watch(key, **options)
         ) as messages:
@@ -76,14 +76,14 @@
                     yield message
 
     async def get(self, key):
-        """Read one key, a snapshot only once the gate is open."""
+        """Read one key; snapshots only once the gate is open."""
         if self.gate is not None and key.startswith(head.SNAPSHOT_PREFIX):
             await self.gate.wait()
         return await self._memory.get(key)
 
 
 class Vm:
-    """One entry VM: its follower, and its end of the peer network."""
+    """An entry VM: its follower, watcher choice and peer snapshots."""
 
     def __init__(self, network, name, *, watcher):
         self.name = name
@@ -108,7 +108,7 @@
         return in_force.configuration.revision if in_force else 0
 
     def is_watcher(self):
-        """Return what the test has chosen."""
+        """Return the value set by the test."""
         return self.watcher
 
     def announcements(self):
@@ -116,10 +116,10 @@
         return self._queue
 
     def announce(self, *, revision, digest):
-        """Do nothing: rounds read what is in force."""
+        """Do nothing: `Network.round` reads the revision in force."""
 
-    def hear(self, peer, *, revision=None, digest=None):
-        """Take in an announcement of `peer`, by default a true one."""
+    def receive_announcement(self, peer, *, revision=None, digest=None):
+        """Receive an announcement of `peer`, by default a correct one."""
         if revision is None:
             revision = peer.revision
             digest = peer.follower.in_force.snapshot.digest
@@ -130,7 +130,7 @@
         )
 
     async def fetch(self, *, peer, revision, digest):
-        """Fetch a snapshot of a peer, as far as it answers."""
+        """Fetch a snapshot from a peer, if it answers."""
         self.fetches += 1
         other = self._network.vms_by_id[peer]
         if other.frozen:
@@ -144,7 +144,7 @@
 
 
 class Network:
-    """Entry VMs, the platform's store and time."""
+    """Entry VMs, the platform's store and the time."""
 
     def __init__(self):
         self.store = memory_store.MemoryStore()
@@ -165,7 +165,7 @@
         return vm
 
     async def apply(self, content, *, number):
-        """Accept `content` as revision `number`."""
+        """Apply `content` as revision `number`."""
         accepted = await self.configurations.apply(
             content, base=number - 1, change_id=f"c{number}", operator="mere"
         )
@@ -173,19 +173,19 @@
         await _spin()
 
     async def round(self):
-        """Let each VM exchange announcements with one other."""
+        """Let each VM exchange announcements with one other VM."""
         vms = list(self.vms_by_id.values())
-        told = []
+        exchanged = []
         for vm in vms:
             other = self._rng.choice([one for one in vms if one is not vm])
-            told += [(vm, other), (other, vm)]
-        for sender, receiver in told:
+            exchanged += [(vm, other), (other, vm)]
+        for sender, receiver in exchanged:
             if sender.revision and not sender.frozen:
-                receiver.hear(sender)
+                receiver.receive_announcement(sender)
         await _spin()
 
     async def rounds_until(self, revision):
-        """Count rounds until each VM has `revision` in force."""
+        """Return the number of rounds until all VMs have `revision` in force."""
         for rounds in range(100):
             if all(vm.revision == revision for vm in self.vms_by_id.values()):
                 return rounds
@@ -255,10 +255,10 @@
     assert sum(fetches) <= 3 * count
 
 
-async def test_lagging_store_takes_nobody_back(network, small_draft):
-    """A watch breaks, and the head read anew is an old one.
+async def test_lagging_store_reverts_no_configuration(network, small_draft):
+    """Guards against reverting to an old head.
 
-    Taken over, the accepted configuration would revert on this VM.
+    A watch breaks, and a lagging store answers the next read of the head.
     """
     vm = await network.add("a-1", watcher=True)
     await network.apply(small_draft, number=1)
@@ -273,17 +273,19 @@
 async def test_two_contents_of_one_revision_are_rejected_once(
     network, small_draft, rejected
 ):
-    """A peer of another fleet announces the revision that is in force.
+    """A peer of another fleet announces the revision in force.
 
-    Its content differs. Nobody here can tell which one is right; a switch
-    could revert an accepted change, and a line per heartbeat would flood.
+    Its content differs, and it is unknown which one is right: changing it
+    could revert an accepted change. It is logged once, not with each heartbeat.
     """
     vm = await network.add("a-1", watcher=True)
     peer = await network.add("b-1")
     await network.apply(small_draft, number=1)
     kept = vm.follower.in_force
     for _ in range(3):
-        vm.hear(peer, revision=1, digest=snapshot.Digest("ff" * 32))
+        vm.receive_announcement(
+            peer, revision=1, digest=snapshot.Digest("ff" * 32)
+        )
         await _spin()
     assert vm.follower.in_force is kept
     assert rejected() == ["same-revision-differs"]
@@ -293,10 +295,10 @@
 async def test_new_vm_starts_from_its_peers_during_an_outage(
     network, small_draft
 ):
-    """A VM is replaced while the platform is down.
+    """A VM is replaced while the platform is unreachable.
 
-    Alone it is not ready, and the balancer leaves it out; from a peer it
-    learns what is in force and serves.
+    Without peers it is not ready, so that the load balancer does not use it;
+    from a peer it receives the configuration in force.
     """
     old = await network.add("a-1", watcher=True)
     await network.apply(small_draft, number=1)
@@ -304,7 +306,7 @@
     new = await network.add("a-2")
     await network.time.advance(30.0)
     assert not new.follower.ready
-    new.hear(old)
+    new.receive_announcement(old)
     await _spin()
     assert new.follower.ready
     assert new.revision == 1
@@ -334,20 +336,20 @@
     network.store.stop()
     new = await network.add("a-3")
     for _ in range(3):
-        new.hear(bad)
+        new.receive_announcement(bad)
         await _spin()
     assert not new.follower.ready
-    # It announces itself with each heartbeat; one fetch and one line do.
+    # The peer repeats its announcement; it is fetched and logged only once.
     assert (len(rejected()), new.fetches) == (1, 1)
-    new.hear(good)
+    new.receive_announcement(good)
     await _spin()
     assert new.follower.ready
 
 
-async def test_frozen_peers_do_not_hold_up_the_others(network, small_draft):
-    """Two peers announce a revision and freeze with connections open.
+async def test_frozen_peers_do_not_delay_other_fetches(network, small_draft):
+    """Two peers announce a revision and freeze with open connections.
 
-    Fetching from one source at a time would wait for them in vain.
+    Fetching from one source at a time would wait for their timeouts.
     """
     vms = [await network.add(f"a-{n}", watcher=True) for n in range(3)]
     await network.apply(small_draft, number=1)
@@ -355,7 +357,7 @@
     new = await network.add("a-9")
     vms[0].frozen = vms[1].frozen = True
     for vm in vms:
-        new.hear(vm)
+        new.receive_announcement(vm)
     await _spin()
     assert new.revision == 1
 
@@ -363,8 +365,8 @@
 async def test_change_during_a_fetch_is_not_missed(network, small_draft):
     """A second change is accepted while the first is being fetched.
 
-    The watch tells of it once; ignored because a fetch is under way, it
-    would be in force a minute later, after the next poll.
+    The watch reports it once. If it were ignored during the fetch, it would be
+    in force only a minute later, after the next poll.
     """
     vm = await network.add("a-1", watcher=True)
     network.reads.gate = asyncio.Event()
@@ -376,7 +378,7 @@
     assert vm.revision == 2
 
 
-async def test_broken_watch_is_taken_up_where_it_ended(network, small_draft):
+async def test_broken_watch_is_resumed(network, small_draft):
     vm = await network.add("a-1", watcher=True)
     await network.apply(small_draft, number=1)
     network.store.stop()
@@ -389,11 +391,11 @@
     assert vm.follower.platform_reachable
 
 
-async def test_watch_that_brings_nothing_is_made_up_for(network, small_draft):
-    """The connection of a watch stays open, but no event comes any more.
+async def test_watcher_polls_in_case_its_watch_is_silent(network, small_draft):
+    """The connection of a watch stays open, but no more events arrive.
 
-    Nothing fails, so nothing is taken up anew; the change would be in force
-    in this domain only after the slow poll of a minute.
+    No error occurs, so the watch is not restarted; without the watchers' poll
+    the change would be in force only after the regular poll of a minute.
     """
     vm = await network.add("a-1", watcher=True)
     await network.apply(small_draft, number=1)
@@ -416,7 +418,7 @@
     await network.time.advance(1.5)
     await network.apply(_changed(small_draft, 0.4), number=2)
     assert vm.revision == 1
-    # The slow poll is what is left to it without peers.
+    # Without peers and a watch, only the regular poll remains.
     await network.time.advance(90.0)
     assert vm.revision == 2
 
@@ -432,7 +434,7 @@
         assert queue.empty()
 
 
-async def test_snapshot_of_a_large_fleet_is_taken(network, small_draft):
+async def test_snapshot_of_a_large_fleet_is_applied(network, small_draft):
     vm = await network.add("a-1", watcher=True)
     configurations = vm.follower.subscribe()
     rng = random.Random(2)
