--- a/packages/config/src/lagoonrun_config/change_attempt.py
+++ b/packages/config/src/lagoonrun_config/change_attempt.py
@@ -1,4 +1,4 @@
-"""One operator's change on its way into the head."""
+"""One change of the configuration by an operator, with its retries."""
 
 import dataclasses
 
@@ -17,35 +17,35 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Again:
-    """The try did not end the attempt; the next one reads the head anew."""
+class Retry:
+    """The attempt has no outcome yet; read the head and try again."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Merged:
-    """Content to bring into force and the entries it changes."""
+    """Merged content to put into force and the entries that it changes."""
 
     draft: draft_module.Draft
     names: tuple[draft_module.EntryName, ...]
 
 
 class ChangeAttempt:
-    """One call of `ConfigurationStore.apply`, over its several tries.
+    """State of one call of `ConfigurationStore.apply` over its tries.
 
     Parameters
     ----------
     access
-        Reads and swaps the head.
+        Reads and replaces the head.
     draft
-        What the operator wants.
+        Content that the operator declares.
     base
-        Revision that the operator started from.
+        Revision that the operator edited.
     change_id
         Random id of the change.
     operator
-        Who changes it, for the history.
+        Name of the operator, for the history.
     """
 
     def __init__(
@@ -62,23 +62,23 @@
         self._base = base
         self._change_id = change_id
         self._operator = operator
-        # Revision of the head that the last write of unknown end was
-        # compared with; None while no such write is open.
-        self._compared_with: types.Revision | None = None
+        # Revision of the head in the comparison of the last write with unknown
+        # result; None if there is no such write.
+        self._open_write_revision: types.Revision | None = None
 
     @property
     def has_open_write(self) -> bool:
-        """Return whether a write was sent that may still be applied."""
-        return self._compared_with is not None
+        """Return whether a write with unknown result may still be applied."""
+        return self._open_write_revision is not None
 
     async def try_once(
         self, read: head_access.ReadHead
-    ) -> change_outcomes.ApplyOutcome | Again:
-        """Merge, check and commit against the head that was read."""
+    ) -> change_outcomes.ApplyOutcome | Retry:
+        """Merge, check and commit the change to the head that was read."""
         known = _known_apply_outcome(read.head, self._change_id)
         if known is not None:
             return known
-        if self._may_hide_in(read.head):
+        if self._may_be_truncated_from(read.head):
             return change_outcomes.Unknown(
                 change_id=self._change_id,
                 base=self._base,
@@ -95,25 +95,25 @@
             return change_outcomes.Refused(faults=found)
         written = await self._access.write_snapshot(encoded)
         if isinstance(written, store_module.Unknown | store_module.Unreachable):
-            return Again(detail=written.detail)
+            return Retry(detail=written.detail)
         return await self._commit(read, merged, encoded)
 
     async def _merge(
         self, head: head_module.Head
-    ) -> _Merged | change_outcomes.ApplyOutcome | Again:
+    ) -> _Merged | change_outcomes.ApplyOutcome | Retry:
         if not head.holds_all_after(self._base) or (
             self._base and head.at(self._base) is None
         ):
-            # With the tail cut off it can't be told whether this very change
-            # was accepted long ago; applied again it would undo others'.
+            # The truncated tail can't show whether this change was already
+            # accepted; applying it again would revert later changes.
             return _refuse_base(self._base, head)
         current = await self._access.content(head, head.revision)
         base = await self._access.content(head, self._base)
         for content in (current, base):
             if isinstance(content, store_module.Unreachable):
-                return Again(detail=content.detail)
+                return Retry(detail=content.detail)
             if content is None:
-                return Again(detail="the head moved while it was read")
+                return Retry(detail="the head moved while it was read")
         merged = rebase.rebase(base=base, head=current, mine=self._draft)
         if isinstance(merged, rebase.Conflict):
             return change_outcomes.ChangeConflict(
@@ -133,7 +133,7 @@
         read: head_access.ReadHead,
         merged: _Merged,
         encoded: snapshot.Snapshot,
-    ) -> change_outcomes.Accepted | Again:
+    ) -> change_outcomes.Accepted | Retry:
         change = head_module.new_change(
             revision=types.Revision(read.head.revision + 1),
             change_id=self._change_id,
@@ -147,28 +147,29 @@
         if isinstance(result, store_module.Committed):
             return _accepted(change)
         if isinstance(result, store_module.Unknown):
-            self._compared_with = read.head.revision
-        return Again(detail=describe(result))
+            self._open_write_revision = read.head.revision
+        return Retry(detail=describe(result))
 
-    def _may_hide_in(self, head: head_module.Head) -> bool:
-        """Return whether the open write may be applied but forgotten.
+    def _may_be_truncated_from(self, head: head_module.Head) -> bool:
+        """Return whether the open write may have left the tail of the head.
 
-        Called when the tail does not name the change. If the head moved and
-        the tail is whole since, the open write can't be applied any more.
+        Called when the tail does not contain the change. If the head changed
+        and the tail holds all changes since, the comparison of the open write
+        fails, so that it can no longer be applied.
         """
-        if self._compared_with is None:
+        if self._open_write_revision is None:
             return False
-        if not head.holds_all_after(self._compared_with):
+        if not head.holds_all_after(self._open_write_revision):
             return True
-        if head.revision > self._compared_with:
-            self._compared_with = None
+        if head.revision > self._open_write_revision:
+            self._open_write_revision = None
         return False
 
 
 def known_outcome(
     head: head_module.Head, change_id: types.ChangeId
 ) -> change_outcomes.Accepted | change_outcomes.Cancelled | None:
-    """Return what the head says of a change, None when it says nothing."""
+    """Return the outcome of a change in the head, None if it has none."""
     change = head.change(change_id)
     if change is not None:
         return _accepted(change)
@@ -212,7 +213,7 @@
 
 
 def describe(result: store_module.TransactionResult) -> str:
-    """Return why a swap did not confirm its change, as text."""
+    """Return as text why the head was not replaced."""
     if isinstance(result, store_module.Rejected):
         return "another change came first"
     if isinstance(result, store_module.Committed):
--- a/packages/config/src/lagoonrun_config/change_outcomes.py
+++ b/packages/config/src/lagoonrun_config/change_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a change of the configuration, as tagged outcomes."""
+"""Outcomes of changes to the configuration and of queries of it."""
 
 import dataclasses
 
@@ -14,10 +14,10 @@
     Parameters
     ----------
     revision
-        Revision that the change made; an empty change names the one that
-        is in force already.
+        Revision that the change created; that in force if the change is
+        empty.
     names
-        Entries that it changed.
+        Names of the changed entries.
     """
 
     revision: types.Revision
@@ -26,16 +26,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeConflict:
-    """Others changed the same entries since the base; nothing was applied.
+    """The same entries were changed since the base; nothing was applied.
 
     Parameters
     ----------
     names
-        Entries that both sides changed.
+        Names of the entries that both changed.
     revision
-        Revision to start again from.
+        Revision in force, to edit again.
     changes
-        What was accepted since the base.
+        Changes accepted since the base.
     """
 
     names: tuple[draft_module.EntryName, ...]
@@ -45,17 +45,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The change, or its merge with others' changes, is not valid."""
+    """The change, or its merge with other changes, is invalid."""
 
     faults: tuple[faults.Fault, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unknown:
-    """A write was sent and nothing could be read back.
+    """A write was sent and its result could not be read.
 
-    The change may be in force, or come into force when the write arrives
-    late. `ConfigurationStore.settle` decides it.
+    The change may be in force, or come into force if the write arrives late.
+    `ConfigurationStore.settle` determines its final outcome.
     """
 
     change_id: types.ChangeId
@@ -65,14 +65,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unavailable:
-    """The store was not reached; nothing was or will be applied."""
+    """The store could not be reached; the change will not be applied."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancelled:
-    """The change was not applied and never will be."""
+    """The change was not applied and never will be: its id is cancelled."""
 
     change_id: types.ChangeId
     revision: types.Revision
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoSuchRevision:
-    """The revision is not kept (any more)."""
+    """The head does not hold the revision (any more)."""
 
     wanted: types.Revision
     kept: tuple[types.Revision, ...]
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class History:
-    """The last accepted changes, oldest first."""
+    """The most recent accepted changes, oldest first."""
 
     changes: tuple[head.Change, ...]
 
--- a/packages/config/src/lagoonrun_config/configuration_store.py
+++ b/packages/config/src/lagoonrun_config/configuration_store.py
@@ -1,11 +1,11 @@
-"""Accepts changes of the configuration by one compare-and-swap each.
-
-The immutable snapshot is written first, under its digest; then one
-transaction moves the head, if the head is still the one that the change was
-checked against, and deletes the snapshots that no change of the new head
-names. A snapshot that another operator has just written may be deleted by
-it; that operator's own swap then fails, because the head moved, and the
-snapshot is written again.
+"""Applies changes to the configuration by one compare-and-swap each.
+
+The immutable snapshot is written first, under its digest. One transaction then
+replaces the head, if it is still the one that the change was checked against,
+and deletes the snapshots that the new head does not reference. It may delete a
+snapshot that another operator has just written; the compare-and-swap of that
+operator then fails, because the head changed, and the snapshot is written
+again.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 from lagoonrun_core import types
 from lagoonrun_platform import store as store_module
 
-_MOST_ATTEMPTS = 12
+_MAX_ATTEMPTS = 12
 _FIRST_DELAY_SECONDS = 0.05
-_LONGEST_DELAY_SECONDS = 2.0
+_MAX_DELAY_SECONDS = 2.0
 
 
 class ConfigurationStore:
@@ -34,7 +34,7 @@
     store
         The platform's key-value service.
     rng
-        Source of the jitter between attempts.
+        Random numbers for the jitter between attempts.
     first_delay_seconds
         Delay after the first failed attempt; it doubles up to 2 s.
     """
@@ -58,18 +58,18 @@
         change_id: types.ChangeId,
         operator: str,
     ) -> change_outcomes.ApplyOutcome:
-        """Bring the change from `base` to `draft` into force.
+        """Apply the change from `base` to `draft`.
 
         Applying the same change id again is safe: it is accepted once.
 
         Parameters
         ----------
         base
-            Revision that the operator started from; 0 for an empty one.
+            Revision that the operator edited; 0 for an empty configuration.
         change_id
-            Random id of this change, chosen by its operator.
+            Random id of this change, chosen by the operator.
         operator
-            Who changes it, for the history.
+            Name of the operator, for the history.
         """
         attempt = change_attempt.ChangeAttempt(
             access=self._access,
@@ -79,14 +79,14 @@
             operator=operator,
         )
         failure = "no attempt made"
-        for number in range(_MOST_ATTEMPTS):
+        for number in range(_MAX_ATTEMPTS):
             await self._pause(number)
             read = await self._access.read_head()
             if isinstance(read, store_module.Unreachable):
                 failure = read.detail
                 continue
             step = await attempt.try_once(read)
-            if not isinstance(step, change_attempt.Again):
+            if not isinstance(step, change_attempt.Retry):
                 return step
             failure = step.detail
         if attempt.has_open_write:
@@ -98,12 +98,12 @@
     async def settle(
         self, change_id: types.ChangeId, *, base: types.Revision
     ) -> change_outcomes.SettleOutcome:
-        """Find out whether a change of unknown outcome is in force.
+        """Determine the final outcome of a change of unknown outcome.
 
-        When it is not, its id is written into the head as cancelled: reading
-        alone can't tell, since the lost write may still be under way. After
-        that write the late one fails its comparison, and an `apply` of the
-        same id that is still running is refused.
+        If it is not in force, its id is written into the head as cancelled.
+        Reading alone is not enough, since the lost write may still arrive.
+        After the id is cancelled, the comparison of a late write fails, and an
+        `apply` of the same id that is still running is refused.
 
         Parameters
         ----------
@@ -111,7 +111,7 @@
             Base of the change, as in its `Unknown`.
         """
         failure = "no attempt made"
-        for number in range(_MOST_ATTEMPTS):
+        for number in range(_MAX_ATTEMPTS):
             await self._pause(number)
             read = await self._access.read_head()
             if isinstance(read, store_module.Unreachable):
@@ -137,7 +137,7 @@
     async def history(
         self,
     ) -> change_outcomes.History | change_outcomes.Unavailable:
-        """Return the last accepted changes."""
+        """Return the most recent accepted changes."""
         read = await self._access.read_head()
         if isinstance(read, store_module.Unreachable):
             return change_outcomes.Unavailable(detail=read.detail)
@@ -146,7 +146,7 @@
     async def get(
         self, revision: types.Revision | None = None
     ) -> change_outcomes.GetOutcome:
-        """Return a kept revision, by default the one in force."""
+        """Return a revision that the head holds, by default that in force."""
         read = await self._access.read_head()
         if isinstance(read, store_module.Unreachable):
             return change_outcomes.Unavailable(detail=read.detail)
@@ -169,7 +169,7 @@
         change_id: types.ChangeId,
         operator: str,
     ) -> change_outcomes.RollbackOutcome:
-        """Make a new revision with the content of an older one."""
+        """Create a new revision with the content of an older one."""
         old = await self.get(revision)
         if isinstance(
             old, change_outcomes.NoSuchRevision | change_outcomes.Unavailable
@@ -189,7 +189,7 @@
         if failures == 0:
             return
         delay = self._first_delay_seconds * 2 ** (failures - 1)
-        delay = min(delay, _LONGEST_DELAY_SECONDS)
+        delay = min(delay, _MAX_DELAY_SECONDS)
         await asyncio.sleep(delay * self._rng.uniform(0.5, 1.5))
 
 
--- a/packages/config/src/lagoonrun_config/head.py
+++ b/packages/config/src/lagoonrun_config/head.py
@@ -1,8 +1,8 @@
-"""The one mutable value of the configuration: its head in the store.
+"""The head: the only mutable value of the configuration in the store.
 
-The head names the revision in force, its snapshot and the last changes. It
-is small, so that every daemon can watch it; the content lies in immutable
-snapshots, each under its digest.
+The head contains the revision in force, the digest of its snapshot and the most
+recent changes (the tail). It is small, so that daemons can watch it; the
+content is in immutable snapshots, each stored under its digest.
 """
 
 import dataclasses
@@ -17,10 +17,10 @@
 SNAPSHOT_PREFIX = "config/snapshots/"
 
 TAIL_LENGTH = 32
-"""Changes that the head keeps, the one in force included."""
+"""Number of changes in the head, including the one in force."""
 
 _CANCELLED_LENGTH = 32
-_NAMES_SHOWN = 20
+_MAX_NAMES = 20
 _FORMAT = 1
 
 
@@ -31,9 +31,9 @@
     Parameters
     ----------
     names
-        Entries that it changed, for people; the first few only.
+        Names of the changed entries, for display; only the first few.
     names_omitted
-        How many more there were.
+        Number of further changed entries.
     """
 
     revision: types.Revision
@@ -45,21 +45,21 @@
 
     @property
     def snapshot_key(self) -> str:
-        """Return the store's key of the content."""
+        """Return the store's key of the snapshot."""
         return snapshot_key(self.digest)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Head:
-    """The configuration in force and how it came about.
+    """The revision in force and the changes that led to it.
 
     Parameters
     ----------
     tail
-        Last changes, oldest first; the last one is in force. Empty before
-        the first change.
+        Most recent changes, oldest first; the last one is in force. Empty
+        before the first change.
     cancelled
-        Changes that were settled as not applied and never may be.
+        Ids of changes whose final outcome is that they are never applied.
     """
 
     tail: tuple[Change, ...] = ()
@@ -71,36 +71,36 @@
         return self.tail[-1].revision if self.tail else types.Revision(0)
 
     def change(self, change_id: types.ChangeId) -> Change | None:
-        """Return the change with this id when the tail still holds it."""
+        """Return the change with this id if the tail contains it."""
         for change in self.tail:
             if change.change_id == change_id:
                 return change
         return None
 
     def at(self, revision: types.Revision) -> Change | None:
-        """Return the change that made `revision`, if the tail holds it."""
+        """Return the change with this revision if the tail contains it."""
         for change in self.tail:
             if change.revision == revision:
                 return change
         return None
 
     def holds_all_after(self, revision: types.Revision) -> bool:
-        """Return whether the tail holds each change after `revision`."""
+        """Return whether the tail contains all changes after `revision`."""
         if not self.tail:
             return True
         return self.tail[0].revision <= revision + 1
 
     def snapshot_keys(self) -> frozenset[str]:
-        """Return the keys of the content that must be kept."""
+        """Return the keys of the snapshots of the tail."""
         return frozenset(change.snapshot_key for change in self.tail)
 
     def with_change(self, change: Change) -> "Head":
-        """Return the head after `change` came into force."""
+        """Return the head with `change` in force."""
         tail = (*self.tail, change)[-TAIL_LENGTH:]
         return dataclasses.replace(self, tail=tail)
 
     def with_cancelled(self, change_id: types.ChangeId) -> "Head":
-        """Return the head after which `change_id` is never accepted."""
+        """Return the head with `change_id` cancelled."""
         cancelled = (*self.cancelled, change_id)[-_CANCELLED_LENGTH:]
         return dataclasses.replace(self, cancelled=cancelled)
 
@@ -118,14 +118,14 @@
     names: Sequence[draft_module.EntryName],
     digest: snapshot.Digest,
 ) -> Change:
-    """Return the record of a change with its first few names."""
+    """Return a change with only the first few names of its entries."""
     shown = tuple(sorted(str(name) for name in names))
     return Change(
         revision=revision,
         change_id=change_id,
         operator=operator,
-        names=shown[:_NAMES_SHOWN],
-        names_omitted=max(0, len(shown) - _NAMES_SHOWN),
+        names=shown[:_MAX_NAMES],
+        names_omitted=max(0, len(shown) - _MAX_NAMES),
         digest=digest,
     )
 
@@ -147,7 +147,7 @@
     Raises
     ------
     snapshot.SnapshotError
-        When the value is not a head of this format.
+        If the value is not a head of this format.
     """
     try:
         fields = json.loads(value)
--- a/packages/config/src/lagoonrun_config/head_access.py
+++ b/packages/config/src/lagoonrun_config/head_access.py
@@ -1,4 +1,4 @@
-"""Reads and swaps the head and its snapshots in the platform's store."""
+"""Reads and replaces the head and its snapshots in the platform's store."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadHead:
-    """The head and the store revision that a swap compares with."""
+    """The head and the store revision to compare when replacing it."""
 
     head: head_module.Head
     modified: store_module.StoreRevision
 
 
 class HeadAccess:
-    """The calls that operators' changes need, none of which answers stale.
+    """Access to the head and snapshots by calls that return no stale values.
 
     Parameters
     ----------
@@ -30,9 +30,9 @@
         self._store = store
 
     async def read_head(self) -> "ReadHead | store_module.Unreachable":
-        """Return the head as it is now, never an old one."""
-        # A transaction and not a read: a lagging store answers reads with
-        # old heads, from which a newer base would look like a mistake.
+        """Return the current head, never a stale one."""
+        # A transaction instead of a read, since a lagging store may answer
+        # reads with an old head that lacks the base of a change.
         item = await self._read_now(head_module.HEAD_KEY)
         if isinstance(item, store_module.Unreachable):
             return item
@@ -61,7 +61,7 @@
     async def content(
         self, head: head_module.Head, revision: types.Revision
     ) -> draft_module.Draft | store_module.Unreachable | None:
-        """Return the content of `revision`, None when it is not kept."""
+        """Return the content of `revision`; None if it is not stored."""
         if revision == 0:
             return draft_module.EMPTY_DRAFT
         change = head.at(revision)
@@ -77,7 +77,7 @@
     async def write_snapshot(
         self, encoded: snapshot.Snapshot
     ) -> store_module.TransactionResult:
-        """Write a snapshot; `Rejected` says that it is there already."""
+        """Write a snapshot; returns `Rejected` if it already exists."""
         key = head_module.snapshot_key(encoded.digest)
         return await self._store.transact(
             comparisons=[
@@ -87,7 +87,7 @@
         )
 
     async def garbage(self, new_head: head_module.Head) -> tuple[str, ...]:
-        """Return the keys of snapshots that `new_head` does not name."""
+        """Return the keys of snapshots that `new_head` does not reference."""
         listing = await self._store.list_prefix(
             head_module.SNAPSHOT_PREFIX, keys_only=True
         )
--- a/packages/config/src/lagoonrun_config/rebase.py
+++ b/packages/config/src/lagoonrun_config/rebase.py
@@ -1,4 +1,4 @@
-"""Merges two operators' changes entry by entry."""
+"""Merges the changes of two operators entry by entry."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """Entries that both sides changed, to different content."""
+    """Entries that both sides changed to different content."""
 
     names: tuple[draft_module.EntryName, ...]
 
@@ -15,7 +15,7 @@
 def changed_names(
     before: draft_module.Draft, after: draft_module.Draft
 ) -> tuple[draft_module.EntryName, ...]:
-    """Return the entries that were added, changed or removed, in order."""
+    """Return the sorted names of the added, changed and removed entries."""
     old = before.entries_by_name()
     new = after.entries_by_name()
     changed = [
@@ -32,21 +32,21 @@
     head: draft_module.Draft,
     mine: draft_module.Draft,
 ) -> draft_module.Draft | Conflict:
-    """Return `head` with the changes that lead from `base` to `mine`.
+    """Return `head` with the changes from `base` to `mine` applied.
 
-    An entry that was changed on both sides is a conflict unless both made
-    it the same. The result must be checked as a whole: two changes that are
-    right alone may contradict each other, like a removed profile and a new
-    service that uses it.
+    An entry that was changed on both sides is a conflict unless its content is
+    now the same. The result must be checked as a whole, since two changes that
+    are valid alone may contradict each other, for example a removed profile
+    and a new service that uses it.
     """
     head_entries = head.entries_by_name()
     mine_entries = mine.entries_by_name()
-    theirs = set(changed_names(base, head))
+    changed_in_head = set(changed_names(base, head))
     merged = dict(head_entries)
     conflicts = []
     for name in changed_names(base, mine):
         wanted = mine_entries.get(name)
-        if name in theirs and head_entries.get(name) != wanted:
+        if name in changed_in_head and head_entries.get(name) != wanted:
             conflicts.append(name)
         elif wanted is None:
             merged.pop(name, None)
--- a/packages/config/tests/test_configuration_machine.py
+++ b/packages/config/tests/test_configuration_machine.py
@@ -1,9 +1,9 @@
-"""Operators race on profiles while the store loses, delays and ages replies.
+"""Concurrent changes of profiles while the store loses or delays replies.
 
-Each store call of an operator waits until the machine lets it through, with
-or without a fault. The oracle is the sequence of heads as they really were:
-a change may alter an entry only from the value that its operator started
-from. A store in which the last writer wins fails the same oracle.
+Each store call of an operator waits until the state machine releases it, with
+or without a fault. The oracle is the sequence of heads in the store: a change
+may modify an entry only from the value that its operator edited. A store in
+which the last writer wins fails the same oracle.
 """
 
 import asyncio
@@ -31,11 +31,11 @@
 _OPERATORS = ("leila", "tevita", "mere")
 _PROFILES = ("lookup", "digest")
 _SPINS = 12
-_MOST_CALLS = 40
+_MAX_CALLS = 40
 
 
 class Fault(enum.Enum):
-    """What becomes of one store call."""
+    """Fault of one store call."""
 
     NONE = "none"
     LOST_REPLY = "lost-reply"
@@ -48,7 +48,7 @@
 
 
 class SteppedStore:
-    """Store whose calls each wait for `step`."""
+    """Store whose calls wait for `step`."""
 
     def __init__(self, memory):
         self._memory = memory
@@ -57,10 +57,10 @@
         self.late_writes = []
 
     async def transact(self, **call):
-        """Compare and write, as the machine lets it."""
+        """Run a transaction once it is released."""
         puts = call.get("puts", ())
         is_swap = any(put.key == head.HEAD_KEY for put in puts)
-        fault = await self._turn(is_swap=is_swap)
+        fault = await self._wait_for_step(is_swap=is_swap)
         if fault is Fault.OUTAGE:
             return store.Unreachable(detail="outage")
         if fault is Fault.LATE:
@@ -73,25 +73,25 @@
         return result
 
     async def list_prefix(self, prefix, *, keys_only=False):
-        """List keys, as the machine lets it."""
-        if await self._turn() is not Fault.NONE:
+        """List keys once it is released."""
+        if await self._wait_for_step() is not Fault.NONE:
             return store.Unreachable(detail="outage")
         return await self._memory.list_prefix(prefix, keys_only=keys_only)
 
     def step(self, fault):
-        """Let the waiting call through with a fault."""
+        """Release the waiting call with a fault."""
         waiting, self.waiting = self.waiting, None
         self.waits_for_swap = False
         waiting.set_result(fault)
 
-    async def _turn(self, *, is_swap=False):
+    async def _wait_for_step(self, *, is_swap=False):
         self.waits_for_swap = is_swap
         self.waiting = asyncio.get_running_loop().create_future()
         return await self.waiting
 
 
 class NaiveStore:
-    """The naive version: it writes the whole draft, whatever is there."""
+    """Configuration store in which the last writer wins."""
 
     def __init__(self, *, store, rng, first_delay_seconds):
         del rng, first_delay_seconds
@@ -99,7 +99,7 @@
         self._store = store
 
     async def apply(self, wanted, *, base, change_id, operator):
-        """Write the draft over whatever is in force."""
+        """Overwrite the configuration in force with the draft."""
         del base
         read = await self._access.read_head()
         if isinstance(read, store.Unreachable):
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Running:
-    """One change on its way, or ended."""
+    """A change that is running or has ended."""
 
     change_id: str
     base: int
@@ -139,14 +139,14 @@
 
 
 class View:
-    """Store of a follower: reads show an age that the machine chooses."""
+    """Store of the follower; its reads are stale as the machine chooses."""
 
     def __init__(self, memory):
         self._memory = memory
         self.shown = None
 
     async def get(self, key):
-        """Read the store as it was at the chosen age."""
+        """Read the store at the chosen revision."""
         self._memory.stale_revision = self.shown
         try:
             return await self._memory.get(key)
@@ -154,13 +154,13 @@
             self._memory.stale_revision = None
 
     async def watch(self, key, **options):
-        """Fail at once: this follower polls."""
+        """Fail at once, so that the follower only polls."""
         del key, options
         yield store.Unreachable(detail="no watch here")
 
 
 class Peers:
-    """Peers of a follower: it hears what the machine tells it."""
+    """Peers of the follower, which send no announcements."""
 
     def __init__(self):
         self.queue = asyncio.Queue()
@@ -170,16 +170,16 @@
         return self.queue
 
     def announce(self, **values):
-        """Tell nobody."""
+        """Do nothing."""
         del values
 
     def is_watcher(self):
-        """Say that another entry VM watches."""
+        """Return False: another entry VM watches."""
         return False
 
 
 class ConfigurationMachine(stateful.RuleBasedStateMachine):
-    """Three operators, two profiles, one follower and every fault."""
+    """Three operators, two profiles, one follower and all faults."""
 
     make_store = configuration_store.ConfigurationStore
 
@@ -227,7 +227,7 @@
                 await asyncio.sleep(0)
 
         self._run(spin())
-        self._note_heads()
+        self._check_new_head()
         self._collect()
 
     def _step(self, name, fault):
@@ -236,7 +236,7 @@
             self._spin()
 
     def _step_all(self, name, fault):
-        for _ in range(_MOST_CALLS):
+        for _ in range(_MAX_CALLS):
             self._step(name, fault)
 
     def _configurations(self, name):
@@ -253,7 +253,7 @@
         age=st.integers(0, 5),
     )
     def begin_change(self, name, profile, seconds, age):
-        """Edit one profile of a revision that the operator has read."""
+        """Start a change of one profile from a recent revision."""
         if name in self._running:
             return
         base = max(0, self._heads[-1].revision - age)
@@ -283,13 +283,13 @@
         faults=st.lists(st.sampled_from(Fault), min_size=1, max_size=4),
     )
     def step(self, name, faults):
-        """Let some store calls of one operator go through or fail."""
+        """Release some store calls of one operator, with faults."""
         for fault in faults:
             self._step(name, fault)
 
     @stateful.rule(name=st.sampled_from(_OPERATORS))
     def finish(self, name):
-        """Let all store calls of one operator go through."""
+        """Release all store calls of one operator without faults."""
         self._step_all(name, Fault.NONE)
 
     @stateful.rule(
@@ -298,8 +298,8 @@
         after=st.sampled_from([None, Fault.NONE, Fault.OUTAGE]),
     )
     def swap(self, name, fault, after):
-        """Bring one operator to its write of the head and fail that."""
-        for _ in range(_MOST_CALLS):
+        """Release calls of one operator up to its head write; fail that one."""
+        for _ in range(_MAX_CALLS):
             if self._stores[name].waits_for_swap:
                 break
             self._step(name, Fault.NONE)
@@ -314,13 +314,13 @@
         fault=st.sampled_from(_LOSSES),
     )
     def lose_change(self, name, profile, seconds, fault):
-        """Lose a change's write of the head, then the store altogether."""
+        """Lose the head write of a change, followed by an outage."""
         self.begin_change(name=name, profile=profile, seconds=seconds, age=0)
         self.swap(name=name, fault=fault, after=Fault.OUTAGE)
 
     @stateful.rule(name=st.sampled_from(_OPERATORS))
     def deliver_late_write(self, name):
-        """Deliver a write that was given up on."""
+        """Deliver a write whose caller has given up."""
         late = self._stores[name].late_writes
         if late:
             self._run(self._memory.transact(**late.pop(0)))
@@ -332,7 +332,7 @@
         fault=st.sampled_from(Fault),
     )
     def settle(self, name, pick, fault):
-        """Settle a change that ended as unknown."""
+        """Settle a change whose outcome was unknown."""
         unknown = [
             one
             for one in self._ended
@@ -352,7 +352,7 @@
 
     @stateful.rule(ages=st.lists(st.integers(0, 6), min_size=2, max_size=4))
     def follower_reads(self, ages):
-        """Let the follower poll a store that lags by some writes."""
+        """Let the follower poll a store that lags by some revisions."""
         for age in (0, *ages):
             self._view.shown = max(1, self._memory.revision - age)
             sleeping, self._sleeping = self._sleeping, []
@@ -363,7 +363,7 @@
 
     @stateful.invariant()
     def follower_never_goes_back(self):
-        """Check that what is in force was accepted and is never older."""
+        """Check that the revision in force was accepted and never decreases."""
         in_force = self._follower.in_force
         if in_force is None:
             return
@@ -373,8 +373,8 @@
         accepted = self._contents[configuration.revision]
         assert draft.draft_of(configuration) == accepted
 
-    def _note_heads(self):
-        """Check a new head against the one before it."""
+    def _check_new_head(self):
+        """Check a new head against the previous one."""
         item = self._run(self._memory.get(head.HEAD_KEY)).found
         if item is None:
             return
@@ -396,7 +396,7 @@
 
     async def _read(self, change):
         item = await self._memory.get(change.snapshot_key)
-        assert item.found is not None, "the head names content that is gone"
+        assert item.found is not None, "the head references a deleted snapshot"
         return snapshot.decode_snapshot(
             snapshot.Snapshot(digest=change.digest, content=item.found.value)
         )
@@ -410,10 +410,12 @@
         changed = rebase.changed_names(
             self._contents[change.revision - 1], content
         )
-        assert set(changed) <= intended, "another's change was reverted"
+        assert set(changed) <= intended, (
+            "the change of another operator was reverted"
+        )
         for name in changed:
             assert previous.get(name) == started_from.get(name), (
-                "a change was overwritten unseen"
+                "a change was overwritten silently"
             )
             assert content.entries_by_name()[name] == wanted[name]
 
@@ -434,7 +436,7 @@
         return self._revision_by_change.get(running.change_id)
 
     def _check_outcome(self, running):
-        """Check what an operator was told, when it is told and at the end."""
+        """Check the outcome that an operator received."""
         revision = self._accepted_revision(running)
         outcome = running.outcome
         if isinstance(outcome, change_outcomes.Unknown):
@@ -447,10 +449,12 @@
             for name in intended:
                 assert in_force[name] == wanted[name]
             return
-        assert revision is None, f"told {outcome}, but it is in force"
+        assert revision is None, (
+            f"outcome {outcome}, but the change is in force"
+        )
 
     def teardown(self):
-        """Let all late writes arrive and check every answer again."""
+        """Deliver all late writes and check all outcomes again."""
         try:
             for one in self._stores.values():
                 while one.late_writes:
@@ -471,13 +475,13 @@
 
 
 class NaiveMachine(ConfigurationMachine):
-    """The same with the store in which the last writer wins."""
+    """The same machine with a store in which the last writer wins."""
 
     make_store = NaiveStore
 
     @stateful.rule()
     def settle(self):
-        """Do nothing: the naive store tells of no unknown change."""
+        """Do nothing: the naive store returns no unknown outcomes."""
 
 
 _SETTINGS = settings(
@@ -485,50 +489,50 @@
     deadline=None,
     max_examples=120,
     stateful_step_count=40,
-    # No shrinking: it takes minutes, and the test must end.
+    # No shrinking, since it takes minutes.
     phases=[Phase.generate],
 )
 
 
-# What hypothesis generates depends on the modules that a test run has loaded;
-# a search for a known fault must not depend on luck.
-_PATIENT_SETTINGS = settings(_SETTINGS, max_examples=1000)
+# The examples that hypothesis generates depend on the modules that a test run
+# has loaded, so the search for a known fault uses more of them.
+_THOROUGH_SETTINGS = settings(_SETTINGS, max_examples=1000)
 
 
 @pytest.fixture(autouse=True)
 def short_tail(monkeypatch):
-    """Let the head forget old changes within one run of the machine."""
+    """Shorten the tail, so that changes leave it within one run."""
     monkeypatch.setattr(head, "TAIL_LENGTH", 4)
 
 
-def test_accepted_changes_hold_through_races_and_faults():
-    """Operators change one profile or two at once, with every fault.
+def test_accepted_changes_survive_races_and_faults():
+    """Operators change one or two profiles concurrently, with all faults.
 
-    An accepted change must not vanish under another operator's, and what
-    an operator is told of a change must stay true when late writes arrive.
+    An accepted change must not be overwritten by another operator's, and the
+    reported outcome of a change must stay true when late writes arrive.
     """
     stateful.run_state_machine_as_test(ConfigurationMachine, settings=_SETTINGS)
 
 
 def test_last_writer_wins_fails_the_same_oracle():
-    """Two operators edit at once and the store takes the later whole draft.
+    """The oracle finds a store that loses an accepted change.
 
-    The first operator was told "accepted", and the change is gone.
+    Two operators edit concurrently, and the later draft overwrites the whole
+    content, although the first change was accepted.
     """
     with pytest.raises((AssertionError, ExceptionGroup)):
         stateful.run_state_machine_as_test(NaiveMachine, settings=_SETTINGS)
 
 
 def test_follower_of_any_head_fails_the_same_oracle(monkeypatch):
-    """A daemon puts whatever head it reads into force.
+    """The oracle finds a follower that reverts to an old head.
 
-    A lagging store shows it an old head, and an accepted configuration
-    reverts there.
+    A lagging store returns the old head.
     """
     monkeypatch.setattr(
         follower.ConfigurationFollower, "_is_newer", lambda *_: True
     )
     with pytest.raises((AssertionError, ExceptionGroup)):
         stateful.run_state_machine_as_test(
-            ConfigurationMachine, settings=_PATIENT_SETTINGS
+            ConfigurationMachine, settings=_THOROUGH_SETTINGS
         )
--- a/packages/config/tests/test_configuration_store.py
+++ b/packages/config/tests/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Operators' changes: accepted once, refused truly, never lost."""
+"""Changes are accepted at most once, reported truthfully and never lost."""
 
 import asyncio
 import dataclasses
@@ -55,10 +55,12 @@
     apply, configurations, small_draft
 ):
     await apply(small_draft, base=0, change_id="c1")
-    mine = _with_target(small_draft, "lookup", 0.4)
-    theirs = _with_target(small_draft, "summary", 50.0)
-    first = await apply(mine, base=1, change_id="c2")
-    second = await apply(theirs, base=1, change_id="c3", operator="tevita")
+    first_change = _with_target(small_draft, "lookup", 0.4)
+    second_change = _with_target(small_draft, "summary", 50.0)
+    first = await apply(first_change, base=1, change_id="c2")
+    second = await apply(
+        second_change, base=1, change_id="c3", operator="tevita"
+    )
     assert first == change_outcomes.Accepted(
         revision=2, names=("profile:lookup",)
     )
@@ -66,32 +68,34 @@
         revision=3, names=("profile:summary",)
     )
     assert await _in_force(configurations) == _with_target(
-        mine, "summary", 50.0
+        first_change, "summary", 50.0
     )
 
 
-async def test_changes_to_one_profile_clash(apply, configurations, small_draft):
-    """Two operators edit one profile at once.
+async def test_changes_to_one_profile_conflict(
+    apply, configurations, small_draft
+):
+    """Guards against a change that silently reverts a concurrent one.
 
-    Both start from revision 1. The first is accepted; the second would
-    silently undo it, so it is told the profile and who was first.
+    Two operators edit revision 1. The second one receives the name of the
+    profile and the change that was accepted first.
     """
     await apply(small_draft, base=0, change_id="c1")
-    mine = _with_target(small_draft, "lookup", 0.4)
-    await apply(mine, base=1, change_id="c2")
+    first_change = _with_target(small_draft, "lookup", 0.4)
+    await apply(first_change, base=1, change_id="c2")
     late = _with_target(small_draft, "lookup", 0.3)
-    clash = await apply(late, base=1, change_id="c3", operator="tevita")
-    assert isinstance(clash, change_outcomes.ChangeConflict)
-    assert [str(name) for name in clash.names] == ["profile:lookup"]
-    assert (clash.revision, clash.changes[0].operator) == (2, "leila")
-    assert await _in_force(configurations) == mine
+    conflict = await apply(late, base=1, change_id="c3", operator="tevita")
+    assert isinstance(conflict, change_outcomes.ChangeConflict)
+    assert [str(name) for name in conflict.names] == ["profile:lookup"]
+    assert (conflict.revision, conflict.changes[0].operator) == (2, "leila")
+    assert await _in_force(configurations) == first_change
 
 
 async def test_merge_that_contradicts_itself_is_refused(apply, small_draft):
-    """One operator removes a profile while another begins to use it.
+    """One operator removes a profile, another adds a service that uses it.
 
-    Each change is valid alone and they touch different entries, so they
-    merge; together the service would have no profile.
+    Each change is valid alone and they change different entries, so they are
+    merged; the service would have no profile.
     """
     spare = dataclasses.replace(
         small_draft.profiles_by_name["lookup"], name="spare"
@@ -119,10 +123,10 @@
 async def test_lost_reply_is_read_back_and_accepted_once(
     apply, configurations, memory, small_draft
 ):
-    """The confirming reply of an accepted change is lost.
+    """Guards against reporting an error for a change that is in force.
 
-    The operator would see an error though the change is in force, and run
-    it again. The head's tail names the change, so it is accepted once.
+    The reply to the head write is lost. The tail of the head contains the
+    change id, so that the change is accepted once.
     """
     memory.lost_replies = 2
     assert await apply(small_draft, base=0, change_id="c1") == (
@@ -141,13 +145,13 @@
 
 
 @pytest.mark.parametrize("applied", [True, False])
-async def test_unknown_is_settled_truly(
+async def test_settle_returns_the_final_outcome(
     configurations, memory, small_draft, applied
 ):
-    """The store goes away between the write of the head and its reply.
+    """The store fails between the head write and its reply.
 
-    The operator is told "unknown". When the store is back, settling says
-    whether the change is in force; if not, its late write can't land.
+    The outcome is unknown. Once the store has recovered, `settle` determines
+    whether the change is in force; if not, the late write must have no effect.
     """
     pending = _HoldingStore(memory, applied=applied)
     held = configuration_store.ConfigurationStore(
@@ -174,7 +178,7 @@
 
 
 class _HoldingStore:
-    """Holds back the write of the head and stops the store meanwhile."""
+    """Delays the head write until `release` and stops the store."""
 
     def __init__(self, memory, *, applied):
         self._memory = memory
@@ -234,7 +238,7 @@
     assert absent == change_outcomes.NoSuchRevision(wanted=9, kept=(1, 2, 3))
 
 
-async def test_stale_reads_do_not_mislead_operators(apply, memory, small_draft):
+async def test_stale_reads_do_not_affect_changes(apply, memory, small_draft):
     await apply(small_draft, base=0, change_id="c1")
     memory.stale_revision = store.StoreRevision(1)
     changed = _with_target(small_draft, "lookup", 0.4)
@@ -260,14 +264,14 @@
     assert isinstance(unsettled, change_outcomes.Unknown)
 
 
-async def test_snapshot_deleted_by_a_racing_change_is_written_again(
+async def test_snapshot_deleted_by_a_concurrent_change_is_rewritten(
     configurations, memory, small_draft
 ):
-    """A change's snapshot is deleted before its head is written.
+    """Guards against a head that references a deleted snapshot.
 
-    Another operator's change deletes what its new head does not name, and
-    a snapshot that has just been written is not named yet. The head would
-    name content that is gone; the swap fails instead and starts again.
+    The change of another operator deletes snapshots that its head does not
+    reference, including one whose head is not written yet. The
+    compare-and-swap of that head fails and is retried.
     """
     racing = _RacingStore(memory)
     racing.race = lambda: configurations.apply(
@@ -276,7 +280,7 @@
     slow = configuration_store.ConfigurationStore(
         store=racing, rng=random.Random(3), first_delay_seconds=0.0
     )
-    mine = dataclasses.replace(
+    with_spare = dataclasses.replace(
         draft.EMPTY_DRAFT,
         profiles_by_name={
             "spare": dataclasses.replace(
@@ -284,14 +288,16 @@
             )
         },
     )
-    accepted = await slow.apply(mine, base=0, change_id="c2", operator="leila")
+    accepted = await slow.apply(
+        with_spare, base=0, change_id="c2", operator="leila"
+    )
     assert accepted.revision == 2
     content = await _in_force(configurations)
     assert set(content.profiles_by_name) == {"lookup", "summary", "spare"}
 
 
 class _RacingStore(_HoldingStore):
-    """Lets another change through between the snapshot and the head."""
+    """Runs another change between the writes of snapshot and head."""
 
     def __init__(self, memory):
         super().__init__(memory, applied=False)
@@ -307,13 +313,13 @@
         )
 
 
-async def test_change_that_the_head_forgot_is_unknown(
+async def test_change_that_left_the_tail_is_unknown(
     configurations, memory, small_draft
 ):
-    """A reply is lost and many changes follow before it is looked for.
+    """A reply is lost, and many changes follow before the head is read.
 
-    The head no longer names so old a change. "Clash" or "refused" would
-    say that it was not applied, though it was.
+    The tail no longer contains the change. A conflict or refusal would claim
+    that it was not applied, although it was.
     """
     forgetful = _ForgetfulStore(memory)
 
@@ -335,7 +341,7 @@
 
 
 class _ForgetfulStore(_RacingStore):
-    """Loses the reply of the head's write, and tells of it much later."""
+    """Returns the lost reply of the head write only after other changes."""
 
     async def transact(self, *, comparisons, puts=(), deletes=()):
         result = await self._memory.transact(
@@ -349,7 +355,9 @@
         return result
 
 
-async def test_head_that_is_not_ours_names_its_key(configurations, memory):
+async def test_error_of_an_invalid_head_contains_its_key(
+    configurations, memory
+):
     await memory.transact(
         comparisons=[], puts=[store.Put(key=head.HEAD_KEY, value=b"{}")]
     )
