--- a/packages/config/src/lagoonrun_config/checks.py
+++ b/packages/config/src/lagoonrun_config/checks.py
@@ -1,7 +1,7 @@
 """Checks of a whole draft: references, contradictions and duplicates.
 
-They run on what an operator declares and again on what a rebase merged,
-since two changes that are right alone can contradict each other together.
+They run on the declarations of an operator and again on the result of a rebase,
+since two changes that are valid alone can contradict each other.
 """
 
 import collections
@@ -12,13 +12,13 @@
 from lagoonrun_core import types
 
 MAXIMUM_FLOOR_SHARE = 0.5
-"""Most of a pool's grants that the floors of its classes may take."""
+"""Maximum sum of the guaranteed shares of the profiles in one pool."""
 
 _RESERVED_PATHS = ("/v1", "/lagoonrun")
 
 
 def check_draft(draft: draft_module.Draft) -> tuple[faults.Fault, ...]:
-    """Return every fault of the draft; empty when it can be accepted."""
+    """Return all faults of the draft; empty if it is valid."""
     found: list[faults.Fault] = []
     found.extend(_check_profiles(draft.profiles_by_name.values()))
     found.extend(_check_organisations(draft))
@@ -40,7 +40,7 @@
         if profile.limit_seconds < profile.target_seconds:
             yield faults.Fault(
                 key=f"{path}.limit_seconds",
-                value=faults.show(profile.limit_seconds),
+                value=faults.format_value(profile.limit_seconds),
                 valid=f"at least target_seconds, {profile.target_seconds:g}",
             )
         if profile.idempotent:
@@ -48,13 +48,13 @@
         if profile.retry_ratio > 0:
             yield faults.Fault(
                 key=f"{path}.retry_ratio",
-                value=faults.show(profile.retry_ratio),
+                value=faults.format_value(profile.retry_ratio),
                 valid="0 where idempotent = false: it runs at most once",
             )
         if profile.maximum_attempts > 1:
             yield faults.Fault(
                 key=f"{path}.maximum_attempts",
-                value=faults.show(profile.maximum_attempts),
+                value=faults.format_value(profile.maximum_attempts),
                 valid="1 where idempotent = false: it runs at most once",
             )
 
@@ -72,7 +72,7 @@
             if owner != organisation.id:
                 yield faults.Fault(
                     key=path,
-                    value=faults.show(digest),
+                    value=faults.format_value(digest),
                     valid=f"a digest that {owner!r} does not have",
                 )
 
@@ -83,14 +83,14 @@
     path = f"services.{service.name}"
     pools = {upstream.pool for upstream in draft.upstreams_by_id.values()}
     if service.pool not in pools:
-        yield _dangling(f"{path}.pool", service.pool, pools)
+        yield _undeclared_reference(f"{path}.pool", service.pool, pools)
     if service.profile not in draft.profiles_by_name:
-        yield _dangling(
+        yield _undeclared_reference(
             f"{path}.profile", service.profile, draft.profiles_by_name
         )
     for organisation in service.organisations:
         if organisation not in draft.organisations_by_id:
-            yield _dangling(
+            yield _undeclared_reference(
                 f"{path}.organisations",
                 organisation,
                 draft.organisations_by_id,
@@ -113,7 +113,7 @@
     if service.path_prefix:
         yield faults.Fault(
             key=f"{path}.path_prefix",
-            value=faults.show(service.path_prefix),
+            value=faults.format_value(service.path_prefix),
             valid="absent where kind = 'model'",
         )
 
@@ -124,7 +124,7 @@
     if service.models:
         yield faults.Fault(
             key=f"{path}.models",
-            value=faults.show(list(service.models)),
+            value=faults.format_value(list(service.models)),
             valid="absent where kind = 'plain'",
         )
     prefix = service.path_prefix
@@ -136,7 +136,7 @@
     if reserved or not well_formed or prefix.endswith("/"):
         yield faults.Fault(
             key=f"{path}.path_prefix",
-            value=faults.show(prefix),
+            value=faults.format_value(prefix),
             valid=f"a path like '/portal', not under "
             f"{' or '.join(map(repr, _RESERVED_PATHS))} "
             "and without a final slash",
@@ -152,7 +152,7 @@
             if owner != service.name:
                 yield faults.Fault(
                     key=f"services.{service.name}.models",
-                    value=faults.show(name),
+                    value=faults.format_value(name),
                     valid=f"a model that service {owner!r} does not have",
                 )
         if not service.path_prefix:
@@ -161,7 +161,7 @@
         if owner != service.name:
             yield faults.Fault(
                 key=f"services.{service.name}.path_prefix",
-                value=faults.show(service.path_prefix),
+                value=faults.format_value(service.path_prefix),
                 valid=f"a path that service {owner!r} does not have",
             )
 
@@ -201,7 +201,7 @@
 
 
 def _check_placements(draft: draft_module.Draft) -> Iterator[faults.Fault]:
-    upstreams_by_place = collections.Counter(
+    upstream_counts = collections.Counter(
         (upstream.pool, upstream.domain)
         for upstream in draft.upstreams_by_id.values()
     )
@@ -212,40 +212,44 @@
         path = f"placements.{name.name}"
         if name in seen:
             yield faults.Fault(
-                key=path, value=faults.show(name.name), valid="one such entry"
+                key=path,
+                value=faults.format_value(name.name),
+                valid="one such entry",
             )
         seen.add(name)
         if placement.pool not in pools:
-            yield _dangling(f"{path}.pool", placement.pool, pools)
+            yield _undeclared_reference(f"{path}.pool", placement.pool, pools)
             continue
-        room = upstreams_by_place[(placement.pool, placement.domain)]
-        if placement.count > room:
+        upstream_count = upstream_counts[(placement.pool, placement.domain)]
+        if placement.count > upstream_count:
             yield faults.Fault(
                 key=f"{path}.count",
-                value=faults.show(placement.count),
-                valid=f"at most {room}, the upstreams of pool "
+                value=faults.format_value(placement.count),
+                valid=f"at most {upstream_count}, the upstreams of pool "
                 f"{placement.pool!r} in domain {placement.domain!r}",
             )
 
 
 def _check_domains(draft: draft_module.Draft) -> Iterator[faults.Fault]:
-    """Refuse misspelt domains: the one meant would lose its region unseen."""
+    """Reject unused domains: a misspelt one would silently have no effect."""
     used = {upstream.domain for upstream in draft.upstreams_by_id.values()}
     for name in draft.domains_by_name:
         if name not in used:
             listed = ", ".join(sorted(used)[:10])
             yield faults.Fault(
                 key=f"domains.{name}",
-                value=faults.show(name),
+                value=faults.format_value(name),
                 valid=f"a domain in which an upstream stands: {listed}",
             )
 
 
-def _dangling(key: str, value: str, declared: Iterable[str]) -> faults.Fault:
+def _undeclared_reference(
+    key: str, value: str, declared: Iterable[str]
+) -> faults.Fault:
     names = sorted(declared)
     shown = ", ".join(names[:10]) + (", ..." if len(names) > 10 else "")
     return faults.Fault(
         key=key,
-        value=faults.show(value),
+        value=faults.format_value(value),
         valid=f"one that is declared: {shown or '(none)'}",
     )
--- a/packages/config/src/lagoonrun_config/declarations.py
+++ b/packages/config/src/lagoonrun_config/declarations.py
@@ -1,6 +1,6 @@
-"""Reads operators' TOML declarations into a draft, with all faults at once.
+"""Parses operators' TOML declarations; reports all faults at once.
 
-Several files make one draft. Tables are `[profiles.NAME]`,
+Several files form one draft. Its tables are `[profiles.NAME]`,
 `[organisations.ID]`, `[services.NAME]`, `[pools.NAME]` with
 `[[pools.NAME.upstreams]]`, `[[placements]]` and `[domains.NAME]`.
 """
@@ -13,18 +13,18 @@
 from lagoonrun_config import draft as draft_module
 from lagoonrun_core import types
 
-_LONGEST_SECONDS = 86_400.0
-_LARGEST_QUEUE = 100_000
-_LARGEST_WEIGHT = 1_000.0
-_MOST_ATTEMPTS = 10
-_MOST_SLOTS = 4096
-_HIGHEST_PORT = 65535
-_MOST_BYTES = 10**15
+_MAX_SECONDS = 86_400.0
+_MAX_COUNT = 100_000
+_MAX_WEIGHT = 1_000.0
+_MAX_ATTEMPTS = 10
+_MAX_SLOTS = 4096
+_MAX_PORT = 65535
+_MAX_WEIGHT_BYTES = 10**15
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DeclarationFile:
-    """One file of declarations: its name, for faults, and its text."""
+    """A file of declarations: its text, and its name for error messages."""
 
     name: str
     text: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InvalidDeclarations:
-    """Declarations that cannot be used, with every fault found."""
+    """Declarations that can't be used, with all their faults."""
 
     faults: tuple[faults.Fault, ...]
 
@@ -45,18 +45,18 @@
     Parameters
     ----------
     files
-        In any order; an entry may stand in one of them only.
+        In any order; each entry may be in one of them only.
     """
     collector = _Collector()
     for file in files:
         collector.read(file)
     draft = collector.draft()
     found = list(collector.faults)
-    # A value that could not be read has a stand-in; what the checks say of
-    # such a key would only repeat or mislead.
-    unread = {fault.key for fault in found}
+    # An unreadable value was replaced by a placeholder, so further faults at
+    # its key would be misleading.
+    unreadable_keys = {fault.key for fault in found}
     for fault in checks.check_draft(draft):
-        if fault.key not in unread:
+        if fault.key not in unreadable_keys:
             source = collector.source_of(fault.key)
             found.append(dataclasses.replace(fault, source=source))
     if found:
@@ -65,7 +65,7 @@
 
 
 class _Collector:
-    """Gathers the entries and faults of several files."""
+    """Collects the entries and faults of several files."""
 
     def __init__(self) -> None:
         self.faults: list[faults.Fault] = []
@@ -74,7 +74,7 @@
         self._source_by_path: dict[str, str] = {}
 
     def draft(self) -> draft_module.Draft:
-        """Return what was read, stand-in values included."""
+        """Return the draft, including placeholder values."""
         draft = draft_module.from_entries(self._entries)
         placements = sorted(
             self._placements,
@@ -83,7 +83,7 @@
         return dataclasses.replace(draft, placements=tuple(placements))
 
     def source_of(self, key: str) -> str:
-        """Return the file that holds `key`; empty when none does alone."""
+        """Return the file that declares `key`; empty if unknown."""
         parts = key.split(".")
         for length in range(len(parts), 1, -1):
             source = self._source_by_path.get(".".join(parts[:length]))
@@ -92,7 +92,7 @@
         return ""
 
     def read(self, file: DeclarationFile) -> None:
-        """Read one file."""
+        """Parse one file."""
         try:
             table = tomllib.loads(file.text)
         except tomllib.TOMLDecodeError as error:
@@ -135,7 +135,7 @@
         )
 
     def _named(self, root: faults.TableReader, section: str, source: str):
-        """Yield name and reader of each table; check both around its use."""
+        """Yield each valid name and a reader; check that all keys were read."""
         for name, raw in root.table(section).items():
             path = f"{section}.{name}"
             if not faults.is_name(name):
@@ -144,12 +144,12 @@
             if not isinstance(raw, Mapping):
                 root.add_fault(path, raw, "a table")
                 continue
-            self._claim_path(path, source)
+            self._register_path(path, source)
             reader = self._reader(raw, path, source)
             yield name, reader
             reader.finish()
 
-    def _claim_path(self, path: str, source: str) -> None:
+    def _register_path(self, path: str, source: str) -> None:
         first = self._source_by_path.setdefault(path, source)
         if first != source:
             self.faults.append(
@@ -197,7 +197,7 @@
             self.faults.append(
                 faults.Fault(
                     key=f"{path}.id",
-                    value=faults.show(upstream.id),
+                    value=faults.format_value(upstream.id),
                     valid=f"an id that pool {other.pool!r} does not have",
                     source=source,
                 )
@@ -208,7 +208,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _UpstreamDefaults:
-    """Values of a pool that its upstreams take unless they say otherwise."""
+    """Values of a pool that apply to upstreams without their own."""
 
     port: int | None
     slots: int
@@ -219,8 +219,8 @@
 
 def _profile(name: str, reader: faults.TableReader) -> model.Profile:
     idempotent = reader.boolean("idempotent", default=True)
-    # What may run only once has no retries unless the operator writes them,
-    # which the checks then refuse.
+    # A profile that is not idempotent has no retries by default; the checks
+    # reject explicit ones.
     return model.Profile(
         name=types.ProfileName(name),
         tier=types.Tier(
@@ -243,7 +243,7 @@
             maximum=checks.MAXIMUM_FLOOR_SHARE,
         ),
         queue_capacity=reader.integer(
-            "queue_capacity", default=1024, minimum=1, maximum=_LARGEST_QUEUE
+            "queue_capacity", default=1024, minimum=1, maximum=_MAX_COUNT
         ),
         retry_ratio=reader.number(
             "retry_ratio",
@@ -255,14 +255,14 @@
             "maximum_attempts",
             default=3 if idempotent else 1,
             minimum=1,
-            maximum=_MOST_ATTEMPTS,
+            maximum=_MAX_ATTEMPTS,
         ),
     )
 
 
 def _seconds(reader: faults.TableReader, key: str) -> float:
     return reader.number(
-        key, minimum=0.0, maximum=_LONGEST_SECONDS, above_minimum=True
+        key, minimum=0.0, maximum=_MAX_SECONDS, above_minimum=True
     )
 
 
@@ -277,7 +277,7 @@
             "weight",
             default=1.0,
             minimum=0.0,
-            maximum=_LARGEST_WEIGHT,
+            maximum=_MAX_WEIGHT,
             above_minimum=True,
         ),
     )
@@ -299,11 +299,11 @@
 def _upstream_defaults(reader: faults.TableReader) -> _UpstreamDefaults:
     port = None
     if reader.has("port"):
-        port = reader.integer("port", minimum=1, maximum=_HIGHEST_PORT)
+        port = reader.integer("port", minimum=1, maximum=_MAX_PORT)
     return _UpstreamDefaults(
         port=port,
         slots=reader.integer(
-            "slots", default=16, minimum=1, maximum=_MOST_SLOTS
+            "slots", default=16, minimum=1, maximum=_MAX_SLOTS
         ),
         resumes=reader.boolean("resumes", default=False),
         cancels=reader.boolean("cancels", default=True),
@@ -322,10 +322,10 @@
         domain=types.FailureDomain(reader.name("domain")),
         address=reader.ip_address("address"),
         port=reader.integer(
-            "port", default=defaults.port, minimum=1, maximum=_HIGHEST_PORT
+            "port", default=defaults.port, minimum=1, maximum=_MAX_PORT
         ),
         slots=reader.integer(
-            "slots", default=defaults.slots, minimum=1, maximum=_MOST_SLOTS
+            "slots", default=defaults.slots, minimum=1, maximum=_MAX_SLOTS
         ),
         resumes=reader.boolean("resumes", default=defaults.resumes),
         cancels=reader.boolean("cancels", default=defaults.cancels),
@@ -349,9 +349,9 @@
         domain=types.FailureDomain(reader.name("domain")),
         model=reader.text("model"),
         role=reader.name("role", default="serve"),
-        count=reader.integer("count", minimum=0, maximum=_LARGEST_QUEUE),
+        count=reader.integer("count", minimum=0, maximum=_MAX_COUNT),
         weight_bytes=reader.integer(
-            "weight_bytes", default=0, minimum=0, maximum=_MOST_BYTES
+            "weight_bytes", default=0, minimum=0, maximum=_MAX_WEIGHT_BYTES
         ),
         version=reader.text("version", default=""),
     )
--- a/packages/config/src/lagoonrun_config/faults.py
+++ b/packages/config/src/lagoonrun_config/faults.py
@@ -1,7 +1,7 @@
-"""Faults of declarations and settings, and the typed reader that finds them.
+"""Faults of declarations and settings, and the typed reader of their tables.
 
-A reader never stops at the first fault: it notes it, returns a stand-in
-value of the right type and goes on, so that an operator sees them all.
+The reader does not stop at a fault: it records the fault and returns a
+placeholder value of the right type, so that an operator sees all faults.
 """
 
 import dataclasses
@@ -13,8 +13,8 @@
 
 _NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _HEXADECIMAL_PATTERN = re.compile(r"(?:[0-9a-f]{2})*")
-_HIGHEST_PORT = 65535
-_LONGEST_SHOWN_VALUE = 80
+_MAX_PORT = 65535
+_MAX_SHOWN_LENGTH = 80
 
 NAME_RULE = (
     "1 to 63 letters, digits, '.', '_' or '-', the first a letter or digit"
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One thing that is wrong, and what would be right.
+    """An invalid value, with a description of valid values.
 
     Parameters
     ----------
     key
         Dotted path of the entry, like `profiles.lookup.tier`.
     value
-        The offending value as text; secrets are not shown.
+        The invalid value as text; secrets are redacted.
     valid
-        What would be valid there.
+        Description of valid values.
     source
-        Name of the file; empty where the fault is of no single file.
+        Name of the file; empty if the fault is not in a single file.
     """
 
     key: str
@@ -56,7 +56,7 @@
 
 
 def is_ip_address(text: str) -> bool:
-    """Return whether `text` is an IPv4 or IPv6 number."""
+    """Return whether `text` is an IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -64,16 +64,16 @@
     return True
 
 
-def show(value: object) -> str:
-    """Return `value` as short text for a fault."""
+def format_value(value: object) -> str:
+    """Return `value` as text for a fault, truncated if long."""
     text = repr(value)
-    if len(text) > _LONGEST_SHOWN_VALUE:
-        return text[:_LONGEST_SHOWN_VALUE] + "..."
+    if len(text) > _MAX_SHOWN_LENGTH:
+        return text[:_MAX_SHOWN_LENGTH] + "..."
     return text
 
 
 class TableReader:
-    """Reads one TOML table with checked types, noting every fault.
+    """Reads a TOML table with checked types and records all faults.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
     source
         File name for the faults.
     faults
-        Where faults are appended.
+        List to which faults are appended.
     """
 
     def __init__(
@@ -99,18 +99,18 @@
         self._path = path
         self._source = source
         self._faults = faults
-        self._known: set[str] = set()
+        self._requested_keys: set[str] = set()
 
     def has(self, key: str) -> bool:
-        """Return whether the table holds `key`."""
+        """Return whether the table contains `key`."""
         return key in self._table
 
     def add_fault(self, key: str, value: object, valid: str) -> None:
         """Add a fault at `key` of this table."""
-        self.add_redacted_fault(key, show(value), valid)
+        self.add_redacted_fault(key, format_value(value), valid)
 
     def add_redacted_fault(self, key: str, shown: str, valid: str) -> None:
-        """Add a fault whose value is given as text, as for secrets."""
+        """Add a fault with `shown` as its value, for example for secrets."""
         path = f"{self._path}.{key}" if self._path else key
         self._faults.append(
             Fault(key=path, value=shown, valid=valid, source=self._source)
@@ -118,7 +118,7 @@
 
     def text(self, key: str, *, default: str | None = None) -> str:
         """Return a string; without a default it is required."""
-        value = self._take(key, default, "a string")
+        value = self._get(key, default, "a string")
         if value is None:
             return ""
         if not isinstance(value, str):
@@ -130,7 +130,7 @@
         """Return a name that follows `NAME_RULE`."""
         value = self.text(key, default=default)
         if self.has(key) and not is_name(value):
-            self._note_once(key, value, NAME_RULE)
+            self._add_fault_if_string(key, value, NAME_RULE)
         return value
 
     def names(self, key: str) -> tuple[str, ...]:
@@ -142,8 +142,8 @@
         return found
 
     def texts(self, key: str, *, required: bool = False) -> tuple[str, ...]:
-        """Return a list of strings; empty when it is absent and optional."""
-        value = self._take(key, None if required else [], "a list of strings")
+        """Return a list of strings; empty if it is missing."""
+        value = self._get(key, None if required else [], "a list of strings")
         if value is None:
             return ()
         if not isinstance(value, list) or not all(
@@ -167,17 +167,17 @@
         Parameters
         ----------
         above_minimum
-            Whether the minimum itself is not allowed.
+            Whether the minimum itself is excluded.
         """
         lower = f"above {minimum:g}" if above_minimum else f"from {minimum:g}"
         valid = f"a number {lower} to {maximum:g}"
-        value = self._take(key, default, valid)
+        value = self._get(key, default, valid)
         if value is None:
             return maximum
         if isinstance(value, bool) or not isinstance(value, int | float):
             self.add_fault(key, value, valid)
             return maximum if default is None else default
-        # NaN fails both comparisons, so it is refused with the rest.
+        # NaN fails both comparisons, so it is rejected, too.
         high_enough = value > minimum if above_minimum else value >= minimum
         if not (high_enough and value <= maximum):
             self.add_fault(key, value, valid)
@@ -192,9 +192,9 @@
         minimum: int,
         maximum: int,
     ) -> int:
-        """Return a whole number between `minimum` and `maximum`."""
+        """Return an integer between `minimum` and `maximum`."""
         valid = f"a whole number from {minimum} to {maximum}"
-        value = self._take(key, default, valid)
+        value = self._get(key, default, valid)
         if value is None:
             return maximum
         if isinstance(value, bool) or not isinstance(value, int):
@@ -206,19 +206,19 @@
         return value
 
     def boolean(self, key: str, *, default: bool) -> bool:
-        """Return true or false."""
-        value = self._take(key, default, "true or false")
+        """Return a boolean."""
+        value = self._get(key, default, "true or false")
         if not isinstance(value, bool):
             self.add_fault(key, value, "true or false")
             return default
         return value
 
     def choice(self, key: str, kind: type[_E], *, default: _E | None) -> _E:
-        """Return the member of `kind` whose value is written."""
+        """Return the member of the enum `kind` with the table's value."""
         members = list(kind)
         valid = " or ".join(repr(member.value) for member in members)
         fallback = default or members[0]
-        value = self._take(key, fallback.value if default else None, valid)
+        value = self._get(key, fallback.value if default else None, valid)
         if value is None:
             return fallback
         for member in members:
@@ -228,14 +228,14 @@
         return fallback
 
     def ip_address(self, key: str, *, default: str | None = None) -> str:
-        """Return an IPv4 or IPv6 number."""
+        """Return an IPv4 or IPv6 address."""
         value = self.text(key, default=default)
         if self.has(key) and not is_ip_address(value):
-            self._note_once(key, value, "an IP number, like 10.0.0.1")
+            self._add_fault_if_string(key, value, "an IP number, like 10.0.0.1")
         return value
 
     def address(self, key: str, *, lowest_port: int) -> tuple[str, int]:
-        """Return the IP number and port of an `IP:PORT` string."""
+        """Return the IP address and port of an `IP:PORT` string."""
         text = self.text(key)
         if not self.has(key) or not isinstance(self._table[key], str):
             return ("", 0)
@@ -244,26 +244,26 @@
     def split_address(
         self, key: str, text: str, *, lowest_port: int
     ) -> tuple[str, int]:
-        """Split `text` into its IP number and port, noting a fault."""
+        """Split `text` into IP address and port; add a fault if invalid."""
         host, _, port = text.rpartition(":")
         if host.startswith("[") and host.endswith("]"):
             host = host[1:-1]
         if is_ip_address(host) and port.isdecimal():
             number = int(port)
-            if lowest_port <= number <= _HIGHEST_PORT:
+            if lowest_port <= number <= _MAX_PORT:
                 return (host, number)
         self.add_fault(
             key,
             text,
             f"IP:PORT with an IP number and a port from {lowest_port} to "
-            f"{_HIGHEST_PORT}, like '10.0.0.1:8080'",
+            f"{_MAX_PORT}, like '10.0.0.1:8080'",
         )
         return ("", 0)
 
     def secret(self, key: str, *, minimum_bytes: int) -> bytes:
-        """Return the bytes of a lower-case hexadecimal secret.
+        """Return the bytes of a secret in lower-case hexadecimal.
 
-        The fault of a secret never shows it, only its length.
+        Faults contain only the length of a secret.
         """
         text = self.text(key)
         valid = (
@@ -284,10 +284,10 @@
         return bytes.fromhex(text)
 
     def digest(self, key: str, text: str) -> None:
-        """Note a fault unless `text` is a hexadecimal SHA-256."""
+        """Add a fault unless `text` is a hexadecimal SHA-256 digest."""
         if len(text) == 64 and _HEXADECIMAL_PATTERN.fullmatch(text):
             return
-        # What stands here may be the key itself by mistake: not shown.
+        # The value may be the key itself by mistake, so it is redacted.
         self.add_redacted_fault(
             key,
             f"(hidden, {len(text)} characters)",
@@ -295,8 +295,8 @@
         )
 
     def table(self, key: str) -> Mapping[str, object]:
-        """Return an optional subtable; empty when it is absent."""
-        value = self._take(key, {}, "a table")
+        """Return an optional subtable; empty if it is missing."""
+        value = self._get(key, {}, "a table")
         if not isinstance(value, Mapping):
             self.add_fault(key, value, "a table")
             return {}
@@ -304,7 +304,7 @@
 
     def tables(self, key: str) -> tuple[Mapping[str, object], ...]:
         """Return an optional array of tables."""
-        value = self._take(key, [], "an array of tables")
+        value = self._get(key, [], "an array of tables")
         if not isinstance(value, list) or not all(
             isinstance(one, Mapping) for one in value
         ):
@@ -322,20 +322,20 @@
         )
 
     def finish(self) -> None:
-        """Note a fault for each key that nobody asked for."""
+        """Add a fault for each key that was not read."""
         for key, value in self._table.items():
-            if key not in self._known:
-                known = ", ".join(sorted(self._known))
+            if key not in self._requested_keys:
+                known = ", ".join(sorted(self._requested_keys))
                 self.add_fault(key, value, f"only the keys {known}")
 
-    def _take(self, key: str, default: object, valid: str) -> object:
-        self._known.add(key)
+    def _get(self, key: str, default: object, valid: str) -> object:
+        self._requested_keys.add(key)
         if key in self._table:
             return self._table[key]
         if default is None:
             self.add_redacted_fault(key, "(missing)", valid)
         return default
 
-    def _note_once(self, key: str, value: object, valid: str) -> None:
+    def _add_fault_if_string(self, key: str, value: object, valid: str) -> None:
         if isinstance(self._table[key], str):
             self.add_fault(key, value, valid)
--- a/packages/config/tests/conftest.py
+++ b/packages/config/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a small valid set of declarations and its draft."""
+"""Fixtures: small valid declarations and their draft."""
 
 import pytest
 
--- a/packages/config/tests/test_declarations.py
+++ b/packages/config/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations: the model they give and the faults they are refused with."""
+"""Declarations are parsed into a draft or rejected with their faults."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     return {fault.key for fault in result.faults}
 
 
-def test_small_declarations_give_their_model(small_draft):
+def test_small_declarations_are_parsed(small_draft):
     assert isinstance(small_draft, draft.Draft)
     summary = small_draft.profiles_by_name["summary"]
     assert (summary.retry_ratio, summary.maximum_attempts) == (0.0, 1)
@@ -121,7 +121,7 @@
 
 
 def test_key_shared_by_two_organisations_is_refused(parse, small_text):
-    # One key for two houses would show one house the answers of the other.
+    # With a shared key, one organisation could read the answers of the other.
     extra = f'[organisations.house-b]\nkey_digests = ["{"ab" * 32}"]\n'
     assert _keys(parse(small_text, extra)) == {
         "organisations.house-b.key_digests"
@@ -193,7 +193,7 @@
     assert _keys(parse(small_text, text)) == {key}
 
 
-def test_regions_of_two_domains_rebase_and_of_one_clash(parse, small_text):
+def test_regions_of_two_domains_rebase_and_of_one_conflict(parse, small_text):
     base = parse(small_text)
     first, second, third = (
         parse(small_text, f'[domains.{domain}]\nregion = "{region}"')
@@ -205,5 +205,5 @@
     )
     merged = rebase.rebase(base=base, head=first, mine=second)
     assert set(merged.domains_by_name) == {"tunis-a", "tunis-b"}
-    clash = rebase.rebase(base=base, head=first, mine=third)
-    assert [str(name) for name in clash.names] == ["domain:tunis-a"]
+    conflict = rebase.rebase(base=base, head=first, mine=third)
+    assert [str(name) for name in conflict.names] == ["domain:tunis-a"]
--- a/packages/config/tests/test_examples.py
+++ b/packages/config/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples of both users are valid and of the sizes they have today."""
+"""The examples of both users are valid and have the expected sizes."""
 
 import collections
 import pathlib
@@ -41,7 +41,7 @@
         ),
     ],
 )
-def test_declarations_are_valid_and_of_todays_sizes(
+def test_declarations_are_valid_and_have_the_expected_sizes(
     name, domains, runners_by_pool, once_only
 ):
     result = _read(name)
--- a/packages/config/tests/test_faults.py
+++ b/packages/config/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Whatever operators write, they get faults and never a traceback."""
+"""Any input results in faults and never in another exception."""
 
 import datetime
 import math
@@ -116,8 +116,8 @@
 )
 def test_damaged_declarations_give_a_draft_or_faults(small_text, damages):
     lines = small_text.splitlines()
-    for place, damage in damages:
-        number = place % len(lines)
+    for index, damage in damages:
+        number = index % len(lines)
         line = lines[number]
         damaged = {
             "drop": [],
