--- a/packages/config/src/lagoonrun_config/draft.py
+++ b/packages/config/src/lagoonrun_config/draft.py
@@ -1,4 +1,4 @@
-"""What operators declare, before it is accepted and has a revision."""
+"""Content of a configuration before it is accepted and has a revision."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class EntryKind(enum.Enum):
-    """Kind of one entry that operators change as a whole."""
+    """Kind of an entry, the unit in which changes are merged."""
 
     PROFILE = "profile"
     ORGANISATION = "organisation"
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Draft:
-    """The whole content of a configuration without revision and digest."""
+    """Content of a configuration without revision and digest."""
 
     profiles_by_name: Mapping[types.ProfileName, model.Profile]
     organisations_by_id: Mapping[types.OrganisationId, model.Organisation]
@@ -55,7 +55,7 @@
     )
 
     def entries_by_name(self) -> dict[EntryName, Entry]:
-        """Return every entry under its name."""
+        """Return all entries by their names."""
         return dict(self._entries())
 
     def _entries(self) -> Iterator[tuple[EntryName, Entry]]:
@@ -93,10 +93,10 @@
 
 
 def from_entries(entries_by_name: Mapping[EntryName, Entry]) -> Draft:
-    """Return the draft that holds exactly these entries.
+    """Return the draft with these entries.
 
-    Placements are put in the order of their names, so that drafts with the
-    same entries are equal.
+    Placements are sorted by name, so that drafts with the same entries are
+    equal.
     """
 
     def of_kind(kind: EntryKind) -> dict:
@@ -120,7 +120,7 @@
 def configuration_of(
     draft: Draft, *, revision: types.Revision, digest: str
 ) -> model.Configuration:
-    """Return the configuration that a draft became when it was accepted."""
+    """Return the configuration of an accepted draft."""
     return model.Configuration(
         revision=revision,
         digest=digest,
--- a/packages/config/src/lagoonrun_config/rendering.py
+++ b/packages/config/src/lagoonrun_config/rendering.py
@@ -1,4 +1,4 @@
-"""Writes a draft as TOML declarations, which read back as the same draft."""
+"""Renders a draft as TOML declarations, which parse to the same draft."""
 
 import dataclasses
 import enum
@@ -12,10 +12,10 @@
 
 
 def render_declarations(draft: draft_module.Draft) -> str:
-    """Return the declarations of `draft`, in the order of their names.
+    """Return the declarations of `draft`, sorted by name.
 
-    Every value is written, defaults too, so that a later change of a default
-    changes nothing that is in force.
+    Default values are included, so that a later change of a default does not
+    change a configuration in force.
     """
     document: dict[str, Any] = {}
     _add_named(document, "profiles", draft.profiles_by_name, "name")
@@ -67,8 +67,8 @@
 ) -> dict[str, Any]:
     """Return the fields as TOML values.
 
-    Empty texts and lists are left out: they are the defaults of the keys that
-    only one kind of service may have.
+    Empty strings and lists are omitted: they are the defaults of keys that are
+    valid for only one kind of service.
     """
     values: dict[str, Any] = {}
     for field in dataclasses.fields(entry):
--- a/packages/config/src/lagoonrun_config/snapshot.py
+++ b/packages/config/src/lagoonrun_config/snapshot.py
@@ -1,7 +1,7 @@
-"""Canonical encoding of a draft: the same content is the same bytes.
+"""Canonical encoding of a draft: equal content has equal bytes.
 
-The digest is of the canonical JSON before compression, so that builds with
-different zlib versions agree on it.
+The digest is computed from the canonical JSON before compression, so that it
+does not depend on the version of zlib.
 """
 
 import dataclasses
@@ -17,12 +17,12 @@
 from lagoonrun_core import errors
 
 Digest = NewType("Digest", str)
-"""SHA-256 of a draft's canonical JSON, in lower-case hexadecimal."""
+"""SHA-256 of the canonical JSON of a draft, in lower-case hexadecimal."""
 
 MAXIMUM_SNAPSHOT_BYTES = 900_000
-"""Largest snapshot; the platform's store takes values up to a megabyte."""
+"""Maximum size; the platform's store accepts values up to a megabyte."""
 
-_MAXIMUM_JSON_BYTES = 32_000_000
+_MAX_JSON_BYTES = 32_000_000
 _FORMAT = 1
 _COMPRESSION_LEVEL = 9
 
@@ -35,20 +35,20 @@
     "domains": model.Domain,
 }
 
-_ADDED_SECTIONS = frozenset({"domains"})
-"""Sections that builds of the same format did not always have."""
+_OPTIONAL_SECTIONS = frozenset({"domains"})
+"""Sections added later within this format; older builds lack them."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """The encoded content of one configuration."""
+    """Encoded content of one configuration."""
 
     digest: Digest
     content: bytes
 
 
 class SnapshotError(errors.LagoonrunError):
-    """Bytes that are not the snapshot they should be."""
+    """Bytes are not a valid snapshot, or not the expected one."""
 
     def __init__(self, *, detail: str, peer: str = "") -> None:
         super().__init__(
@@ -66,7 +66,7 @@
 
 
 def check_size(snapshot: Snapshot) -> tuple[faults.Fault, ...]:
-    """Return a fault when the snapshot does not fit the platform's store."""
+    """Return a fault if the snapshot is too large for the platform's store."""
     size = len(snapshot.content)
     if size <= MAXIMUM_SNAPSHOT_BYTES:
         return ()
@@ -87,12 +87,12 @@
     Parameters
     ----------
     peer
-        Where the bytes came from, for the error.
+        Source of the bytes, for the error message.
 
     Raises
     ------
     SnapshotError
-        When the bytes are damaged, too large or of another digest.
+        If the bytes are damaged, too large or have another digest.
     """
     text = _decompress(snapshot.content, peer)
     actual = hashlib.sha256(text).hexdigest()
@@ -112,11 +112,11 @@
 
 
 def _decompress(content: bytes, peer: str) -> bytes:
-    # The size is bounded before decompression: a few bytes from a faulty
-    # peer could otherwise become gigabytes and exhaust a small VM.
+    # The output is limited, since a few bytes from a faulty peer could
+    # otherwise expand to gigabytes and exhaust the memory of a small VM.
     inflater = zlib.decompressobj()
     try:
-        text = inflater.decompress(content, _MAXIMUM_JSON_BYTES)
+        text = inflater.decompress(content, _MAX_JSON_BYTES)
     except zlib.error as error:
         raise SnapshotError(
             peer=peer, detail=f"not compressed JSON: {error}"
@@ -124,7 +124,7 @@
     if not inflater.eof:
         raise SnapshotError(
             peer=peer,
-            detail=f"truncated, or over {_MAXIMUM_JSON_BYTES} bytes of JSON",
+            detail=f"truncated, or over {_MAX_JSON_BYTES} bytes of JSON",
         )
     return text
 
@@ -143,9 +143,9 @@
         "domains": _sorted_values(draft.domains_by_name),
     }
     for section, entries in sections.items():
-        # Left out when empty: content without the section keeps the digest
-        # that older builds gave it, and they can go on reading it.
-        if section in _ADDED_SECTIONS and not entries:
+        # Omitted if empty, so that content without the section has the same
+        # digest as in older builds and can be read by them.
+        if section in _OPTIONAL_SECTIONS and not entries:
             continue
         tables[section] = _columns(_CLASS_BY_SECTION[section], entries)
     text = json.dumps(tables, sort_keys=True, separators=(",", ":"))
@@ -159,7 +159,7 @@
 def _columns(
     kind: type, entries: Sequence[draft_module.Entry]
 ) -> dict[str, list]:
-    """Return one list per field: names are not repeated for each entry."""
+    """Return one list per field, so that field names are not repeated."""
     return {
         field.name: [_plain(getattr(entry, field.name)) for entry in entries]
         for field in dataclasses.fields(kind)
@@ -179,8 +179,8 @@
         raise ValueError(f"format {tables['format']!r}")
     unknown = tables.keys() - _CLASS_BY_SECTION.keys() - {"format"}
     if unknown:
-        # An operator's older build that passed over a section would write
-        # the merged content without it, and an accepted change were gone.
+        # If an older build of an operator ignored a section, it would write
+        # the merged content without it and lose an accepted change.
         raise ValueError(f"unknown sections {sorted(unknown)}")
     read = {
         section: _entries(kind, _section(tables, section))
@@ -197,7 +197,7 @@
 
 
 def _section(tables: dict, section: str) -> dict[str, list]:
-    if section in _ADDED_SECTIONS:
+    if section in _OPTIONAL_SECTIONS:
         return tables.get(section, {})
     return tables[section]
 
--- a/packages/config/tests/test_rendering.py
+++ b/packages/config/tests/test_rendering.py
@@ -1,4 +1,4 @@
-"""What is in force is written as declarations that mean the same."""
+"""Rendered declarations are equivalent to the draft."""
 
 import pathlib
 
@@ -28,15 +28,15 @@
     return read(path.read_text(encoding="utf-8") for path in paths)
 
 
-def test_written_declarations_read_back_as_the_same(example):
+def test_rendered_declarations_parse_to_the_same_draft(example):
     assert read([rendering.render_declarations(example)]) == example
 
 
-def test_examples_hold_every_kind_of_entry(example):
-    """A kind that is added later must come through `get` as well."""
+def test_examples_contain_all_kinds_of_entries(example):
+    """Otherwise a kind that is added later would not be tested here."""
     kinds = {name.kind for name in example.entries_by_name()}
     assert kinds == set(draft.EntryKind)
 
 
-def test_nothing_is_written_for_nothing():
+def test_empty_draft_is_rendered_as_empty_text():
     assert rendering.render_declarations(draft.EMPTY_DRAFT) == ""
--- a/packages/config/tests/test_snapshot.py
+++ b/packages/config/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: canonical, checked, and small enough for the store."""
+"""Snapshots are canonical, verified and small enough for the store."""
 
 import dataclasses
 import hashlib
@@ -100,11 +100,11 @@
 
 
 def test_snapshots_without_domains_are_those_of_older_builds(small_draft):
-    """A fleet is upgraded to a build that knows domains, one VM at a time.
+    """Guards against a new section that splits the fleet during an upgrade.
 
-    Operators declare none yet. Old and new entry VMs have to agree on the
-    digest of what is in force, and to read each other's snapshots; a new
-    section, even an empty one, would split the fleet.
+    While no domains are declared, entry VMs with builds that support domains
+    and older ones must compute the same digest and read each other's
+    snapshots.
     """
     encoded = snapshot.encode_snapshot(small_draft)
     tables = json.loads(zlib.decompress(encoded.content))
@@ -176,10 +176,10 @@
 
 @pytest.mark.parametrize("place", ["section", "field"])
 def test_content_of_a_newer_build_is_not_read_in_part(small_draft, place):
-    """An operator's build is older than the one that wrote the snapshot.
+    """Guards against the silent loss of a change by an operator's older build.
 
-    Read in part, the content would be merged and written back without the
-    rest: an accepted change would be gone, and nobody told.
+    It would merge the part that it can read and write it back without the
+    rest.
     """
     encoded = snapshot.encode_snapshot(small_draft)
     tables = json.loads(zlib.decompress(encoded.content))
