--- a/packages/config/src/lagoonrun_config/__init__.py
+++ b/packages/config/src/lagoonrun_config/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations, their checks, snapshots and the settings of a process."""
+"""Declarations with their checks, snapshots, and settings of a process."""
--- a/packages/config/src/lagoonrun_config/model.py
+++ b/packages/config/src/lagoonrun_config/model.py
@@ -1,7 +1,7 @@
-"""The accepted configuration as frozen, typed values.
+"""Types of an accepted configuration.
 
-A `Configuration` is immutable; the daemon swaps whole revisions. Collections
-are named by their key.
+A `Configuration` is immutable; the daemon replaces it as a whole with each
+revision.
 """
 
 import dataclasses
@@ -11,11 +11,11 @@
 from lagoonrun_core import types
 
 NO_REGION = types.Region("")
-"""Region of all domains that declare none."""
+"""Region of the failure domains that declare none."""
 
 
 class TargetKind(enum.Enum):
-    """What a profile's latency target is counted on."""
+    """Latency to which the target of a profile applies."""
 
     FIRST_TOKEN = "first-token"
     TOTAL = "total"
@@ -37,22 +37,23 @@
     tier
         1 (highest) to 6 (lowest).
     target_kind
-        Whether target and limit are on the first token or the whole answer.
+        Whether target and limit apply to the first token or the whole answer.
     target_seconds
-        Latency that attainment counts.
+        Latency that a request must meet to count as within the target.
     limit_seconds
-        Age after which the answer is worthless; at least the target.
+        Age after which the answer is useless; at least the target.
     idempotent
-        Whether a request may run more than once; if not, it is sent at most
-        once and never tried again after its first byte.
+        Whether a request may run more than once. Otherwise it is sent at most
+        once and never retried after its first byte was sent.
     floor_share
-        Share of grants set aside for this class while it waits, 0 to 0.5.
+        Guaranteed minimum share of the permits for this class while its
+        requests wait, 0 to 0.5.
     queue_capacity
-        Most requests of this class that wait in one shard.
+        Maximum number of waiting requests of this class in one shard.
     retry_ratio
         Retries allowed per first attempt, 0 to 1; idempotent only.
     maximum_attempts
-        Most attempts of one request, the first included.
+        Maximum number of attempts of one request, including the first.
     """
 
     name: types.ProfileName
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Organisation:
-    """A customer: its share and the digests of its bearer keys.
+    """An organisation that sends requests, with its keys and its weight.
 
     Parameters
     ----------
@@ -86,22 +87,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """What callers ask for; it picks one profile and one pool.
+    """What callers request; it determines the profile and the pool.
 
     Parameters
     ----------
     kind
         `model` for chat completions, `plain` for pass-through by path.
     pool
-        Pool whose upstreams answer it.
+        Pool of the upstreams that answer it.
     profile
         Profile of its requests.
     models
-        Values of the chat request's `model` field that mean this service.
+        Values of the `model` field of chat requests that select this service.
     path_prefix
-        Path under which a plain service is reached, like `/portal/lookups`.
+        Path prefix of a plain service, like `/portal/lookups`.
     organisations
-        Who may call it; empty for everyone.
+        Organisations that may call it; empty for all.
     """
 
     name: types.ServiceName
@@ -115,29 +116,30 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Upstream:
-    """A back end: a model engine's runner or a plain service's server.
+    """A back end: a runner of a model engine or a server of a plain service.
 
     Parameters
     ----------
     id
         Name, unique among all pools.
     domain
-        Failure domain that it stands in.
+        Failure domain that it is in.
     address
-        IP number.
+        IP address.
     port
-        Port; the pool may give one for all its upstreams.
+        Port; a pool may declare a default for its upstreams.
     slots
-        Declared most requests at once; the starting point of its room.
+        Declared maximum of concurrent requests; the initial value of its
+        concurrency limit.
     resumes
-        Whether a cut stream can be resumed from a delivered offset.
+        Whether an interrupted stream can be resumed from a delivered offset.
     cancels
-        Whether closing the connection stops the work.
+        Whether it stops processing when the connection is closed.
     checks_fencing
-        Whether it refuses an order that carries an old fencing number.
+        Whether it rejects orders with an old fencing number.
     draining
-        Whether an operator lets it leave: it gets no new work, and what it
-        runs goes on to its end.
+        Whether an operator drains it: it receives no new requests, and its
+        running requests continue to their end.
     """
 
     id: types.UpstreamId
@@ -154,25 +156,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Placement:
-    """How many upstreams of a pool in a domain hold a model in a role.
+    """Number of upstreams of a pool in a domain that hold a model in a role.
 
-    Placements of one pool, domain and role share upstreams: a base model and
-    its adapters are placements of their own.
+    Placements with the same pool, domain and role share upstreams; for
+    example, a base model and each of its adapters has its own placement.
 
     Parameters
     ----------
     pool, domain
-        Where.
+        Pool and failure domain of the upstreams.
     model
-        Model, adapter or version to hold.
+        Model, adapter or version to load.
     role
-        Role that the upstreams take, like `serve`.
+        Role of the upstreams, like `serve`.
     count
-        How many upstreams; at most those of the pool in the domain.
+        Number of upstreams; at most those of the pool in the domain.
     weight_bytes
-        Size of the model's weights, for the weight store's rate limit.
+        Size of the model's weights, for the rate limit of the weight store.
     version
-        Version of the model that is to be loaded; empty for any.
+        Version of the model to load; empty for any.
     """
 
     pool: types.PoolName
@@ -186,14 +188,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Domain:
-    """A failure domain, as far as operators say something of it.
+    """A failure domain with its declared properties.
 
     Parameters
     ----------
     region
-        Region that it stands in; domains of one region are near each other.
-        Empty for the region without a name, which is that of every domain
-        that is not declared.
+        Region that it is in; domains of one region are near each other. Empty
+        for the unnamed region, which contains all undeclared domains.
     """
 
     name: types.FailureDomain
@@ -202,7 +203,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """One accepted revision of everything that operators declare."""
+    """One accepted revision of all declarations."""
 
     revision: types.Revision
     digest: str
@@ -216,10 +217,10 @@
     )
 
     def region_of(self, domain: types.FailureDomain) -> types.Region:
-        """Return the region of `domain`; `NO_REGION` where none is declared.
+        """Return the region of `domain`; `NO_REGION` if none is declared.
 
-        Domains without a declaration share one region instead of being one
-        each: a fleet that declares nothing is then one region, as before.
+        Undeclared domains share one region instead of forming one each, so
+        that a fleet without declared domains is one region.
         """
         declared = self.domains_by_name.get(domain)
         return declared.region if declared is not None else NO_REGION
--- a/packages/config/src/lagoonrun_config/settings.py
+++ b/packages/config/src/lagoonrun_config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one `lagoonrund` process, from its TOML file."""
+"""Settings of a `lagoonrund` process."""
 
 import dataclasses
 import enum
@@ -8,19 +8,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Address:
-    """An IP number and a port; port 0 lets the system choose."""
+    """An IP address and a port; port 0 lets the system choose."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return `host:port`, an IPv6 number in brackets."""
+        """Return `host:port`, with an IPv6 address in brackets."""
         host = f"[{self.host}]" if ":" in self.host else self.host
         return f"{host}:{self.port}"
 
 
 class ExperimentPolicy(enum.Enum):
-    """Who decides which runner serves a request."""
+    """How the runner of a request is chosen."""
 
     DISPATCHER = "dispatcher"
     NAIVE = "naive"
@@ -28,15 +28,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Experiment:
-    """Deviations from the order of service, for measurements only.
+    """Deviations from the regular dispatch policy, for measurements only.
 
     Parameters
     ----------
     policy
-        `NAIVE` lets each entry VM alone choose the better of two runners by
-        their load reports, and refuses nothing for room or time.
+        `NAIVE` lets each entry VM on its own choose the better of two runners
+        by their load reports; no request is refused for lack of capacity or
+        time.
     switched_off, switched_on
-        Parts of the order of service, by their names in
+        Features of the policy, by their names in
         `lagoonrun_policy.features.Features`.
     """
 
@@ -47,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Settings:
-    """What a process is told at start.
+    """Settings that a process reads from its TOML file at start.
 
     Parameters
     ----------
     entry_vm
         Name of this entry VM, unique among all.
     domain
-        Failure domain that it stands in.
+        Failure domain that it is in.
     caller
         Address for callers.
     admin
@@ -65,35 +66,36 @@
     platform
         Addresses of the platform's gateway, tried in turn.
     seeds
-        Peer addresses to join through.
+        Peer addresses used to join the membership.
     inner_key
         Secret that authenticates messages between entry VMs.
     admin_token_digest
-        SHA-256 (hexadecimal) of the token that admin calls must bear;
-        empty for none.
+        SHA-256 (hexadecimal) of the bearer token of admin calls; empty for
+        none.
     drain_timeout_seconds
-        Longest time that a planned stop waits for running requests.
+        Maximum time that a planned stop waits for running requests.
     readiness_grace_seconds
-        How long a planned stop goes on taking requests after it has told
-        the balancer, which notices with a lag.
+        Time for which a planned stop continues to accept requests after it
+        reported not ready, since the load balancer notices with a delay.
     explain_capacity
-        Most requests whose explanation is kept; the oldest goes first.
+        Maximum number of requests whose explanation is kept; the oldest is
+        discarded first.
     claim_retention_seconds
-        Least time for which an idempotency key stays claimed. It must be
+        Minimum time for which an idempotency key stays claimed. It must be
         well above the longest limit of a class that is not idempotent.
     weight_bytes_per_second
-        Rate of the weight store for this failure domain's orders.
+        Bandwidth of the weight store for the orders of this failure domain.
     order_timeout_seconds
-        Longest time that one order to an upstream may take.
+        Maximum duration of one order to an upstream.
     order_lease_seconds
-        Lease of the entry VM that sends a failure domain's orders; when it
-        is lost, another takes over after that time. At least twice the
-        order's timeout.
+        Duration of the lease of the entry VM that sends the orders of a failure
+        domain; if that VM fails, another one takes over after this time. At
+        least twice the order timeout.
     experiment
-        Deviations for measurements; none in service.
+        Deviations for measurements; none in production.
     platform_calls_per_second
-        This process's budget of calls to the platform. Its sum over all
-        entry VMs must stay below what the platform takes.
+        Maximum rate of calls to the platform by this process. The sum over all
+        entry VMs must stay below what the platform accepts.
     """
 
     entry_vm: types.EntryVmId
--- a/packages/config/src/lagoonrun_config/settings_file.py
+++ b/packages/config/src/lagoonrun_config/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads the settings of a process from TOML and lists every fault at once."""
+"""Reads the settings of a process from TOML; reports all faults at once."""
 
 import pathlib
 import tomllib
@@ -7,23 +7,23 @@
 from lagoonrun_config import faults, settings
 from lagoonrun_core import errors, types
 
-_MINIMUM_INNER_KEY_BYTES = 16
-_LONGEST_DRAIN_SECONDS = 86_400.0
-_LONGEST_RETENTION_SECONDS = 30 * 86_400.0
-_MOST_WEIGHT_BYTES = 1e15
-_LARGEST_EXPLAIN_CAPACITY = 1_000_000
-_MOST_PLATFORM_CALLS = 10_000.0
+_MIN_INNER_KEY_BYTES = 16
+_MAX_DRAIN_SECONDS = 86_400.0
+_MAX_RETENTION_SECONDS = 30 * 86_400.0
+_MAX_WEIGHT_BYTES = 1e15
+_MAX_EXPLAIN_CAPACITY = 1_000_000
+_MAX_PLATFORM_CALLS = 10_000.0
 
 
 class SettingsError(errors.LagoonrunError):
-    """The settings file cannot be used.
+    """The settings file is invalid or can't be read.
 
     Parameters
     ----------
     path
-        The file that was read.
+        Path of the file.
     found
-        Every fault, in the order of the file's keys.
+        All faults, in the order in which the keys are read.
     """
 
     def __init__(self, *, path: str, found: Sequence[faults.Fault]) -> None:
@@ -41,7 +41,7 @@
     Raises
     ------
     SettingsError
-        With every fault of the file.
+        With all faults of the file.
     """
     name = str(path)
     table = _read_table(pathlib.Path(path), name)
@@ -78,54 +78,55 @@
         platform=_read_addresses(reader, "platform", required=True),
         seeds=_read_addresses(reader, "seeds", required=False),
         inner_key=reader.secret(
-            "inner_key", minimum_bytes=_MINIMUM_INNER_KEY_BYTES
+            "inner_key", minimum_bytes=_MIN_INNER_KEY_BYTES
         ),
         admin_token_digest=_read_token_digest(reader),
         drain_timeout_seconds=reader.number(
             "drain_timeout_seconds",
             default=600.0,
             minimum=0.0,
-            maximum=_LONGEST_DRAIN_SECONDS,
+            maximum=_MAX_DRAIN_SECONDS,
         ),
         readiness_grace_seconds=reader.number(
             "readiness_grace_seconds",
             default=2.0,
             minimum=0.0,
-            maximum=_LONGEST_DRAIN_SECONDS,
+            maximum=_MAX_DRAIN_SECONDS,
         ),
         explain_capacity=reader.integer(
             "explain_capacity",
             default=10_000,
             minimum=1,
-            maximum=_LARGEST_EXPLAIN_CAPACITY,
+            maximum=_MAX_EXPLAIN_CAPACITY,
         ),
         claim_retention_seconds=reader.number(
             "claim_retention_seconds",
             default=86_400.0,
             minimum=3600.0,
-            maximum=_LONGEST_RETENTION_SECONDS,
+            maximum=_MAX_RETENTION_SECONDS,
         ),
         weight_bytes_per_second=reader.number(
             "weight_bytes_per_second",
             default=1e9,
             minimum=1.0,
-            maximum=_MOST_WEIGHT_BYTES,
+            maximum=_MAX_WEIGHT_BYTES,
         ),
         order_timeout_seconds=order_timeout_seconds,
         order_lease_seconds=reader.number(
             "order_lease_seconds",
             default=max(30.0, 2 * order_timeout_seconds),
-            # Less than that, and no lease ever outlasts an order's timeout
-            # by enough to order an upstream that checks no numbers.
+            # With less, the rest of a lease never exceeds the order timeout
+            # by enough to send an order to an upstream that does not check
+            # fencing numbers.
             minimum=2 * order_timeout_seconds,
-            maximum=_LONGEST_DRAIN_SECONDS,
+            maximum=_MAX_DRAIN_SECONDS,
         ),
         experiment=_read_experiment(reader),
         platform_calls_per_second=reader.number(
             "platform_calls_per_second",
             default=100.0,
             minimum=0.1,
-            maximum=_MOST_PLATFORM_CALLS,
+            maximum=_MAX_PLATFORM_CALLS,
         ),
     )
 
--- a/packages/config/tests/test_settings_file.py
+++ b/packages/config/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings of a process: read whole, refused with every fault at once."""
+"""Settings of a process are read, or rejected with all faults at once."""
 
 import pytest
 
@@ -89,7 +89,7 @@
     )
 
 
-def test_without_an_experiment_the_dispatcher_decides(load):
+def test_default_experiment(load):
     result = load(GOOD)
     assert result.experiment == settings.Experiment()
 
@@ -121,7 +121,7 @@
         settings_file.load_settings(path)
 
 
-def test_a_lease_that_no_order_fits_into_is_refused(load):
+def test_lease_shorter_than_two_order_timeouts_is_refused(load):
     text = GOOD + "order_timeout_seconds = 20\n"
     assert load(text).order_lease_seconds == 40.0
     with pytest.raises(settings_file.SettingsError) as caught:
