--- a/packages/protocol/tests/test_hub.py
+++ b/packages/protocol/tests/test_hub.py
@@ -76,7 +76,8 @@
     """A dispatcher's VM is killed while permits are granted.
 
     The ingress must be notified, so that it registers its running requests
-    with another dispatcher.
+    with another dispatcher. Both the reading and the writing side of the
+    connection report the loss.
     """
     first, first_handler = await start_hub("vm-1")
     second, second_handler = await start_hub("vm-2")
