--- a/packages/http/src/lagoonrun_http/__init__.py
+++ b/packages/http/src/lagoonrun_http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 edges towards callers and upstreams."""
+"""HTTP/1.1 server for callers and client of upstreams."""
--- a/packages/http/src/lagoonrun_http/connection_owner.py
+++ b/packages/http/src/lagoonrun_http/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a server and the connections that it accepted ask of each other."""
+"""Interfaces between a server and the connections that it accepted."""
 
 import asyncio
 from typing import Protocol
@@ -7,46 +7,49 @@
 
 
 class OwnedConnection(Protocol):
-    """What the server does with a connection that it accepted."""
+    """An accepted connection, as the server uses it."""
 
     @property
     def reading_head(self) -> bool:
         """Whether part of a request's head has arrived."""
 
     def check_deadlines(self) -> None:
-        """Act on the bounds in time that the caller has run over."""
+        """Act on the timeouts that have expired."""
 
     def close_if_idle(self) -> None:
-        """Close when no byte of a request has arrived."""
+        """Close unless a request arrives within a short delay."""
 
     def refuse(self, rejection: rejections.Rejection) -> None:
-        """Answer a connection that is not wanted, before any request."""
+        """Send an error response before any request, and close."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells the server that accepted it."""
+    """The server, as the connections that it accepted use it."""
 
     @property
     def stopping(self) -> bool:
-        """Whether answers must end their connections."""
+        """Whether each connection must end with its next response."""
 
-    def exchange_began(self, task: "asyncio.Task[None]") -> None:
-        """Take note of a running exchange."""
+    def on_exchange_started(self, task: "asyncio.Task[None]") -> None:
+        """Add a running exchange."""
 
-    def exchange_ended(self, task: "asyncio.Task[None]") -> None:
-        """Take note that an exchange is over."""
+    def on_exchange_finished(self, task: "asyncio.Task[None]") -> None:
+        """Remove a finished exchange."""
 
-    def hold_bytes(self, size: int) -> bool:
-        """Count bytes of bodies; return whether all are within the limit."""
+    def add_held_bytes(self, size: int) -> bool:
+        """Add to the body bytes held; return whether they are in the limit."""
 
-    def release_bytes(self, size: int) -> None:
-        """Count bytes of bodies that are no longer held."""
+    def subtract_held_bytes(self, size: int) -> None:
+        """Subtract from the body bytes held."""
 
-    def connection_opened(self, connection: OwnedConnection) -> bool:
-        """Count a connection; refuse it when it is one too many."""
+    def on_connection_opened(self, connection: OwnedConnection) -> bool:
+        """Add a connection; return whether it is within the limit.
 
-    def connection_closed(self, connection: OwnedConnection) -> None:
-        """Forget a connection."""
+        A connection over the limit is refused.
+        """
+
+    def on_connection_closed(self, connection: OwnedConnection) -> None:
+        """Remove a closed connection."""
--- a/packages/http/src/lagoonrun_http/errors.py
+++ b/packages/http/src/lagoonrun_http/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the HTTP edges and the JSON body in which callers read them."""
+"""Errors of the HTTP server and the JSON body of its error responses."""
 
 import json
 
@@ -6,11 +6,11 @@
 
 
 class CallerLeftError(errors.LagoonrunError, ConnectionError):
-    """The caller's connection is gone; nothing more can reach it."""
+    """The caller disconnected; nothing more can be sent to it."""
 
 
 class RequestRejectedError(errors.LagoonrunError):
-    """The server has answered a faulty request itself; nothing is left to do.
+    """The server has rejected a request; its handler must send no response.
 
     Parameters
     ----------
@@ -28,16 +28,16 @@
 def error_body(
     *, step: errors.Step, field: str, message: str, valid: str
 ) -> bytes:
-    """Make the JSON body of an error answer.
+    """Return the JSON body of an error response.
 
     Parameters
     ----------
     step
-        Part of the work that refused the request.
+        Processing step that rejected the request.
     field
         Header, parameter or key at fault, such as `Content-Length`.
     message
-        What is wrong, naming the offending value.
+        What is wrong, with the invalid value.
     valid
         What would have been accepted.
     """
--- a/packages/http/src/lagoonrun_http/exchange.py
+++ b/packages/http/src/lagoonrun_http/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer to it."""
+"""One request of a caller and its response."""
 
 import asyncio
 from typing import Protocol
@@ -6,45 +6,45 @@
 from lagoonrun_core import errors as core_errors
 from lagoonrun_http import errors, hop_by_hop, messages, rejections
 
-_BODILESS_STATUSES = frozenset((204, 304))
+_STATUSES_WITHOUT_BODY = frozenset((204, 304))
 
 
 class ExchangeChannel(Protocol):
-    """What an exchange needs of the connection that carries it."""
+    """The connection, as the exchange that it carries uses it."""
 
     def ask_for_body(self) -> None:
-        """Send `100 Continue` when the caller waits for it."""
+        """Send `100 Continue` if the caller waits for it."""
 
     def write_head(self, head: messages.ResponseHead) -> None:
-        """Write status line and headers, with the framing that fits."""
+        """Write status line and headers, with the framing that h11 chooses."""
 
     def write_whole(self, head: messages.ResponseHead, body: bytes) -> None:
-        """Write a whole answer in one piece."""
+        """Write a whole response by one write."""
 
     def write_data(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
 
     def write_end(self) -> None:
         """Write the end of the body."""
 
     def write_rejection(self, rejection: rejections.Rejection) -> None:
-        """Answer a faulty request and end the connection after it."""
+        """Send an error response and end the connection after it."""
 
     @property
     def keeps_up(self) -> bool:
-        """Whether the caller has taken enough of what was written."""
+        """Whether the write buffer is below its limit."""
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
+        """Wait until the write buffer is below its limit."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
 
 class Exchange:
-    """A request, its body, and the way to answer it.
+    """A request, its body, and the methods that send the response.
 
-    Writing to a caller that is gone raises `errors.CallerLeftError`.
+    Writing to a caller that disconnected raises `errors.CallerLeftError`.
 
     Parameters
     ----------
@@ -69,8 +69,8 @@
         self.started = False
         self.finished = False
         self._channel = channel
-        self._lost = False
-        self._bodiless = False
+        self._disconnected = False
+        self._omits_body = False
         self._body = bytearray()
         self._body_ended = False
         self._rejection: rejections.Rejection | None = None
@@ -82,27 +82,30 @@
         Raises
         ------
         errors.RequestRejectedError
-            The body was faulty, slow or too large; the caller has its answer.
+            The body was malformed, slow or too large; the error response has
+            been sent.
         errors.CallerLeftError
             The caller disconnected before the end of the body.
         """
         if not self._body_ended and self._rejection is None:
             self._channel.ask_for_body()
-            while not (self._body_ended or self._rejection or self._lost):
+            while not (
+                self._body_ended or self._rejection or self._disconnected
+            ):
                 self._body_changed.clear()
                 await self._body_changed.wait()
         if self._rejection is not None:
-            self._reject(self._rejection)
+            self._raise_rejection(self._rejection)
         if not self._body_ended:
-            raise self._left()
+            raise self._caller_left_error()
         return bytes(self._body)
 
     async def respond(
         self, *, status: int, headers: messages.Headers, body: bytes
     ) -> None:
-        """Send a whole answer; its `Content-Length` is set here."""
-        self._check_caller()
-        if self._is_without_body(status):
+        """Send a whole response; its `Content-Length` is set here."""
+        self._check_connected()
+        if self._has_no_body(status):
             body = b""
         else:
             headers = headers.without(("content-length",)).with_added(
@@ -119,36 +122,36 @@
 
     def write_head(self, head: messages.ResponseHead) -> None:
         """Write the head; see `start`."""
-        self._check_caller()
+        self._check_connected()
         self.started = True
-        self._bodiless = self._is_without_body(head.status)
+        self._omits_body = self._has_no_body(head.status)
         self._channel.write_head(_end_to_end(head.status, head.headers))
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body; waits while the caller reads slowly."""
+        """Send a chunk of the body; waits while the caller reads slowly."""
         if not self.write(data):
             await self._channel.drained()
 
     def write(self, data: bytes) -> bool:
-        """Write a piece of the body; return whether the caller keeps up."""
-        if self._lost:
-            raise self._left()
-        if data and not self._bodiless:
+        """Write a chunk of the body; return whether the caller keeps up."""
+        if self._disconnected:
+            raise self._caller_left_error()
+        if data and not self._omits_body:
             self._channel.write_data(data)
         return self._channel.keeps_up
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
+        """Wait until the write buffer is below its limit."""
         await self._channel.drained()
 
     async def finish(self) -> None:
-        """End the answer."""
-        self._check_caller()
+        """End the response."""
+        self._check_connected()
         self._channel.write_end()
         self.finished = True
 
     def abort(self) -> None:
-        """Reset the caller's connection, so that a cut answer shows."""
+        """Reset the connection, so that the caller detects a cut response."""
         self._channel.abort()
 
     @property
@@ -156,34 +159,34 @@
         """Whether the whole request body has arrived."""
         return self._body_ended
 
-    def take_body(self, data: bytes) -> int:
-        """Keep a piece of the body and return the bytes so far."""
+    def append_body(self, data: bytes) -> int:
+        """Append a chunk of the body and return the size so far."""
         self._body += data
         return len(self._body)
 
     def end_body(self) -> None:
-        """Record that the body is whole."""
+        """Record that the body is complete."""
         self._body_ended = True
         self._body_changed.set()
 
     def reject_body(self, rejection: rejections.Rejection) -> None:
-        """Record that the body cannot be had; the reader is told."""
+        """Record why the body is rejected; `read_body` then fails."""
         if self._rejection is None:
             self._rejection = rejection
             self._body.clear()
             self._body_changed.set()
 
-    def lose_caller(self) -> None:
-        """Record that the connection is gone."""
-        self._lost = True
+    def on_connection_lost(self) -> None:
+        """Record that the caller disconnected."""
+        self._disconnected = True
         self.caller_left.set()
         self._body_changed.set()
 
-    def _is_without_body(self, status: int) -> bool:
-        return self.head.method == "HEAD" or status in _BODILESS_STATUSES
+    def _has_no_body(self, status: int) -> bool:
+        return self.head.method == "HEAD" or status in _STATUSES_WITHOUT_BODY
 
-    def _reject(self, rejection: rejections.Rejection) -> None:
-        if not self.started and not self._lost:
+    def _raise_rejection(self, rejection: rejections.Rejection) -> None:
+        if not self.started and not self._disconnected:
             self.started = True
             self.finished = True
             self._channel.write_rejection(rejection)
@@ -194,11 +197,11 @@
             status=rejection.status,
         )
 
-    def _check_caller(self) -> None:
-        if self._lost:
-            raise self._left()
+    def _check_connected(self) -> None:
+        if self._disconnected:
+            raise self._caller_left_error()
 
-    def _left(self) -> errors.CallerLeftError:
+    def _caller_left_error(self) -> errors.CallerLeftError:
         return errors.CallerLeftError(
             step=core_errors.Step.CALLER_WRITE,
             peer=self.peer,
@@ -215,7 +218,7 @@
 
 
 class ExchangeHandler(Protocol):
-    """Answers the requests that a server takes."""
+    """Responds to the requests that a server receives."""
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request; returns when the answer is finished."""
+        """Respond to one request; returns when the response is finished."""
--- a/packages/http/src/lagoonrun_http/failure_reasons.py
+++ b/packages/http/src/lagoonrun_http/failure_reasons.py
@@ -1,4 +1,4 @@
-"""What a failed exchange with an upstream is called in logs and answers."""
+"""Reasons that logs and responses give for a failed upstream exchange."""
 
 from lagoonrun_core import outcomes
 from lagoonrun_http import upstream_messages
--- a/packages/http/src/lagoonrun_http/hop_by_hop.py
+++ b/packages/http/src/lagoonrun_http/hop_by_hop.py
@@ -1,8 +1,8 @@
-"""Removal of the headers that belong to one connection only."""
+"""Removal of hop-by-hop headers."""
 
 from lagoonrun_http import messages
 
-_ALWAYS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -18,11 +18,11 @@
 
 
 def strip(headers: messages.Headers) -> messages.Headers:
-    """Return `headers` without those that must not be passed on.
+    """Return `headers` without those that must not be forwarded.
 
     Also drops the names that a `Connection` header lists (RFC 9110, 7.6.1).
     """
-    dropped = set(_ALWAYS)
+    dropped = set(_HOP_BY_HOP_HEADERS)
     for name, value in headers:
         if name.lower() == "connection":
             dropped.update(token.strip() for token in value.split(","))
--- a/packages/http/src/lagoonrun_http/limits.py
+++ b/packages/http/src/lagoonrun_http/limits.py
@@ -1,11 +1,11 @@
-"""Bounds on what one peer may cost."""
+"""Limits on the memory, connections and time that peers may use."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServerLimits:
-    """Bounds towards callers; sizes in bytes, times in seconds.
+    """Limits on callers; sizes in bytes, times in seconds.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     held_body_bytes
         Request bodies of all running exchanges together.
     idle_seconds
-        How long a connection may stay without a request.
+        How long a connection may be idle.
     header_read_seconds
         Time from the first byte of a head to its last.
     body_read_seconds
@@ -24,15 +24,15 @@
     write_stall_seconds
         How long a caller may read nothing while bytes wait for it.
     linger_seconds
-        How long input is discarded after an answer that ends a connection.
+        How long input is discarded after a response that ends a connection.
     connections
-        Open connections; more are answered 503.
+        Open connections; further ones get a 503 response.
     write_buffer_bytes
         Bytes that may wait for a slow caller before `send` waits.
     pipelined_bytes
-        Bytes of further requests taken while one is being answered.
+        Bytes of pipelined requests read while one is being processed.
     sweep_seconds
-        Time between two checks of the times above.
+        Time between two checks of the timeouts above.
     """
 
     header_bytes: int = 32 * 1024
@@ -51,36 +51,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClientLimits:
-    """Bounds towards upstreams; sizes in bytes, times in seconds.
+    """Limits on upstreams; sizes in bytes, times in seconds.
 
     Parameters
     ----------
     connect_seconds
-        Time for a connection to be made.
+        Time to open a connection.
     write_stall_seconds
-        How long an upstream may take no byte of a request.
+        How long an upstream may read no byte of a request.
     head_seconds
         Time from the request's end to the response's head.
     body_idle_seconds
-        Time between two pieces of a response body.
+        Time between two chunks of a response body.
     idle_seconds
-        How long an unused connection is kept where the upstream does not say
-        how long it keeps one; shorter than upstreams do.
-    longest_idle_seconds
-        How long an unused connection is kept whatever the upstream says.
+        How long an idle connection is kept if the upstream announces no idle
+        timeout; shorter than the idle timeouts of upstreams.
+    max_idle_seconds
+        How long an idle connection is kept at most, whatever idle timeout the
+        upstream announces.
     unacknowledged_seconds
-        How long the upstream's system may acknowledge nothing: neither bytes
-        of a request nor a probe of a silent connection.
+        How long the upstream's host may leave bytes of a request and
+        keep-alive probes unacknowledged.
     header_bytes
         Largest response head.
     connections_per_upstream
         Open connections to one address and port.
     idle_per_upstream
-        Unused connections kept to one address and port.
+        Idle connections kept to one address and port.
     read_buffer_bytes
         Bytes of a response held before reading from the upstream pauses.
     sweep_seconds
-        Time between two checks of the times above.
+        Time between two checks of the timeouts above.
     """
 
     connect_seconds: float = 1.0
@@ -88,7 +89,7 @@
     head_seconds: float = 120.0
     body_idle_seconds: float = 60.0
     idle_seconds: float = 4.0
-    longest_idle_seconds: float = 30.0
+    max_idle_seconds: float = 30.0
     unacknowledged_seconds: float = 10.0
     header_bytes: int = 32 * 1024
     connections_per_upstream: int = 512
--- a/packages/http/src/lagoonrun_http/messages.py
+++ b/packages/http/src/lagoonrun_http/messages.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP requests and responses as frozen data."""
+"""Immutable heads of HTTP requests and responses."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -78,7 +78,7 @@
     target
         Request target as sent: path and query.
     headers
-        All headers, those of the connection included.
+        All headers, hop-by-hop ones included.
     """
 
     method: str
--- a/packages/http/src/lagoonrun_http/periodic.py
+++ b/packages/http/src/lagoonrun_http/periodic.py
@@ -1,4 +1,4 @@
-"""A call repeated on the event loop, by which deadlines are checked."""
+"""A function called periodically on the event loop, to check deadlines."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,14 +10,14 @@
     """Calls a function at an interval between `start` and `close`.
 
     One sweep over all connections replaces a timer per read and write, which
-    would cost more than the relaying itself.
+    would cost more than relaying the data itself.
 
     Parameters
     ----------
     interval_seconds
         Time between two calls.
     function
-        What to call; must not block.
+        Function to call; must not block.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to call; starting twice is harmless."""
+        """Start calling; does nothing if already started."""
         if self._timer is None:
             self._schedule()
 
--- a/packages/http/src/lagoonrun_http/rejections.py
+++ b/packages/http/src/lagoonrun_http/rejections.py
@@ -1,4 +1,4 @@
-"""Answers that the server gives to faulty requests by itself."""
+"""Error responses that the server sends without calling the handler."""
 
 import dataclasses
 
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejection:
-    """Why the server answers a request itself.
+    """Why the server rejects a request.
 
     Parameters
     ----------
     status
-        Status to answer with.
+        Status of the response.
     field, message, valid
-        What the JSON body says; see `errors.error_body`.
+        Content of the JSON body; see `errors.error_body`.
     retry_after_seconds
-        When to come back; 0 where another try would fare no better.
+        Value of `Retry-After`; 0 for none, where a retry would fail as well.
     """
 
     status: int
@@ -31,14 +31,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WholeAnswer:
-    """Head and body of an answer."""
+class RejectionResponse:
+    """Head and body of an error response."""
 
     head: messages.ResponseHead
     body: bytes
 
 
-NO_ANSWER = Rejection(
+INTERNAL_ERROR = Rejection(
     status=500,
     field="",
     message="the request could not be answered because of an internal fault",
@@ -49,7 +49,7 @@
 def malformed(
     error: h11.RemoteProtocolError, server_limits: limits.ServerLimits
 ) -> Rejection:
-    """Return what h11's refusal of the input means to the caller."""
+    """Return the rejection of input that h11 could not parse."""
     if error.error_status_hint == 431:
         return head_too_large(server_limits)
     return Rejection(
@@ -61,7 +61,7 @@
 
 
 def head_too_large(server_limits: limits.ServerLimits) -> Rejection:
-    """Return the rejection of a head over the limit."""
+    """Return the rejection of a head over the size limit."""
     return Rejection(
         status=431,
         field="headers",
@@ -71,7 +71,7 @@
 
 
 def body_too_large(server_limits: limits.ServerLimits, size: int) -> Rejection:
-    """Return the rejection of a body over the limit."""
+    """Return the rejection of a body over the size limit."""
     return Rejection(
         status=413,
         field="body",
@@ -80,8 +80,8 @@
     )
 
 
-def bodies_too_large(server_limits: limits.ServerLimits) -> Rejection:
-    """Return the rejection of a body that all held bodies leave no room for."""
+def held_bodies_too_large(server_limits: limits.ServerLimits) -> Rejection:
+    """Return the rejection of a body that exceeds the limit of all bodies."""
     return Rejection(
         status=503,
         field="body",
@@ -92,7 +92,7 @@
 
 
 def too_many_connections(server_limits: limits.ServerLimits) -> Rejection:
-    """Return the rejection of a connection over the limit."""
+    """Return the rejection of a connection over the maximum number."""
     return Rejection(
         status=503,
         field="connection",
@@ -103,7 +103,7 @@
 
 
 def slow(part: str, seconds: float) -> Rejection:
-    """Return the rejection of a head or body that came too slowly."""
+    """Return the rejection of a head or body that timed out."""
     return Rejection(
         status=408,
         field=part,
@@ -112,8 +112,10 @@
     )
 
 
-def answer(rejection: Rejection, *, outcome: outcomes.Outcome) -> WholeAnswer:
-    """Return the answer that tells the caller of a rejection."""
+def response(
+    rejection: Rejection, *, outcome: outcomes.Outcome
+) -> RejectionResponse:
+    """Return the error response of a rejection."""
     body = errors.error_body(
         step=core_errors.Step.CALLER_READ,
         field=rejection.field,
@@ -130,4 +132,4 @@
     head = messages.ResponseHead(
         status=rejection.status, headers=messages.Headers(pairs=pairs)
     )
-    return WholeAnswer(head=head, body=body)
+    return RejectionResponse(head=head, body=body)
--- a/packages/http/src/lagoonrun_http/request_checks.py
+++ b/packages/http/src/lagoonrun_http/request_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a request's head that h11 leaves to its user."""
+"""Checks of a request's head that h11 does not make."""
 
 import h11
 
@@ -9,7 +9,7 @@
 
 
 def request_head(request: h11.Request) -> messages.RequestHead:
-    """Return the head that h11 read as our own data."""
+    """Convert a request head from h11's type."""
     return messages.RequestHead(
         method=request.method.decode("ascii"),
         target=request.target.decode("ascii"),
@@ -22,10 +22,10 @@
     )
 
 
-def head_fault(
+def find_head_fault(
     request: h11.Request, server_limits: limits.ServerLimits
 ) -> rejections.Rejection | None:
-    """Return why a well-formed head is refused all the same, if it is."""
+    """Return why a well-formed head is rejected, or None."""
     size = len(request.method) + len(request.target)
     size += _REQUEST_LINE_EXTRA_BYTES
     names = set()
@@ -49,11 +49,11 @@
 def _framing_fault(
     request: h11.Request, names: set[bytes]
 ) -> rejections.Rejection | None:
-    """Refuse framing that two readers of the request may read differently.
+    """Reject ambiguous framing, which allows request smuggling.
 
-    With both lengths given, or chunks from an HTTP/1.0 caller, a balancer in
-    front may end the request elsewhere than we do; the rest then counts as
-    another caller's request (request smuggling).
+    With both `Content-Length` and `Transfer-Encoding`, or chunks from an
+    HTTP/1.0 caller, a load balancer in front of this server may see another
+    end of the request; the rest is then read as another caller's request.
     """
     if b"content-length" in names or request.http_version < b"1.1":
         return rejections.Rejection(
--- a/packages/http/src/lagoonrun_http/answer_writer.py
+++ b/packages/http/src/lagoonrun_http/response_writer.py
@@ -1,4 +1,4 @@
-"""The writing half of a caller's connection."""
+"""The write side of a caller's connection."""
 
 import asyncio
 import http
@@ -12,17 +12,17 @@
 }
 
 
-class AnswerWriter:
-    """Frames answers by h11 and tells when the caller takes none of them.
+class ResponseWriter:
+    """Frames responses by h11 and detects a caller that stopped reading.
 
     Parameters
     ----------
     connection
-        State of the protocol, shared with the reading half.
+        Protocol state, shared with the read side.
     transport
-        Where the bytes go.
+        Transport that the bytes are written to.
     stall_seconds
-        How long the caller may take nothing while bytes wait for it.
+        How long the caller may read nothing while bytes wait for it.
     """
 
     def __init__(
@@ -37,8 +37,8 @@
         self._stall_seconds = stall_seconds
         self._drained: asyncio.Future[None] | None = None
         self._written_bytes = 0
-        self._taken_bytes = 0
-        self._taken_at = 0.0
+        self._sent_bytes = 0
+        self._last_sent_at = 0.0
 
     def write_continue(self) -> None:
         """Write `100 Continue`."""
@@ -48,13 +48,13 @@
         self._write(self._h11.send(interim))
 
     def write_head(self, head: messages.ResponseHead, *, closing: bool) -> None:
-        """Write status line and headers, with the framing that fits."""
+        """Write status line and headers, with the framing that h11 chooses."""
         self._write(self._h11.send(_response(head, closing=closing)))
 
     def write_whole(
         self, head: messages.ResponseHead, body: bytes, *, closing: bool
     ) -> None:
-        """Write a whole answer in one piece."""
+        """Write a whole response by one write."""
         framed = [self._h11.send(_response(head, closing=closing))]
         if body:
             framed.append(self._h11.send(h11.Data(data=body)))
@@ -62,7 +62,7 @@
         self._write(b"".join(framed))
 
     def write_data(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         self._write(self._h11.send(h11.Data(data=data)))
 
     def write_end(self) -> None:
@@ -70,37 +70,37 @@
         self._write(self._h11.send(h11.EndOfMessage()))
 
     def pause(self) -> None:
-        """Make writers wait: the caller reads more slowly than we write."""
+        """Make writers wait: the transport's write buffer is full."""
         self._drained = asyncio.get_running_loop().create_future()
 
     def resume(self) -> None:
-        """Let writers go on."""
+        """Let writers continue."""
         if self._drained is not None and not self._drained.done():
             self._drained.set_result(None)
         self._drained = None
 
     @property
     def keeps_up(self) -> bool:
-        """Whether the caller has taken enough of what was written."""
+        """Whether the write buffer is below its limit."""
         return self._drained is None
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
+        """Wait until the write buffer is below its limit."""
         if self._drained is not None:
             await self._drained
 
     def is_stalled(self, now: float) -> bool:
-        """Return whether the caller has taken nothing for too long.
+        """Return whether the caller has read nothing for too long.
 
-        By the bytes taken, not by those that wait: their number can stay the
-        same while the caller reads, when as much is added.
+        Counts the bytes sent, not those in the write buffer: the size of the
+        buffer stays the same when as much is added as the caller reads.
         """
-        unsent = self._transport.get_write_buffer_size()
-        taken = self._written_bytes - unsent
-        if unsent == 0 or taken != self._taken_bytes:
-            self._taken_bytes = taken
-            self._taken_at = now
-        return now - self._taken_at >= self._stall_seconds
+        unsent_bytes = self._transport.get_write_buffer_size()
+        sent_bytes = self._written_bytes - unsent_bytes
+        if unsent_bytes == 0 or sent_bytes != self._sent_bytes:
+            self._sent_bytes = sent_bytes
+            self._last_sent_at = now
+        return now - self._last_sent_at >= self._stall_seconds
 
     def _write(self, data: bytes) -> None:
         self._written_bytes += len(data)
--- a/packages/http/src/lagoonrun_http/server.py
+++ b/packages/http/src/lagoonrun_http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server towards callers."""
+"""The HTTP/1.1 server that callers connect to."""
 
 import asyncio
 import logging
@@ -20,15 +20,15 @@
 ExchangeHandler = exchange.ExchangeHandler
 ServerLimits = limits.ServerLimits
 
-_LINGERING_REFUSALS = 64
+_MAX_ANSWERED_REFUSALS = 64
 
 _BACKLOG = 1024
-"""Connections that wait to be accepted; a full queue drops the opening of
-further ones, which come again only after a second."""
+"""Length of the listen queue; when it is full, the kernel drops the SYN of
+further connections, which is sent again only after a second."""
 
 
 class HttpServer:
-    """Accepts connections and hands each request to a handler.
+    """Accepts connections and passes each request to a handler.
 
     Parameters
     ----------
@@ -37,13 +37,13 @@
     port
         Port to listen on; 0 lets the system choose.
     limits
-        Bounds on callers.
+        Limits on callers.
     handler
-        Answers the requests.
+        Responds to the requests.
     clock
-        Source of time for the bounds.
+        Clock of the timeouts.
     listening
-        Socket that listens already at the address; None to open one.
+        Socket that already listens on the address; None to open one.
     """
 
     def __init__(
@@ -64,16 +64,17 @@
         self._clock = clock
         self._connections: set[connection_owner.OwnedConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._quiet = asyncio.Event()
-        self._quiet.set()
+        self._all_closed = asyncio.Event()
+        self._all_closed.set()
         self._listener: asyncio.Server | None = None
         self._sweep = periodic.PeriodicCall(
-            interval_seconds=limits.sweep_seconds, function=self._check
+            interval_seconds=limits.sweep_seconds,
+            function=self._check_deadlines,
         )
         self._buffer = read_buffer.ReadBuffer()
         self._held_body_bytes = 0
         self.stopping = False
-        """Whether answers tell callers to connect anew, elsewhere."""
+        """Whether each connection ends with its next response."""
 
     @property
     def port(self) -> int:
@@ -82,12 +83,12 @@
 
     @property
     def open_exchanges(self) -> int:
-        """Requests that are being answered."""
+        """Requests that are being processed."""
         return len(self._tasks)
 
     @property
     def open_connections(self) -> int:
-        """Connections of callers."""
+        """Open connections of callers."""
         return len(self._connections)
 
     @property
@@ -99,7 +100,7 @@
         """Listen; raises `OSError` when the address is taken."""
         loop = asyncio.get_running_loop()
         if self._listening is None:
-            self._listening = _listen(self._host, self._port)
+            self._listening = _bind(self._host, self._port)
         self._listener = await loop.create_server(
             self._accept, sock=self._listening, backlog=_BACKLOG
         )
@@ -107,34 +108,34 @@
         self._sweep.start()
 
     def set_limits(self, limits: limits.ServerLimits) -> None:
-        """Bound the connections that are accepted from now on by `limits`."""
+        """Apply `limits` to the connections that are accepted from now on."""
         self._limits = limits
 
     def disable_keep_alive(self) -> None:
-        """Answer on, with each answer the last one of its connection.
+        """Keep serving, but end each connection with its next response.
 
-        New connections are still taken: a balancer goes on sending some
-        until it has seen that this process is not ready any more.
+        New connections are still accepted: a load balancer opens some until
+        it has seen that this process is no longer ready.
         """
         self.stopping = True
 
     def stop_accepting(self) -> None:
-        """Take no new connection; running exchanges go on.
+        """Accept no new connections; running exchanges continue.
 
-        What waits in the listener's queue is taken first: its callers have
+        Connections in the listen queue are accepted first: their callers have
         connected and may have sent a request, and closing the listener would
         reset them.
         """
         self.stopping = True
         if self._listener is not None:
-            self._take_waiting()
+            self._accept_pending()
             self._listener.close()
             self._listener = None
         for connection in tuple(self._connections):
             connection.close_if_idle()
 
-    def _take_waiting(self) -> None:
-        """Accept the connections that are complete but not yet accepted."""
+    def _accept_pending(self) -> None:
+        """Accept the connections in the listen queue."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -142,7 +143,8 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                # No descriptor is left, for one; those that wait are reset.
+                # For example, no file descriptor is left. The connections
+                # that are still in the queue are reset.
                 logs.emit(
                     events.LogEvent.TASK_FAILED,
                     level=logging.ERROR,
@@ -156,21 +158,21 @@
             task = loop.create_task(
                 loop.connect_accepted_socket(self._accept, accepted)
             )
-            # Counts as an exchange until its connection counts by itself.
-            self._quiet.clear()
-            self.exchange_began(task)
-            task.add_done_callback(self.exchange_ended)
+            # Counted as an exchange until its connection is counted.
+            self._all_closed.clear()
+            self.on_exchange_started(task)
+            task.add_done_callback(self.on_exchange_finished)
 
     async def drain(self, timeout_seconds: float) -> int:
-        """Wait until no exchange runs; return how many were left.
+        """Wait until all connections are closed; return how many exchanges run.
 
-        Also waits for the connections of finished exchanges, which end after
-        `stop_accepting`: a process that exits earlier cuts the part of an
-        answer that a slow caller has not taken yet.
+        Waits for the connections of finished exchanges as well, which end
+        after `stop_accepting`: a process that exits earlier loses the part of
+        a response that a slow caller has not read yet.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self._quiet.wait()
+                await self._all_closed.wait()
         except TimeoutError:
             pass
         return len(self._tasks)
@@ -186,49 +188,53 @@
         for connection in tuple(self._connections):
             connection.abort()
 
-    # What connections tell.
+    # Callbacks of the connections.
 
-    def exchange_began(self, task: "asyncio.Task[None]") -> None:
-        """Take note of a running exchange."""
+    def on_exchange_started(self, task: "asyncio.Task[None]") -> None:
+        """Add a running exchange."""
         self._tasks.add(task)
 
-    def exchange_ended(self, task: "asyncio.Task[None]") -> None:
-        """Take note that an exchange is over."""
+    def on_exchange_finished(self, task: "asyncio.Task[None]") -> None:
+        """Remove a finished exchange."""
         self._tasks.discard(task)
-        self._note_quiet()
+        self._check_all_closed()
 
-    def connection_closed(
+    def on_connection_closed(
         self, connection: connection_owner.OwnedConnection
     ) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
-        self._note_quiet()
+        self._check_all_closed()
 
-    def hold_bytes(self, size: int) -> bool:
-        """Count bytes of bodies; return whether all are within the limit."""
+    def add_held_bytes(self, size: int) -> bool:
+        """Add to the body bytes held; return whether they are in the limit."""
         self._held_body_bytes += size
         return self._held_body_bytes <= self._limits.held_body_bytes
 
-    def release_bytes(self, size: int) -> None:
-        """Count bytes of bodies that are no longer held."""
+    def subtract_held_bytes(self, size: int) -> None:
+        """Subtract from the body bytes held."""
         self._held_body_bytes -= size
 
-    def connection_opened(
+    def on_connection_opened(
         self, connection: connection_owner.OwnedConnection
     ) -> bool:
-        """Count a connection; return whether it is within the limit."""
+        """Add a connection; return whether it is within the limit.
+
+        The first `_MAX_ANSWERED_REFUSALS` connections over the limit get an
+        error response, further ones are reset.
+        """
         self._connections.add(connection)
-        self._quiet.clear()
+        self._all_closed.clear()
         over = len(self._connections) - self._limits.connections
-        if over > _LINGERING_REFUSALS:
+        if over > _MAX_ANSWERED_REFUSALS:
             connection.abort()
         elif over > 0:
             connection.refuse(rejections.too_many_connections(self._limits))
         return over <= 0
 
-    def _note_quiet(self) -> None:
+    def _check_all_closed(self) -> None:
         if not self._tasks and not self._connections:
-            self._quiet.set()
+            self._all_closed.set()
 
     def _accept(self) -> server_connection.ServerConnection:
         return server_connection.ServerConnection(
@@ -239,16 +245,16 @@
             buffer=self._buffer,
         )
 
-    def _check(self) -> None:
+    def _check_deadlines(self) -> None:
         for connection in tuple(self._connections):
             connection.check_deadlines()
 
 
-def _listen(host: str, port: int) -> socket.socket:
-    """Return a socket that listens; raises `OSError`.
+def _bind(host: str, port: int) -> socket.socket:
+    """Return a socket bound to the address; raises `OSError`.
 
-    The protocol is named, since asyncio sends small writes of accepted
-    connections at once only then.
+    The protocol is passed explicitly, since asyncio sets `TCP_NODELAY` on
+    accepted connections only then.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
--- a/packages/http/src/lagoonrun_http/server_connection.py
+++ b/packages/http/src/lagoonrun_http/server_connection.py
@@ -10,7 +10,6 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import events, logs, outcomes
 from lagoonrun_http import (
-    answer_writer,
     connection_owner,
     errors,
     exchange,
@@ -19,15 +18,16 @@
     read_buffer,
     rejections,
     request_checks,
+    response_writer,
     tcp_reset,
 )
 
-_LINGER_BYTES = 1 << 20
+_MAX_LINGER_BYTES = 1 << 20
 
-_LAST_REQUEST_SECONDS = 0.25
-"""Time that an idle connection has for a last request when the server stops:
-what was sent before has arrived by then on any link in use, and a busy event
-loop has come round."""
+_IDLE_CLOSE_DELAY_SECONDS = 0.25
+"""Time after which idle connections are closed when the server stops. It is
+long enough for a request sent before the stop to arrive over any link in use,
+and for a busy event loop to read it."""
 
 
 class _Phase(enum.Enum):
@@ -39,16 +39,16 @@
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """Reads requests from one caller and writes the answers in order.
+    """Reads requests from one caller and writes the responses in order.
 
     Parameters
     ----------
     server_limits
-        Bounds on the caller.
+        Limits on the caller.
     handler
-        Answers the requests.
+        Responds to the requests.
     clock
-        Source of time for the bounds.
+        Clock of the timeouts.
     owner
         Server that accepted the connection.
     buffer
@@ -80,7 +80,7 @@
         self._input_ended = False
         self._closing = False
         self._held_bytes = 0
-        self._lingered_bytes = 0
+        self._discarded_bytes = 0
 
     @property
     def reading_head(self) -> bool:
@@ -90,41 +90,41 @@
     # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the idle time of a new connection."""
+        """Register a new connection and start its idle timeout."""
         self._transport: asyncio.Transport = transport  # type: ignore[assignment]
         peer = transport.get_extra_info("peername") or ("unknown", 0)
         self._peer = f"{peer[0]}:{peer[1]}"
         self._transport.set_write_buffer_limits(
             high=self._limits.write_buffer_bytes
         )
-        self._writer = answer_writer.AnswerWriter(
+        self._writer = response_writer.ResponseWriter(
             connection=self._h11,
             transport=self._transport,
             stall_seconds=self._limits.write_stall_seconds,
         )
         self._set_deadline(self._limits.idle_seconds)
         if self._owner.stopping:
-            # Taken from the listener's queue at the stop.
+            # Accepted from the listen queue when the server stopped.
             self.close_if_idle()
-        self._owner.connection_opened(self)
+        self._owner.on_connection_opened(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the room for the next read."""
-        return self._read_buffer.whole()
+        """Return the buffer for the next read."""
+        return self._read_buffer.writable()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Feed bytes to h11 and act on what they complete."""
+        """Pass the bytes to h11 and process the events they complete."""
         if self._phase is _Phase.LINGER:
             self._discard(nbytes)
             return
         if self._phase is _Phase.IDLE:
             self._phase = _Phase.HEAD
             self._set_deadline(self._limits.header_read_seconds)
-        self._h11.receive_data(self._read_buffer.filled(nbytes))
+        self._h11.receive_data(self._read_buffer.received(nbytes))
         self._read_events()
 
     def eof_received(self) -> bool:
-        """Take the caller's end of input; the answer can still be written."""
+        """Process the caller's end of input; a response can still be sent."""
         self._input_ended = True
         if self._phase is _Phase.EXCHANGE:
             running = self._exchange
@@ -140,40 +140,40 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the exchange and the server that the caller is gone."""
+        """Notify the exchange and the server that the caller disconnected."""
         self._phase = _Phase.CLOSED
         self._deadline = None
         if self._exchange is not None:
-            self._exchange.lose_caller()
+            self._exchange.on_connection_lost()
         self._writer.resume()
-        self._owner.connection_closed(self)
+        self._owner.on_connection_closed(self)
 
     def pause_writing(self) -> None:
-        """Make writers wait: the caller reads more slowly than we write."""
+        """Make writers wait: the transport's write buffer is full."""
         self._writer.pause()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Let writers continue."""
         self._writer.resume()
 
-    # The channel of the exchange.
+    # Called by the exchange.
 
     def ask_for_body(self) -> None:
-        """Send `100 Continue` when the caller waits for it."""
+        """Send `100 Continue` if the caller waits for it."""
         if self._h11.they_are_waiting_for_100_continue:
             self._set_deadline(self._limits.body_read_seconds)
             self._writer.write_continue()
 
     def write_head(self, head: messages.ResponseHead) -> None:
-        """Write status line and headers, with the framing that fits."""
+        """Write status line and headers, with the framing that h11 chooses."""
         self._writer.write_head(head, closing=self._must_close())
 
     def write_whole(self, head: messages.ResponseHead, body: bytes) -> None:
-        """Write a whole answer in one piece."""
+        """Write a whole response by one write."""
         self._writer.write_whole(head, body, closing=self._must_close())
 
     def write_data(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         self._writer.write_data(data)
 
     def write_end(self) -> None:
@@ -181,17 +181,17 @@
         self._writer.write_end()
 
     def write_rejection(self, rejection: rejections.Rejection) -> None:
-        """Answer a faulty request and end the connection after it."""
+        """Send an error response and end the connection after it."""
         self._write_error(rejection, outcome=outcomes.Outcome.NOT_RUN)
         self._linger()
 
     @property
     def keeps_up(self) -> bool:
-        """Whether the caller has taken enough of what was written."""
+        """Whether the write buffer is below its limit."""
         return self._writer.keeps_up
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
+        """Wait until the write buffer is below its limit."""
         await self._writer.drained()
 
     def abort(self) -> None:
@@ -201,24 +201,24 @@
     # Called by the server.
 
     def refuse(self, rejection: rejections.Rejection) -> None:
-        """Answer a connection that is not wanted, before any request."""
+        """Send an error response before any request, and close."""
         self.write_rejection(rejection)
 
     def close_if_idle(self) -> None:
-        """Close soon when no byte of a request has arrived.
+        """Close unless a request arrives within a short delay.
 
-        A request may lie unread in the socket's buffer, and a close would
-        reset the connection. It is read and answered within that time.
+        A request may be unread in the socket's buffer, and a close would
+        reset the connection. The delay lets it be read and processed.
         """
         loop = asyncio.get_running_loop()
-        loop.call_later(_LAST_REQUEST_SECONDS, self._close_idle)
+        loop.call_later(_IDLE_CLOSE_DELAY_SECONDS, self._close_idle)
 
     def _close_idle(self) -> None:
         if self._phase is _Phase.IDLE:
             self._close()
 
     def check_deadlines(self) -> None:
-        """Act on the bounds in time that the caller has run over."""
+        """Act on the timeouts that have expired."""
         now = self._clock.monotonic()
         if self._writer.is_stalled(now):
             tcp_reset.reset(self._transport)
@@ -235,38 +235,38 @@
                 if event is h11.NEED_DATA:
                     return
                 if event is h11.PAUSED:
-                    self._bound_pipelined()
+                    self._limit_pipelined()
                     return
-                self._take_event(event)
+                self._on_event(event)
                 if type(event) is h11.ConnectionClosed:
                     return
         except h11.RemoteProtocolError as error:
             self._refuse_input(rejections.malformed(error, self._limits))
 
-    def _take_event(self, event: h11.Event) -> None:
+    def _on_event(self, event: h11.Event) -> None:
         if type(event) is h11.Request:
-            self._begin_exchange(event)
+            self._start_exchange(event)
         elif type(event) is h11.Data:
-            self._take_body(bytes(event.data))
+            self._on_body_data(bytes(event.data))
         elif type(event) is h11.EndOfMessage:
             self._deadline = None
             self._exchange.end_body()
         elif type(event) is h11.ConnectionClosed:
-            self._take_end_of_input()
+            self._on_end_of_input()
 
-    def _take_end_of_input(self) -> None:
-        """Close, but for a request that is still being answered.
+    def _on_end_of_input(self) -> None:
+        """Close, unless a request is still being processed.
 
-        It came with others in one piece, and the end of input with it: a close
-        now would lose its answer, which is written when it is there.
+        It was read together with pipelined requests and the end of input. A
+        close now would lose its response, which is not written yet.
         """
         if self._phase is _Phase.EXCHANGE:
             self._exchange.caller_left.set()
         else:
             self._close()
 
-    def _begin_exchange(self, request: h11.Request) -> None:
-        fault = request_checks.head_fault(request, self._limits)
+    def _start_exchange(self, request: h11.Request) -> None:
+        fault = request_checks.find_head_fault(request, self._limits)
         if fault is not None:
             self._refuse_input(fault)
             return
@@ -286,16 +286,16 @@
                 rejections.body_too_large(self._limits, int(declared))
             )
         task = asyncio.get_running_loop().create_task(self._run(running))
-        self._owner.exchange_began(task)
-        task.add_done_callback(self._owner.exchange_ended)
+        self._owner.on_exchange_started(task)
+        task.add_done_callback(self._owner.on_exchange_finished)
 
-    def _take_body(self, data: bytes) -> None:
-        total = self._exchange.take_body(data)
+    def _on_body_data(self, data: bytes) -> None:
+        total = self._exchange.append_body(data)
         self._held_bytes += len(data)
-        if not self._owner.hold_bytes(len(data)):
-            # Each body alone is within its limit; thousands of them together
-            # would take all memory of a small VM.
-            self._refuse_input(rejections.bodies_too_large(self._limits))
+        if not self._owner.add_held_bytes(len(data)):
+            # Each body alone is within its limit, but thousands of them
+            # together would exhaust the memory of a small VM.
+            self._refuse_input(rejections.held_bodies_too_large(self._limits))
         elif total > self._limits.body_bytes:
             self._refuse_input(rejections.body_too_large(self._limits, total))
 
@@ -306,7 +306,7 @@
         else:
             self.write_rejection(rejection)
 
-    def _bound_pipelined(self) -> None:
+    def _limit_pipelined(self) -> None:
         held = len(self._h11.trailing_data[0])
         if held > self._limits.pipelined_bytes:
             self._pause_reading()
@@ -339,21 +339,21 @@
                 task="exchange",
                 peer=self._peer,
                 error=type(error).__name__,
-                # Without the message, which may quote a caller's text.
+                # Without the message, which may contain text of the caller.
                 trace="".join(traceback.format_tb(error.__traceback__)),
             )
         self._release_body()
         self._end_exchange(running)
 
     def _release_body(self) -> None:
-        self._owner.release_bytes(self._held_bytes)
+        self._owner.subtract_held_bytes(self._held_bytes)
         self._held_bytes = 0
 
     def _end_exchange(self, running: exchange.Exchange) -> None:
         if self._phase is _Phase.EXCHANGE:
             if not running.started:
                 self._write_error(
-                    rejections.NO_ANSWER, outcome=outcomes.Outcome.UNKNOWN
+                    rejections.INTERNAL_ERROR, outcome=outcomes.Outcome.UNKNOWN
                 )
                 self._linger()
             elif running.finished:
@@ -394,20 +394,20 @@
     def _write_error(
         self, rejection: rejections.Rejection, *, outcome: outcomes.Outcome
     ) -> None:
-        answer = rejections.answer(rejection, outcome=outcome)
+        response = rejections.response(rejection, outcome=outcome)
         self._closing = True
         is_head = self._exchange is not None and (
             self._exchange.head.method == "HEAD"
         )
-        self.write_whole(answer.head, b"" if is_head else answer.body)
+        self.write_whole(response.head, b"" if is_head else response.body)
 
     def _linger(self) -> None:
-        """End the connection without losing what was just written.
+        """Close the connection without losing the response just written.
 
-        A close with unread input resets the connection, and the reset makes
-        the caller's kernel throw away an answer it has not read yet: a 413
-        then shows as a broken pipe. Input is discarded for a short while
-        after our end of output instead.
+        A close with unread input resets the connection, and on a reset the
+        caller's kernel discards a response that was not read yet: instead of
+        a 413 the caller sees a broken pipe. Therefore the write side is closed
+        first and input is discarded for a short time (lingering close).
         """
         if self._input_ended:
             self._close()
@@ -419,8 +419,8 @@
             self._transport.write_eof()
 
     def _discard(self, size: int) -> None:
-        self._lingered_bytes += size
-        if self._lingered_bytes > _LINGER_BYTES:
+        self._discarded_bytes += size
+        if self._discarded_bytes > _MAX_LINGER_BYTES:
             tcp_reset.reset(self._transport)
 
     def _close(self) -> None:
@@ -428,7 +428,7 @@
         self._deadline = None
         self._transport.close()
 
-    # Bounds in time.
+    # Timeouts.
 
     def _set_deadline(self, seconds: float) -> None:
         self._deadline = self._clock.monotonic() + seconds
--- a/packages/http/src/lagoonrun_http/sse.py
+++ b/packages/http/src/lagoonrun_http/sse.py
@@ -1,4 +1,4 @@
-"""Scan of relayed server-sent events that parses no event."""
+"""Scanner of relayed server-sent events that does not parse them."""
 
 _LF_BOUNDARY = b"\n\n"
 _CRLF_BOUNDARY = b"\n\r\n"
@@ -7,7 +7,7 @@
 
 
 class EventScanner:
-    """Counts events in a stream as its bytes pass by.
+    """Counts the events in a stream incrementally.
 
     Lines end in LF or CRLF, and each event has one `data:` line, as
     chat-completions engines write them.
@@ -17,9 +17,9 @@
     events
         Complete events with a `data:` line, `[DONE]` included.
     done
-        Whether `data: [DONE]` has passed as a complete event.
+        Whether `data: [DONE]` was scanned as a complete event.
     bytes_seen
-        Offset of the end of what has passed.
+        Number of bytes scanned.
     boundary
         Offset just after the last complete event.
     """
@@ -29,12 +29,12 @@
         self.done = False
         self.bytes_seen = 0
         self.boundary = 0
-        # The text since the last boundary; a line feed stands before the
-        # stream, so that its first line is found like the others.
+        # The bytes since the last boundary. A line feed precedes the stream,
+        # so that its first line is matched like the others.
         self._open = b"\n"
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the stream."""
+        """Scan the next bytes of the stream."""
         self.bytes_seen += len(data)
         text = self._open + data
         end = _last_boundary(text)
--- a/packages/http/src/lagoonrun_http/liveness.py
+++ b/packages/http/src/lagoonrun_http/tcp_keepalive.py
@@ -1,4 +1,4 @@
-"""Have the system notice a peer that vanished without a word."""
+"""TCP keep-alive probes that detect a peer that is no longer reachable."""
 
 import asyncio
 import contextlib
@@ -7,17 +7,17 @@
 _PROBES = 2
 
 
-def watch(transport: asyncio.Transport, *, within_seconds: float) -> None:
-    """End a connection whose other side acknowledges nothing.
+def enable(transport: asyncio.Transport, *, within_seconds: float) -> None:
+    """Make the system close a connection whose peer acknowledges nothing.
 
     A VM that lost its power or its network sends no reset. Without probes an
-    idle connection to it looks sound for ever, and a request written into it
-    waits for the whole limit of its route.
+    idle connection to it looks open for ever, and a request written to it
+    waits for the whole time limit of its route.
 
     Parameters
     ----------
     within_seconds
-        About how long the other side may be silent on the network.
+        About how long the peer may acknowledge nothing.
     """
     raw = transport.get_extra_info("socket")
     if raw is None:
@@ -35,6 +35,6 @@
         ),
     )
     with contextlib.suppress(OSError):
-        # A system without one of the options only notices later.
+        # A system without one of the options detects a lost peer later.
         for level, option, value in options:
             raw.setsockopt(level, option, value)
--- a/packages/http/src/lagoonrun_http/tcp_reset.py
+++ b/packages/http/src/lagoonrun_http/tcp_reset.py
@@ -1,4 +1,4 @@
-"""Closing a connection so that the other side sees a fault at once."""
+"""Closing a connection by a TCP reset, which the peer sees as an error."""
 
 import asyncio
 import socket
@@ -10,8 +10,8 @@
 def reset(transport: asyncio.Transport) -> None:
     """Close with a TCP reset, dropping what was not sent yet.
 
-    `Transport.abort` alone sends a FIN, which a peer may take for a half
-    close or, in a body that ends with the connection, for its proper end.
+    `Transport.abort` alone sends a FIN. The peer may take it for a half-close
+    or, if the body is delimited by the end of the connection, for its end.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
--- a/packages/http/src/lagoonrun_http/upstream.py
+++ b/packages/http/src/lagoonrun_http/upstream.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client towards upstreams, with its pool of connections."""
+"""The HTTP/1.1 client of upstreams, with its connection pool."""
 
 import asyncio
 import dataclasses
@@ -36,9 +36,9 @@
     Parameters
     ----------
     limits
-        Bounds on upstreams.
+        Limits on upstreams.
     clock
-        Source of time for the bounds.
+        Clock of the timeouts.
     """
 
     def __init__(
@@ -54,7 +54,8 @@
         self._closed = False
         self._buffer = read_buffer.ReadBuffer()
         self._sweep = periodic.PeriodicCall(
-            interval_seconds=limits.sweep_seconds, function=self._check
+            interval_seconds=limits.sweep_seconds,
+            function=self._check_deadlines,
         )
 
     @property
@@ -81,11 +82,12 @@
             The upstream.
         new_connection
             Use no pooled connection: an upstream may close one while the
-            request is under way, and then no one knows whether it ran.
+            request is in flight, and then it is unknown whether it ran.
         may_write
-            Asked on an open connection right before the first byte, without
-            an await in between: what allowed the request may have ended
-            while the connection was made. When it says no, nothing is sent.
+            Called on an open connection right before the first byte is
+            written, without an await in between: what allowed the request may
+            have expired while the connection was opened. If it returns False,
+            nothing is sent.
         """
         endpoint = _Endpoint(address=address, port=port)
         if self._closed:
@@ -93,7 +95,7 @@
         self._sweep.start()
         connection = None
         if not new_connection:
-            connection = self._take_idle(endpoint, request.request_id)
+            connection = self._pop_idle(endpoint, request.request_id)
         if connection is None:
             connection = await self._connect(endpoint)
         if isinstance(connection, upstream_messages.UpstreamFailure):
@@ -104,7 +106,7 @@
         return await connection.exchange(request)
 
     def close_idle_connections(self, host: str, port: int) -> None:
-        """Close the idle connections to an upstream that leaves."""
+        """Close the idle connections to an upstream."""
         endpoint = _Endpoint(address=host, port=port)
         for connection in self._idle_by_endpoint.pop(endpoint, []):
             connection.close_idle()
@@ -112,11 +114,11 @@
     def abort_connections(
         self, host: str, port: int, *, opened_until: float
     ) -> None:
-        """Give up what leads to a process that is gone.
+        """Abort the connections to an upstream process that is gone.
 
-        Idle connections are closed. A response on one that was opened up to
-        `opened_until` fails at once: its upstream may have fallen silent
-        without a reset, and nothing more comes.
+        Idle connections are closed. Connections opened up to `opened_until`
+        are reset, so that their responses fail at once: the process may have
+        vanished without a reset, and nothing more would arrive.
         """
         self.close_idle_connections(host, port)
         endpoint = _Endpoint(address=host, port=port)
@@ -134,12 +136,12 @@
         for connection in tuple(self._connections):
             connection.abort()
 
-    # What connections tell.
+    # Callbacks of the connections.
 
-    def connection_free(
+    def release_connection(
         self, connection: upstream_connection.UpstreamConnection
     ) -> None:
-        """Take back a connection whose response is whole."""
+        """Return a connection to the pool after its response."""
         endpoint = _endpoint(connection)
         idle = self._idle_by_endpoint.setdefault(endpoint, [])
         if self._closed or len(idle) >= self._limits.idle_per_upstream:
@@ -147,10 +149,10 @@
         else:
             idle.append(connection)
 
-    def connection_closed(
+    def on_connection_closed(
         self, connection: upstream_connection.UpstreamConnection
     ) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         if connection not in self._connections:
             return
         self._connections.discard(connection)
@@ -160,18 +162,19 @@
         if connection in idle:
             idle.remove(connection)
 
-    def _take_idle(
+    def _pop_idle(
         self, endpoint: _Endpoint, request_id: types.RequestId
     ) -> upstream_connection.UpstreamConnection | None:
-        """Take the connection used last, as the likeliest to be alive.
+        """Return the connection used last, which is most likely still open.
 
-        Not one that served the same request before: a duplicate of that
-        answer would carry the id that the next one is checked by.
+        Skips connections that served the same request before: a duplicate of
+        that response would have the id that the next one is checked by.
         """
         idle = self._idle_by_endpoint.get(endpoint, [])
         now = self._clock.monotonic()
         for connection in reversed(idle):
-            # By its age as well: after a suspension the sweep comes late.
+            # Checks the age as well: after the VM was suspended, the sweep
+            # runs late.
             age = now - connection.idle_since
             usable = not connection.closed and age < connection.idle_seconds
             if usable and connection.last_request_id != request_id:
@@ -232,7 +235,7 @@
             del self._open_by_endpoint[endpoint]
             self._idle_by_endpoint.pop(endpoint, None)
 
-    def _check(self) -> None:
+    def _check_deadlines(self) -> None:
         now = self._clock.monotonic()
         for connection in tuple(self._connections):
             if connection.busy:
--- a/packages/http/src/lagoonrun_http/upstream_connection.py
+++ b/packages/http/src/lagoonrun_http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: h11 state and the running response."""
+"""One connection to an upstream: h11 state and the current response."""
 
 import asyncio
 import re
@@ -11,30 +11,34 @@
 from lagoonrun_http import (
     hop_by_hop,
     limits,
-    liveness,
     messages,
     read_buffer,
+    tcp_keepalive,
     tcp_reset,
     upstream_messages,
     upstream_response,
 )
 
 _Stage = upstream_messages.FailureStage
-_SET_HERE = ("content-length", "expect", upstream_messages.REQUEST_ID_HEADER)
-_JOINED_BODY_BYTES = 64 * 1024
+_HEADERS_SET_BY_CLIENT = (
+    "content-length",
+    "expect",
+    upstream_messages.REQUEST_ID_HEADER,
+)
+_MAX_JOINED_BODY_BYTES = 64 * 1024
 _ANNOUNCED_IDLE = re.compile(r"timeout=(\d{1,6})")
-_PART_OF_ANNOUNCED_IDLE = 0.75
-"""Leaves a quarter for a delayed request and for a clock that differs."""
+_ANNOUNCED_IDLE_FRACTION = 0.75
+"""Leaves a quarter as a margin for a delayed request and clock differences."""
 
 
 class ConnectionPool(Protocol):
-    """What a connection tells the pool it belongs to."""
+    """The pool, as the connections that belong to it use it."""
 
-    def connection_free(self, connection: "UpstreamConnection") -> None:
-        """Take back a connection whose response is whole."""
+    def release_connection(self, connection: "UpstreamConnection") -> None:
+        """Return a connection to the pool after its response."""
 
-    def connection_closed(self, connection: "UpstreamConnection") -> None:
-        """Forget a connection."""
+    def on_connection_closed(self, connection: "UpstreamConnection") -> None:
+        """Remove a closed connection."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
@@ -43,9 +47,9 @@
     Parameters
     ----------
     client_limits
-        Bounds on the upstream.
+        Limits on the upstream.
     clock
-        Source of time for the bounds.
+        Clock of the timeouts.
     pool
         Pool that the connection belongs to.
     buffer
@@ -88,8 +92,8 @@
         ) = None
         self._response: upstream_response.UpstreamResponse | None = None
         self._method = ""
-        self._bytes_left = False
-        self._answered_early = False
+        self._write_attempted = False
+        self._responded_early = False
         self._reading_paused = False
         self._last_progress = 0.0
         self._unsent_bytes = 0
@@ -115,8 +119,8 @@
             self._fail(_Stage.PROTOCOL, f"the request cannot be sent: {error}")
             return head.result()
         except asyncio.CancelledError:
-            # Whoever waited is gone: without the close the upstream would go
-            # on with work that no one reads.
+            # Nobody waits for the response any more: without the reset the
+            # upstream would continue work that nobody reads.
             self.abort()
             raise
 
@@ -126,12 +130,12 @@
         tcp_reset.reset(self._transport)
 
     def close_idle(self) -> None:
-        """Close in order, with no request under way."""
+        """Close gracefully; no request may be in flight."""
         self.closed = True
         self._transport.close()
 
     def resume_reading(self) -> None:
-        """Read on: the consumer has taken what was held for it."""
+        """Continue reading after the consumer has read the held bytes."""
         if self._reading_paused and not self.closed:
             self._reading_paused = False
             self._last_progress = self._clock.monotonic()
@@ -158,43 +162,43 @@
     # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and enable keep-alive probes."""
         self._transport: asyncio.Transport = transport  # type: ignore[assignment]
-        liveness.watch(
+        tcp_keepalive.enable(
             self._transport,
             within_seconds=self._limits.unacknowledged_seconds,
         )
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the room for the next read."""
-        return self._read_buffer.whole()
+        """Return the buffer for the next read."""
+        return self._read_buffer.writable()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Feed bytes to h11 and act on what they complete."""
+        """Pass the bytes to h11 and process the events they complete."""
         if not self.busy:
-            # A late or duplicated answer: were the connection used again, it
-            # would be read as the answer to the next request.
+            # A late or duplicated response. If the connection were reused, it
+            # would be read as the response to the next request.
             self.abort()
             return
         if self._response is not None:
-            # Not for a head: one that trickles would never time out.
+            # Not for a head: one sent byte by byte would never time out.
             self._last_progress = self._clock.monotonic()
         if self._transport.get_write_buffer_size():
-            self._answered_early = True
-        self._h11.receive_data(self._read_buffer.filled(nbytes))
+            self._responded_early = True
+        self._h11.receive_data(self._read_buffer.received(nbytes))
         self._read_events()
 
     def eof_received(self) -> bool:
-        """Take the upstream's end of output."""
+        """Process the upstream's end of output."""
         if self.busy:
             self._h11.receive_data(b"")
             self._read_events()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail what is awaited and leave the pool."""
+        """Leave the pool and fail the awaited response."""
         self.closed = True
-        self._pool.connection_closed(self)
+        self._pool.on_connection_closed(self)
         if self.busy:
             cause = f"reset ({error})" if error else "closed"
             self._fail(self._read_stage(), f"the upstream {cause} early")
@@ -206,10 +210,10 @@
         head = self._h11.send(_h11_request(request, self._peer))
         framed = self._h11.send(h11.Data(data=body)) if body else b""
         framed += self._h11.send(h11.EndOfMessage())
-        # From here on the upstream may run the request: set before the write
-        # so that no failure of the write itself can say otherwise.
-        self._bytes_left = True
-        if len(framed) <= _JOINED_BODY_BYTES:
+        # From here on the upstream may run the request. Set before the write,
+        # so that a failure of the write itself reports it as well.
+        self._write_attempted = True
+        if len(framed) <= _MAX_JOINED_BODY_BYTES:
             self._transport.write(head + framed)
         else:
             self._transport.write(head)
@@ -227,7 +231,7 @@
                 if kind is h11.Data:
                     self._response.take(bytes(event.data))
                 elif kind is h11.Response:
-                    self._take_head(event)
+                    self._on_response_head(event)
                 elif kind is h11.EndOfMessage:
                     self._end_response()
                 elif kind is h11.ConnectionClosed:
@@ -237,17 +241,17 @@
             if self._h11.their_state is h11.ERROR and self._at_eof():
                 stage = self._read_stage()
             self._fail(stage, f"not a whole HTTP response: {error}")
-        self._bound_held()
+        self._limit_held()
 
     def _at_eof(self) -> bool:
         return self._h11.trailing_data[1]
 
-    def _take_head(self, response: h11.Response) -> None:
+    def _on_response_head(self, response: h11.Response) -> None:
         head = _response_head(response)
         echoed = head.headers.get_all(upstream_messages.REQUEST_ID_HEADER)
         if not echoed or set(echoed) != {self.last_request_id}:
-            # A crossed, late or duplicated answer belongs to another request;
-            # it shows only in the id, so nothing of it may be delivered.
+            # A crossed, late or duplicated response belongs to another
+            # request. Only the id shows it, so nothing of it is delivered.
             self._fail(
                 _Stage.MISMATCH,
                 f"answer to {echoed!r}, not to {self.last_request_id!r}",
@@ -257,7 +261,7 @@
         if fault:
             self._fail(_Stage.PROTOCOL, fault)
             return
-        self._note_idle_time(head)
+        self._apply_announced_idle_time(head)
         self._response = upstream_response.UpstreamResponse(
             head=messages.ResponseHead(
                 status=head.status, headers=hop_by_hop.strip(head.headers)
@@ -271,17 +275,17 @@
         if not waiting.done():
             waiting.set_result(self._response)
 
-    def _note_idle_time(self, head: messages.ResponseHead) -> None:
-        """Keep the connection a little shorter than the upstream does.
+    def _apply_announced_idle_time(self, head: messages.ResponseHead) -> None:
+        """Set an idle timeout that is shorter than the upstream's.
 
-        One that the upstream closes while a request is on its way to it
-        leaves unknown whether the request ran.
+        If the upstream closes the connection while a request is in flight, it
+        is unknown whether the request ran.
         """
         match = _ANNOUNCED_IDLE.search(head.headers.get("Keep-Alive") or "")
         if match:
             self.idle_seconds = min(
-                self._limits.longest_idle_seconds,
-                int(match[1]) * _PART_OF_ANNOUNCED_IDLE,
+                self._limits.max_idle_seconds,
+                int(match[1]) * _ANNOUNCED_IDLE_FRACTION,
             )
 
     def _is_close_delimited(self, head: messages.ResponseHead) -> bool:
@@ -296,29 +300,29 @@
         response.end()
         if self._is_reusable():
             self._h11.start_next_cycle()
-            self._bytes_left = False
+            self._write_attempted = False
             self.resume_reading()
             self.idle_since = self._clock.monotonic()
-            self._pool.connection_free(self)
+            self._pool.release_connection(self)
         else:
             self.abort()
 
     def _is_reusable(self) -> bool:
-        """Whether another request may follow on this connection.
+        """Whether another request may be sent on this connection.
 
-        Not after an answer that came before its request was sent whole, nor
-        with bytes after the end of the answer: both are answers to something
-        else, and the next request would be given one of them.
+        Not after a response that began before its request was sent completely,
+        nor with bytes after the end of the response: they belong to another
+        request, and would be taken for the response to the next one.
         """
         return (
             self._h11.our_state is h11.DONE
             and self._h11.their_state is h11.DONE
             and self._h11.trailing_data == (b"", False)
-            and not self._answered_early
+            and not self._responded_early
             and not self.closed
         )
 
-    def _bound_held(self) -> None:
+    def _limit_held(self) -> None:
         if (
             self._response is not None
             and self._response.held_bytes > self._limits.read_buffer_bytes
@@ -339,7 +343,7 @@
     def _fail(self, stage: upstream_messages.FailureStage, detail: str) -> None:
         failure = upstream_messages.UpstreamFailure(
             stage=stage,
-            write_attempted=self._bytes_left,
+            write_attempted=self._write_attempted,
             detail=detail,
             peer=self._peer,
         )
@@ -356,7 +360,9 @@
 def _h11_request(
     request: upstream_messages.UpstreamRequest, peer: str
 ) -> h11.Request:
-    headers = hop_by_hop.strip(request.head.headers).without(_SET_HERE)
+    headers = hop_by_hop.strip(request.head.headers).without(
+        _HEADERS_SET_BY_CLIENT
+    )
     pairs = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers
--- a/packages/http/src/lagoonrun_http/upstream_messages.py
+++ b/packages/http/src/lagoonrun_http/upstream_messages.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams and the tagged outcomes of sending them."""
+"""Requests to upstreams and the possible results of sending them."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamRequest:
-    """One request as it goes to an upstream.
+    """One request to an upstream.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     body
         Whole body.
     request_id
-        Passed on as `X-Request-Id`; the response must echo it.
+        Sent as `X-Request-Id`; the response must echo it.
     """
 
     head: messages.RequestHead
@@ -31,7 +31,7 @@
 
 
 class FailureStage(enum.Enum):
-    """Point at which talking to an upstream failed."""
+    """Stage at which an exchange with an upstream failed."""
 
     CONNECT = "connect"
     WRITE = "write"
@@ -44,17 +44,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamFailure:
-    """Why there is no (whole) response.
+    """Why there is no response, or no complete one.
 
     Parameters
     ----------
     stage
-        Where it failed.
+        Stage at which the exchange failed.
     write_attempted
-        Whether a write of the request was attempted. When it was, the
-        upstream may have run the request, whatever was read since.
+        Whether a write of the request was attempted. If so, the upstream may
+        have run the request, whatever was read since.
     detail
-        One sentence for people.
+        One sentence for log lines and error messages.
     peer
         Address and port of the upstream.
     """
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EndOfBody:
-    """The response body is whole."""
+    """The response body is complete."""
 
 
 END_OF_BODY = EndOfBody()
--- a/packages/http/src/lagoonrun_http/upstream_response.py
+++ b/packages/http/src/lagoonrun_http/upstream_response.py
@@ -1,4 +1,4 @@
-"""The response of an upstream, read in pieces as they arrive."""
+"""The response of an upstream, read in chunks as they arrive."""
 
 import asyncio
 import enum
@@ -8,40 +8,40 @@
 
 
 class ResponseConnection(Protocol):
-    """What a response needs of the connection that it arrives on."""
+    """The connection, as the response that arrives on it uses it."""
 
     def resume_reading(self) -> None:
-        """Read on after the held bytes were taken."""
+        """Continue reading after the held bytes were read."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
 
 class BodySink(Protocol):
-    """Takes a body piece by piece, as it arrives."""
+    """Receives a body in chunks, as they arrive."""
 
     def take(self, data: bytes) -> bool:
-        """Take a piece; return whether more may follow at once."""
+        """Receive a chunk; return whether the next may follow at once."""
 
 
 class SinkFull(enum.Enum):
-    """The reader's sink takes nothing more for now."""
+    """The sink accepts no more data for now."""
 
     SINK_FULL = "sink-full"
 
 
 class UpstreamResponse:
-    """Head and body of a response; one task reads it.
+    """Head and body of a response; only one task may read it.
 
     Parameters
     ----------
     head
-        Status and headers without those of the connection.
+        Status and headers, without hop-by-hop ones.
     connection
         Connection that the response arrives on.
     close_delimited
-        Whether only the end of the connection ends the body. A body that was
-        cut then looks whole; the reader must tell by its contents.
+        Whether the end of the connection delimits the body. A truncated body
+        then looks complete, so that the reader must check its content.
     """
 
     __slots__ = (
@@ -80,15 +80,15 @@
         | upstream_messages.UpstreamFailure
         | SinkFull
     ):
-        """Hand each piece to `sink` in the moment in which it is read.
+        """Pass each chunk to `sink` in the callback that reads it.
 
-        Without a task that wakes up for each piece, which costs as much as
-        reading the piece and writing it on. Returns at the end of the body, at
-        its failure, or when the sink is full; what arrives then is held. What
-        the sink raises ends the pump.
+        This needs no task that wakes up for each chunk, which would cost as
+        much as reading the chunk and forwarding it. Returns at the end of the
+        body, on a failure, or when the sink is full; later chunks are then
+        held. An exception of the sink is raised here.
         """
         while self._parts:
-            if not sink.take(self._take_parts()):
+            if not sink.take(self._pop_parts()):
                 return SinkFull.SINK_FULL
         if self._failure is not None:
             return self._failure
@@ -111,7 +111,7 @@
     ) -> (
         bytes | upstream_messages.EndOfBody | upstream_messages.UpstreamFailure
     ):
-        """Return all body bytes that are there, waiting for the first.
+        """Return all body bytes received so far, waiting for the first.
 
         A failure is returned after the bytes that arrived before it.
         """
@@ -122,10 +122,10 @@
                 return upstream_messages.END_OF_BODY
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
-        return self._take_parts()
+        return self._pop_parts()
 
-    def _take_parts(self) -> bytes:
-        """Return all body bytes that are held."""
+    def _pop_parts(self) -> bytes:
+        """Return all held body bytes and clear them."""
         parts = self._parts
         data = parts[0] if len(parts) == 1 else b"".join(parts)
         self._parts = []
@@ -137,7 +137,7 @@
     async def read_all(
         self, limit: int
     ) -> bytes | upstream_messages.UpstreamFailure:
-        """Return the whole body, or a failure when over `limit` bytes."""
+        """Return the whole body, or a failure if it exceeds `limit` bytes."""
         parts = []
         size = 0
         while True:
@@ -165,31 +165,31 @@
     # Called by the connection.
 
     def take(self, data: bytes) -> None:
-        """Hand a piece of the body to the reader, or hold it for it."""
+        """Pass a chunk of the body to the sink, or hold it for the reader."""
         if self._sink is not None:
-            self._hand_over(data)
+            self._pass_to_sink(data)
             return
         self._parts.append(data)
         self.held_bytes += len(data)
         self._wake()
 
     def end(self) -> None:
-        """Record that the body is whole."""
+        """Record that the body is complete."""
         self._ended = True
         self._wake()
 
     def fail(self, failure: upstream_messages.UpstreamFailure) -> None:
-        """Record that the rest of the body will not come."""
+        """Record that the rest of the body will not arrive."""
         self._failure = failure
         self._wake()
 
-    def _hand_over(self, data: bytes) -> None:
+    def _pass_to_sink(self, data: bytes) -> None:
         waiter = self._waiter
         try:
             full = not self._sink.take(data)
         except Exception as error:
-            # The reader's fault or its caller's: the reader gets it, and the
-            # connection's own callbacks go on.
+            # The exception is raised in the reader, so that the connection's
+            # own callbacks continue.
             self._sink = None
             self._waiter = None
             if not waiter.done():
