--- a/packages/cli/src/lagoonrun_cli/causes_report.py
+++ b/packages/cli/src/lagoonrun_cli/causes_report.py
@@ -1,4 +1,4 @@
-"""Write counted causes as tables."""
+"""Tables of the counted causes of missing and late responses."""
 
 import collections
 
@@ -11,26 +11,26 @@
 }
 
 
-def report(counted: log_causes.Count) -> reports.Report:
-    """Return the report of the causes in captured lines."""
-    causes = counted.by_cause()
+def report(counts: log_causes.Count) -> reports.Report:
+    """Return the report of the causes counted in captured log lines."""
+    causes = counts.by_cause()
     return reports.Report(
         code=exit_codes.ExitCode.DONE,
         fields={
-            "requests": counted.requests,
-            "not_in_time": counted.lost,
-            "reread_tokens": counted.reread_tokens,
+            "requests": counts.requests,
+            "not_in_time": counts.not_in_time,
+            "reread_tokens": counts.reread_tokens,
             "causes": {one.value: causes[one] for one in causes},
         },
         sections=(
             reports.Text(
-                text=f"{counted.lost} of {counted.requests} requests had no "
-                f"answer in time; {counted.reread_tokens} tokens of shared "
+                text=f"{counts.not_in_time} of {counts.requests} requests had no "
+                f"answer in time; {counts.reread_tokens} tokens of shared "
                 "parts were read again"
             ),
-            _by_cause(causes, counted.lost),
+            _by_cause(causes, counts.not_in_time),
             *(
-                _by_group(title, counted.by(attribute))
+                _by_group(title, counts.by(attribute))
                 for title, attribute in _ATTRIBUTE_BY_TITLE.items()
             ),
         ),
@@ -38,13 +38,13 @@
 
 
 def _by_cause(
-    causes: collections.Counter[log_causes.Cause], lost: int
+    causes: collections.Counter[log_causes.Cause], not_in_time: int
 ) -> reports.Table:
     return reports.Table(
         title="by cause",
         columns=("cause", "requests", "share"),
         rows=tuple(
-            (cause.value, str(requests), f"{requests / lost:.2f}")
+            (cause.value, str(requests), f"{requests / not_in_time:.2f}")
             for cause, requests in causes.most_common()
         ),
     )
--- a/packages/cli/src/lagoonrun_cli/explain_log_command.py
+++ b/packages/cli/src/lagoonrun_cli/explain_log_command.py
@@ -1,4 +1,4 @@
-"""`explain-log`: from a request's id to its cause, by captured log lines."""
+"""`explain-log`: finds what became of a request, and why, in log lines."""
 
 import pathlib
 import sys
@@ -19,7 +19,7 @@
 from lagoonrun_cli import context as contexts
 
 _STANDARD_INPUT = "-"
-_UNSHOWN = frozenset(
+_HIDDEN_FIELDS = frozenset(
     ("asctime", "levelname", "message", "entry_vm", "event", "request_id")
 )
 
@@ -71,8 +71,8 @@
             "request_id": explanation.request_id,
             "verdict": explanation.verdict.value,
             "causes": list(explanation.causes),
-            "lines": [dict(one.fields) for one in explanation.own],
-            "beliefs": [dict(one.fields) for one in explanation.beliefs],
+            "lines": [dict(one.fields) for one in explanation.request_lines],
+            "beliefs": [dict(one.fields) for one in explanation.state_changes],
         },
         sections=(
             reports.Text(
@@ -81,8 +81,8 @@
             reports.Text(
                 text="\n".join(f"- {one}" for one in explanation.causes)
             ),
-            _table("its lines", explanation.own),
-            _table("what its entry VMs believed", explanation.beliefs),
+            _table("its lines", explanation.request_lines),
+            _table("what its entry VMs believed", explanation.state_changes),
         ),
     )
 
@@ -101,11 +101,11 @@
     return " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in _UNSHOWN
+        if name not in _HIDDEN_FIELDS
     )
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_multi_string(
         "log",
         None,
@@ -136,6 +136,6 @@
     run=_explain_log,
     minimum_arguments=0,
     maximum_arguments=1,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(exit_codes.ExitCode.NOT_FOUND,),
 )
--- a/packages/cli/src/lagoonrun_cli/log_causes.py
+++ b/packages/cli/src/lagoonrun_cli/log_causes.py
@@ -1,7 +1,7 @@
-"""Count, from captured log lines, why requests were not answered in time.
+"""Counts, from captured log lines, why requests got no response in time.
 
-Each request gets one cause: the first thing that went wrong with it where it
-got no answer, else what made its answer late.
+Each request gets one cause: its failure if it got no response, else what made
+its response late.
 """
 
 import collections
@@ -12,11 +12,11 @@
 from lagoonrun_cli import log_explanation, log_lines
 
 MOMENT_SECONDS = 10
-"""Length of the moments that causes are counted by."""
+"""Length of the time intervals that causes are counted by."""
 
 
 class Cause(enum.Enum):
-    """Why a request had no answer, or a late one."""
+    """Why a request got no response, or a late one."""
 
     REFUSED = "refused"
     NOT_KNOWN = "store or configuration"
@@ -44,8 +44,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Place:
-    """What requests are counted by."""
+class CauseGroup:
+    """Attributes that requests are counted by; `moment` is the interval."""
 
     cause: Cause
     profile: str
@@ -55,45 +55,47 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Count:
-    """How many requests of the lines had which cause.
+    """Number of requests in the log lines, by cause.
 
     Parameters
     ----------
     requests
-        All requests that the lines tell of.
+        Number of all requests in the lines.
+    by_place
+        Number of requests without a response in time, by group.
     reread_tokens
-        Prompt tokens of shared parts that some upstream had read a moment
-        before the request went to another one.
+        Tokens of shared prompt parts that were prefilled again, because the
+        request went to another upstream than the one that had just done so.
     """
 
     requests: int
-    by_place: collections.Counter[Place]
+    by_place: collections.Counter[CauseGroup]
     reread_tokens: int
 
     @property
-    def lost(self) -> int:
-        """Requests without an answer in time."""
+    def not_in_time(self) -> int:
+        """Number of requests without a response in time."""
         return self.by_place.total()
 
     def by(self, attribute: str) -> dict[str, collections.Counter[Cause]]:
-        """Return the counts of causes by one attribute of the place."""
+        """Return the counts of causes by one attribute of the groups."""
         grouped: dict[str, collections.Counter[Cause]] = {}
-        for place, requests in self.by_place.items():
-            key = getattr(place, attribute)
+        for group, requests in self.by_place.items():
+            key = getattr(group, attribute)
             grouped.setdefault(key, collections.Counter())
-            grouped[key][place.cause] += requests
+            grouped[key][group.cause] += requests
         return dict(sorted(grouped.items()))
 
     def by_cause(self) -> collections.Counter[Cause]:
         """Return the counts of causes."""
         causes: collections.Counter[Cause] = collections.Counter()
-        for place, requests in self.by_place.items():
-            causes[place.cause] += requests
+        for group, requests in self.by_place.items():
+            causes[group.cause] += requests
         return causes
 
 
 def count(lines: Iterable[log_lines.LogLine]) -> Count:
-    """Return the causes in captured lines of all entry VMs."""
+    """Count the causes in captured log lines of all entry VMs."""
     lines_by_request: dict[str, list[log_lines.LogLine]] = {}
     domain_by_entry_vm: dict[str, str] = {}
     for line in log_lines.in_order(lines):
@@ -102,19 +104,22 @@
             lines_by_request.setdefault(str(request_id), []).append(line)
         elif line.message == "process-started":
             domain_by_entry_vm[line.entry_vm] = str(line.get("domain"))
-    by_place: collections.Counter[Place] = collections.Counter()
+    by_place: collections.Counter[CauseGroup] = collections.Counter()
     reread = 0
-    for own in lines_by_request.values():
-        reread += sum(int(one.get("reread_tokens") or 0) for one in own)
-        cause = cause_of(own)
+    for request_lines in lines_by_request.values():
+        reread += sum(
+            int(one.get("reread_tokens") or 0) for one in request_lines
+        )
+        cause = cause_of(request_lines)
         if cause is not None:
-            place = Place(
+            group = CauseGroup(
                 cause=cause,
-                profile=_first(own, "profile") or _first(own, "route"),
-                domain=domain_by_entry_vm.get(own[-1].entry_vm, ""),
-                moment=_moment_of(own[-1].time),
+                profile=_first(request_lines, "profile")
+                or _first(request_lines, "route"),
+                domain=domain_by_entry_vm.get(request_lines[-1].entry_vm, ""),
+                moment=_moment_of(request_lines[-1].time),
             )
-            by_place[place] += 1
+            by_place[group] += 1
     return Count(
         requests=len(lines_by_request),
         by_place=by_place,
@@ -122,11 +127,11 @@
     )
 
 
-def cause_of(own: list[log_lines.LogLine]) -> Cause | None:
-    """Return what went wrong with a request; None where it came in time."""
-    last = own[-1]
+def cause_of(request_lines: list[log_lines.LogLine]) -> Cause | None:
+    """Return why a request failed or was late; None if it was in time."""
+    last = request_lines[-1]
     if last.message == "request-rejected":
-        # As it stood: nothing is owed.
+        # The request itself was invalid, which counts against no target.
         return None
     if last.message != "request-ended":
         refused = last.message == "request-refused"
@@ -136,36 +141,38 @@
         return _CAUSE_BY_REASON.get(reason, Cause.UPSTREAM_LOST)
     if not log_explanation.is_late(last):
         return None
-    if any(one.message == "upstream-attempt-lost" for one in own):
+    if any(one.message == "upstream-attempt-lost" for one in request_lines):
         return Cause.UPSTREAM_LOST
-    return _cause_of_late(own, last)
+    return _cause_of_late(request_lines, last)
 
 
 def _cause_of_late(
-    own: list[log_lines.LogLine], ended: log_lines.LogLine
+    request_lines: list[log_lines.LogLine], ended: log_lines.LogLine
 ) -> Cause:
     if ended.get("pause_target_seconds") is None:
         return Cause.PLAIN_LATE
     first, target = ended.get("first_seconds"), ended.get("target_seconds")
     if first is not None and first > target:
-        return Cause.PROMPTS if _waiting_tokens(own) else Cause.WAITED
-    beside = ended.get("pause_waiting_tokens")
-    return Cause.PAUSE_PROMPT if beside else Cause.PAUSE
+        return Cause.PROMPTS if _waiting_tokens(request_lines) else Cause.WAITED
+    waiting_tokens = ended.get("pause_waiting_tokens")
+    return Cause.PAUSE_PROMPT if waiting_tokens else Cause.PAUSE
 
 
-def _waiting_tokens(own: list[log_lines.LogLine]) -> float:
-    for line in reversed(own):
+def _waiting_tokens(request_lines: list[log_lines.LogLine]) -> float:
+    for line in reversed(request_lines):
         candidates = line.get("candidates")
         if candidates:
             return float(candidates[0].get("waiting_tokens") or 0.0)
     return 0.0
 
 
-def _first(own: list[log_lines.LogLine], name: str) -> str:
-    return next((str(one.get(name)) for one in own if one.get(name)), "")
+def _first(request_lines: list[log_lines.LogLine], name: str) -> str:
+    return next(
+        (str(one.get(name)) for one in request_lines if one.get(name)), ""
+    )
 
 
 def _moment_of(time: str) -> str:
-    """Return the ten seconds in which a line was written."""
+    """Return the start of the ten-second interval that holds a log time."""
     whole = time.partition(",")[0]
     return f"{whole[:-1]}0" if whole else ""
--- a/packages/cli/src/lagoonrun_cli/log_explanation.py
+++ b/packages/cli/src/lagoonrun_cli/log_explanation.py
@@ -1,4 +1,4 @@
-"""Join the log lines of a request with what its processes believed then."""
+"""Joins the log lines of a request with the state that its entry VMs logged."""
 
 import dataclasses
 import enum
@@ -6,7 +6,7 @@
 
 from lagoonrun_cli import log_lines
 
-_BELIEFS = frozenset(
+_STATE_EVENTS = frozenset(
     (
         "configuration-in-force",
         "platform-unreachable",
@@ -24,7 +24,7 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a request."""
+    """Result of a request."""
 
     IN_TIME = "answered in time"
     LATE = "answered late"
@@ -53,76 +53,89 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Explanation:
-    """A request's lines, its end and its cause.
+    """Log lines of a request, its result and its possible causes.
 
     Parameters
     ----------
-    own
-        Lines that bear the id, of all entry VMs.
-    beliefs
-        The latest lines before its end by which the entry VMs that had the
-        request changed a belief that bears on it.
+    request_lines
+        Lines with the request's id, of all entry VMs.
+    state_changes
+        The latest lines before its end in which the entry VMs that processed
+        it logged a state change of its upstreams, their peers, the store or
+        the configuration.
     causes
-        Sentences from the fields of those lines, the likeliest first.
+        Sentences made from the fields of those lines, most likely first.
     """
 
     request_id: str
     verdict: Verdict
-    own: tuple[log_lines.LogLine, ...]
-    beliefs: tuple[log_lines.LogLine, ...]
+    request_lines: tuple[log_lines.LogLine, ...]
+    state_changes: tuple[log_lines.LogLine, ...]
     causes: tuple[str, ...]
 
 
 def explain(
     request_id: str, lines: Iterable[log_lines.LogLine]
 ) -> Explanation | None:
-    """Return what the lines tell of a request; None where none bears its id."""
+    """Explain a request by its log lines; None if no line has its id."""
     ordered = log_lines.in_order(lines)
-    own = tuple(one for one in ordered if one.get("request_id") == request_id)
-    if not own:
+    request_lines = tuple(
+        one for one in ordered if one.get("request_id") == request_id
+    )
+    if not request_lines:
         return None
-    beliefs = log_lines.in_order(
-        (*_beliefs_before(own, ordered), *_crashes_under(own, ordered))
+    state_changes = log_lines.in_order(
+        (
+            *_state_changes_before(request_lines, ordered),
+            *_crashes_under(request_lines, ordered),
+        )
     )
     return Explanation(
         request_id=request_id,
-        verdict=_verdict_of(own),
-        own=own,
-        beliefs=beliefs,
-        causes=(*_causes_of(own), *_causes_in(beliefs)),
+        verdict=_verdict_of(request_lines),
+        request_lines=request_lines,
+        state_changes=state_changes,
+        causes=(
+            *_causes_of(request_lines),
+            *_causes_of_state_changes(state_changes),
+        ),
     )
 
 
-def _beliefs_before(
-    own: tuple[log_lines.LogLine, ...], ordered: tuple[log_lines.LogLine, ...]
+def _state_changes_before(
+    request_lines: tuple[log_lines.LogLine, ...],
+    ordered: tuple[log_lines.LogLine, ...],
 ) -> tuple[log_lines.LogLine, ...]:
-    entry_vms = {one.entry_vm for one in own}
-    upstreams = {one.get("upstream") for one in own} - {None}
-    for one in own:
+    entry_vms = {one.entry_vm for one in request_lines}
+    upstreams = {one.get("upstream") for one in request_lines} - {None}
+    for one in request_lines:
         upstreams.update(one.get("closed") or ())
-    end = own[-1].time
+    end = request_lines[-1].time
     latest: dict[object, log_lines.LogLine] = {}
     for line in ordered:
-        bears = line.message in _BELIEFS and line.entry_vm in entry_vms
-        about = line.get("upstream")
-        if not bears or line.time > end:
+        is_relevant = (
+            line.message in _STATE_EVENTS and line.entry_vm in entry_vms
+        )
+        upstream_id = line.get("upstream")
+        if not is_relevant or line.time > end:
             continue
-        if about is not None and about not in upstreams:
+        if upstream_id is not None and upstream_id not in upstreams:
             continue
         topic = (
             line.entry_vm,
             line.message,
-            about or line.get("peer") or _topic(line),
+            upstream_id or line.get("peer") or _topic(line),
         )
         latest[topic] = line
     return log_lines.in_order(latest.values())
 
 
 def _crashes_under(
-    own: tuple[log_lines.LogLine, ...], ordered: tuple[log_lines.LogLine, ...]
+    request_lines: tuple[log_lines.LogLine, ...],
+    ordered: tuple[log_lines.LogLine, ...],
 ) -> Iterable[log_lines.LogLine]:
     """Return the crashes of upstreams that ran the request or a copy of it."""
-    digests = {one.get("digest") for one in own} - {None, ""}
+    digests = {one.get("digest") for one in request_lines} - {None, ""}
     return (
         one
         for one in ordered
@@ -132,12 +145,12 @@
 
 
 def _topic(line: log_lines.LogLine) -> str:
-    """Return what an event is about: two of one topic replace each other."""
+    """Return the topic of an event; a later event of a topic replaces it."""
     return line.message.partition("-")[0]
 
 
-def _verdict_of(own: tuple[log_lines.LogLine, ...]) -> Verdict:
-    last = own[-1]
+def _verdict_of(request_lines: tuple[log_lines.LogLine, ...]) -> Verdict:
+    last = request_lines[-1]
     if last.message in ("request-rejected", "request-refused"):
         rejected = last.message == "request-rejected"
         return Verdict.REJECTED if rejected else Verdict.REFUSED
@@ -150,7 +163,7 @@
 
 
 def is_late(ended: log_lines.LogLine) -> bool:
-    """Return whether a whole answer missed its target or a longest pause."""
+    """Return whether a complete response missed its target or pause target."""
     first, target = ended.get("first_seconds"), ended.get("target_seconds")
     if first is not None and target is not None and first > target:
         return True
@@ -161,8 +174,8 @@
     return pause is not None and longest is not None and longest > pause
 
 
-def _causes_of(own: tuple[log_lines.LogLine, ...]) -> Iterable[str]:
-    for line in reversed(own):
+def _causes_of(request_lines: tuple[log_lines.LogLine, ...]) -> Iterable[str]:
+    for line in reversed(request_lines):
         if line.message == "request-refused":
             yield (
                 f"{line.entry_vm} refused it: {line.get('reason')} "
@@ -192,7 +205,7 @@
 
 
 def _crashes_of(refused: log_lines.LogLine) -> Iterable[str]:
-    """Name the crashes that counted, and where to read of them."""
+    """Name the crashes that led to the refusal."""
     upstreams = refused.get("upstreams")
     if upstreams:
         yield (
@@ -216,8 +229,10 @@
         )
 
 
-def _causes_in(beliefs: tuple[log_lines.LogLine, ...]) -> Iterable[str]:
-    for line in beliefs:
+def _causes_of_state_changes(
+    state_changes: tuple[log_lines.LogLine, ...],
+) -> Iterable[str]:
+    for line in state_changes:
         if line.message == "platform-unreachable":
             yield f"{line.entry_vm} had lost the store at {line.time}"
         elif line.message == "peer-lost":
--- a/packages/cli/src/lagoonrun_cli/log_lines.py
+++ b/packages/cli/src/lagoonrun_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Read captured log lines of routers, whatever stands before each object."""
+"""Reads captured log lines of routers, with any prefix before the JSON."""
 
 import dataclasses
 import json
@@ -15,10 +15,10 @@
     Parameters
     ----------
     time
-        Time of day, as written.
+        Date and time, as logged.
     order
-        Place in the captured lines: the lines of several files are ordered
-        by their time, and by this where the times are equal.
+        Position in the captured lines. Lines are ordered by their time, and
+        by this if the times are equal.
     fields
         All fields of the event.
     """
@@ -30,12 +30,12 @@
     fields: Fields
 
     def get(self, name: str) -> Any:
-        """Return a field; None where the event has none of that name."""
+        """Return a field; None if the event has no field of that name."""
         return self.fields.get(name)
 
 
 def read(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events in captured lines; other lines are passed over."""
+    """Yield the events in captured lines; other lines are skipped."""
     for order, text in enumerate(texts):
         start = text.find("{")
         if start < 0:
@@ -43,7 +43,7 @@
         try:
             fields = json.loads(text[start:])
         except ValueError:
-            # A line that was cut when the process ended.
+            # For example a line that was truncated when the process ended.
             continue
         if isinstance(fields, dict) and "message" in fields:
             yield LogLine(
@@ -56,5 +56,5 @@
 
 
 def in_order(lines: Iterable[LogLine]) -> tuple[LogLine, ...]:
-    """Return lines by time."""
+    """Return the lines ordered by time."""
     return tuple(sorted(lines, key=lambda line: (line.time, line.order)))
--- a/packages/cli/tests/test_explain_log.py
+++ b/packages/cli/tests/test_explain_log.py
@@ -1,4 +1,4 @@
-"""From an id to its cause, by lines that a run of a whole fleet wrote.
+"""Explaining requests by log lines recorded from a whole fleet.
 
 The recorded lines are of one day of a fleet of 8 entry VMs with revoked keys,
 crashed upstreams, an outage of the store and restarts.
@@ -36,23 +36,23 @@
     )
 
 
-def test_refused_request_leads_to_the_room_that_was_missing():
+def test_refused_request_is_explained_by_overload():
     found = explained("refused", REFUSED)
     assert found.verdict is log_explanation.Verdict.REFUSED
     assert "overloaded" in found.causes[0]
     assert any("prompt tokens waiting" in cause for cause in found.causes)
 
 
-def test_lost_request_leads_to_its_upstream():
+def test_lost_request_is_explained_by_its_upstream():
     found = explained("lost", LOST)
     assert found.verdict is log_explanation.Verdict.LOST
-    upstream = found.own[-1].get("upstream")
+    upstream = found.request_lines[-1].get("upstream")
     assert upstream in found.causes[0]
     assert "it ran: unknown" in found.causes[0]
-    assert any(one.get("upstream") == upstream for one in found.beliefs)
+    assert any(one.get("upstream") == upstream for one in found.state_changes)
 
 
-def test_late_request_leads_to_its_times():
+def test_late_request_is_explained_by_its_times():
     found = explained("late", LATE)
     assert found.verdict is log_explanation.Verdict.LATE
     assert "first answer after" in found.causes[0]
@@ -62,8 +62,8 @@
     return json.dumps({"message": message, "event": 0, **fields})
 
 
-def test_refused_copy_leads_to_the_crashes_that_counted():
-    """A request that ends upstreams is refused at an entry VM that saw none."""
+def test_refused_copy_is_explained_by_the_crashes():
+    """A request is refused at an entry VM that saw none of its crashes."""
     lines = [
         line_of(
             "upstream-crashed",
@@ -94,7 +94,7 @@
     assert "vm-1" in crashes[1]
 
 
-async def test_command_prints_verdict_causes_and_lines():
+async def test_command_prints_result_causes_and_lines():
     path = str(RECORDED / "lost.log")
     code, out, _ = await run(LOST, "--log", path)
     assert code is exit_codes.ExitCode.DONE
@@ -103,7 +103,7 @@
 
 
 async def test_lines_of_two_entry_vms_are_joined(tmp_path):
-    """A caller tries again with the same id and reaches another entry VM."""
+    """A caller retries with the same id and reaches another entry VM."""
     text = (RECORDED / "lost.log").read_text(encoding="utf-8")
     lines = [one for one in text.splitlines() if LOST in one]
     entry_vm = json.loads(lines[0])["entry_vm"]
@@ -121,7 +121,7 @@
     assert entry_vms == [entry_vm] * len(lines) + ["entry-9"] * len(lines)
 
 
-async def test_unknown_id_and_unreadable_file_are_told(tmp_path):
+async def test_unknown_id_and_unreadable_file_are_reported(tmp_path):
     path = str(RECORDED / "late.log")
     code, _, _ = await run("nothing", "--log", path)
     assert code is exit_codes.ExitCode.NOT_FOUND
@@ -133,11 +133,11 @@
 @pytest.mark.parametrize(
     "text", ["", "no json", "{", '{"message"', "[1]", '{"a": 1}']
 )
-def test_other_lines_are_passed_over(text):
+def test_other_lines_are_skipped(text):
     assert list(log_lines.read([text])) == []
 
 
-def test_what_stands_before_a_line_does_not_matter():
+def test_prefix_of_a_line_is_ignored():
     (line,) = log_lines.read(['  1.2 vm-1 {"message": "x", "event": 1}'])
     assert line.message == "x"
 
@@ -148,7 +148,7 @@
     )
 
 
-def test_request_without_a_place_leads_to_the_limit():
+def test_request_without_a_place_is_explained_by_the_limit():
     found = log_explanation.explain(
         "r-1",
         log_lines.read(
--- a/packages/cli/tests/test_log_causes.py
+++ b/packages/cli/tests/test_log_causes.py
@@ -1,4 +1,4 @@
-"""Causes of missing and late answers, counted from captured log lines."""
+"""Causes of missing and late responses, counted from captured log lines."""
 
 import io
 import json
@@ -40,7 +40,7 @@
     return line("request-routed", candidates=candidates, reread_tokens=700)
 
 
-def counted(*texts):
+def count_causes(*texts):
     return log_causes.count(log_lines.read(texts))
 
 
@@ -79,20 +79,20 @@
     ],
 )
 def test_request_has_one_cause(texts, cause):
-    found = counted(*texts)
+    found = count_causes(*texts)
     assert found.requests == 1
     assert found.by_cause() == ({cause: 1} if cause else {})
 
 
-def test_causes_are_counted_by_class_domain_and_moment():
-    found = counted(
+def test_causes_are_counted_by_class_domain_and_interval():
+    found = count_causes(
         line("process-started", id=None, domain="north"),
         routed(),
         ended(longest_pause=0.3),
         ended("s", longest_pause=0.3, time="2026-01-01 08:00:13,500"),
         ended("t"),
     )
-    assert (found.requests, found.lost) == (3, 2)
+    assert (found.requests, found.not_in_time) == (3, 2)
     assert found.reread_tokens == 700
     assert found.by("profile") == {"asks": {CAUSE.PAUSE: 2}}
     assert found.by("domain") == {"north": {CAUSE.PAUSE: 2}}
