--- a/packages/cli/src/lagoonrun_cli/admin_client.py
+++ b/packages/cli/src/lagoonrun_cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Asks the admin addresses of entry VMs, by h11."""
+"""HTTP client of the entry VMs' admin addresses, built on h11."""
 
 import asyncio
 import dataclasses
@@ -11,13 +11,13 @@
 from lagoonrun_core import errors
 
 _READ_BYTES = 65536
-_LARGEST_ANSWER_BYTES = 16 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 _DEFAULT_TIMEOUT_SECONDS = 3.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class AdminAnswer:
-    """A whole answer with its decoded JSON body."""
+class AdminResponse:
+    """A whole response with its decoded JSON body."""
 
     status: int
     value: Any
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AdminFailure:
-    """No usable answer came.
+    """Why there is no usable response.
 
     Parameters
     ----------
     step, peer
-        Where it failed, and at which address.
+        Step that failed, and the address of the entry VM.
     """
 
     step: errors.Step
@@ -43,14 +43,14 @@
 
 
 class AdminClient:
-    """Makes admin requests, each on a connection of its own.
+    """Sends admin requests, each on a connection of its own.
 
     Parameters
     ----------
     token
-        Bearer token; empty for none. It is sent and never shown.
+        Bearer token; empty for none. It is sent but never printed.
     timeout_seconds
-        Longest time of one request.
+        Time limit of one request.
     """
 
     def __init__(
@@ -64,19 +64,19 @@
 
     async def get(
         self, address: settings.Address, path: str
-    ) -> AdminAnswer | AdminFailure:
-        """Return the answer to `GET path`."""
-        return await self._ask(address, "GET", path)
+    ) -> AdminResponse | AdminFailure:
+        """Return the response to `GET path`."""
+        return await self._send(address, "GET", path)
 
     async def delete(
         self, address: settings.Address, path: str
-    ) -> AdminAnswer | AdminFailure:
-        """Return the answer to `DELETE path`."""
-        return await self._ask(address, "DELETE", path)
+    ) -> AdminResponse | AdminFailure:
+        """Return the response to `DELETE path`."""
+        return await self._send(address, "DELETE", path)
 
-    async def _ask(
+    async def _send(
         self, address: settings.Address, method: str, path: str
-    ) -> AdminAnswer | AdminFailure:
+    ) -> AdminResponse | AdminFailure:
         try:
             async with asyncio.timeout(self._timeout_seconds):
                 return await self._exchange(address, method, path)
@@ -90,7 +90,7 @@
 
     async def _exchange(
         self, address: settings.Address, method: str, path: str
-    ) -> AdminAnswer | AdminFailure:
+    ) -> AdminResponse | AdminFailure:
         reader, writer = await asyncio.open_connection(
             address.host, address.port
         )
@@ -99,7 +99,7 @@
             for event in self._request(address, method, path):
                 writer.write(connection.send(event) or b"")
             await writer.drain()
-            status, body = await _read_answer(connection, reader)
+            status, body = await _read_response(connection, reader)
         finally:
             writer.transport.abort()
         if status == 401:
@@ -109,7 +109,7 @@
                 detail="the admin token is missing or wrong; valid: the "
                 "token whose digest the entry VM's settings hold",
             )
-        return AdminAnswer(status=status, value=json.loads(body))
+        return AdminResponse(status=status, value=json.loads(body))
 
     def _request(
         self, address: settings.Address, method: str, path: str
@@ -121,7 +121,7 @@
         return (request, h11.EndOfMessage())
 
 
-async def _read_answer(
+async def _read_response(
     connection: h11.Connection, reader: asyncio.StreamReader
 ) -> tuple[int, bytes]:
     status = 0
@@ -134,8 +134,8 @@
             status = event.status_code
         elif isinstance(event, h11.Data):
             body += event.data
-            if len(body) > _LARGEST_ANSWER_BYTES:
-                raise ValueError(f"more than {_LARGEST_ANSWER_BYTES} bytes")
+            if len(body) > _MAX_RESPONSE_BYTES:
+                raise ValueError(f"more than {_MAX_RESPONSE_BYTES} bytes")
         elif isinstance(event, h11.EndOfMessage):
             return status, bytes(body)
         elif isinstance(event, h11.ConnectionClosed):
--- a/packages/cli/src/lagoonrun_cli/blocked_requests_command.py
+++ b/packages/cli/src/lagoonrun_cli/blocked_requests_command.py
@@ -1,4 +1,4 @@
-"""`blocked-requests`: lists the requests that end upstreams, and lifts a block."""
+"""`blocked-requests`: lists requests that crash upstreams, and unblocks them."""
 
 from typing import Any
 
@@ -24,8 +24,8 @@
     digest = invocation.flag("lift")
     if digest:
         return await _lift(context, digest)
-    answer = await _first_answer(context, "GET", _PATH)
-    rows = answer.value["blocked"]
+    response = await _first_response(context, "GET", _PATH)
+    rows = response.value["blocked"]
     return reports.Report(
         code=exit_codes.ExitCode.DONE,
         fields={"blocked": rows},
@@ -34,8 +34,8 @@
 
 
 async def _lift(context: contexts.Context, digest: str) -> reports.Report:
-    answer = await _first_answer(context, "DELETE", f"{_PATH}/{digest}")
-    if answer.status == _NOT_FOUND_STATUS:
+    response = await _first_response(context, "DELETE", f"{_PATH}/{digest}")
+    if response.status == _NOT_FOUND_STATUS:
         raise errors.CommandError(
             code=exit_codes.ExitCode.NOT_FOUND,
             step=core_errors.Step.CONFIGURATION,
@@ -50,21 +50,22 @@
     )
 
 
-async def _first_answer(
+async def _first_response(
     context: contexts.Context, method: str, path: str
-) -> admin_client.AdminAnswer:
-    """Return the answer of the first entry VM that gives one.
+) -> admin_client.AdminResponse:
+    """Return the response of the first entry VM that gives one.
 
-    Each knows all blocks, and tells the others of a lifted one.
+    Each entry VM knows all blocks, and notifies the others of an unblocked
+    request.
     """
     client = admin_client.AdminClient(token=context.settings.admin_token)
     failures = []
     for address in context.settings.entry_vms:
-        ask = client.get if method == "GET" else client.delete
-        answer = await ask(address, path)
-        if isinstance(answer, admin_client.AdminAnswer):
-            return answer
-        failures.append(str(answer))
+        send = client.get if method == "GET" else client.delete
+        response = await send(address, path)
+        if isinstance(response, admin_client.AdminResponse):
+            return response
+        failures.append(str(response))
     raise errors.CommandError(
         code=exit_codes.ExitCode.UNAVAILABLE,
         step=core_errors.Step.PEER_CONNECT,
@@ -90,7 +91,7 @@
     )
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_string(
         "lift",
         None,
@@ -109,7 +110,7 @@
     `request-routed` with a digest show the ids, route and time of its copies.
     """,
     run=_blocked_requests,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(
         exit_codes.ExitCode.NOT_FOUND,
         exit_codes.ExitCode.UNAVAILABLE,
--- a/packages/cli/src/lagoonrun_cli/change_commands.py
+++ b/packages/cli/src/lagoonrun_cli/change_commands.py
@@ -33,7 +33,7 @@
         return outcome_reports.report_faults(declared.faults)
     async with context.open_store() as store:
         base = await changes.find_base(
-            store, flag=invocation.flag("base"), written=declared.base
+            store, flag=invocation.flag("base"), file_base=declared.base
         )
         if not isinstance(base, int):
             return outcome_reports.report_failure(base)
@@ -87,10 +87,10 @@
     declared: declaration_files.Declared,
     revision: types.Revision,
 ) -> tuple[str, ...]:
-    """Let the files start from the new revision, where they hold all of it.
+    """Set the files' base line to the new revision, if they hold all of it.
 
     After a merge with another operator's change they do not: with the new
-    base the next `apply` would undo that change without a word.
+    base the next `apply` would silently undo that change.
     """
     if declared.base is None:
         return ()
@@ -134,8 +134,8 @@
 async def _rollback(
     context: contexts.Context, invocation: command.Invocation
 ) -> reports.Report:
-    (written,) = invocation.arguments
-    revision = changes.parse_revision(written)
+    (argument,) = invocation.arguments
+    revision = changes.parse_revision(argument)
     context.console.progress(f"rolling back to revision {revision}")
     async with context.open_store() as store:
         outcome = await store.rollback(
@@ -154,8 +154,8 @@
 
 
 def _define_apply(values: flags.FlagValues) -> None:
-    changes.define_base(values)
-    changes.define_wait(values)
+    changes.define_base_flag(values)
+    changes.define_wait_flag(values)
     flags.DEFINE_bool(
         "allow_removals",
         False,
@@ -171,7 +171,7 @@
 
 
 def _define_settle(values: flags.FlagValues) -> None:
-    changes.define_wait(values)
+    changes.define_wait_flag(values)
     flags.DEFINE_string(
         "base",
         None,
@@ -227,6 +227,6 @@
     run=_rollback,
     minimum_arguments=1,
     maximum_arguments=1,
-    define_flags=changes.define_wait,
+    define_flags=changes.define_wait_flag,
     codes=(*_CHANGE_CODES, exit_codes.ExitCode.NOT_FOUND),
 )
--- a/packages/cli/src/lagoonrun_cli/changes.py
+++ b/packages/cli/src/lagoonrun_cli/changes.py
@@ -1,4 +1,4 @@
-"""What all commands that change the configuration have in common."""
+"""Functions shared by the commands that change the configuration."""
 
 from collections.abc import Callable
 
@@ -22,8 +22,8 @@
 _DEFAULT_WAIT_SECONDS = 10.0
 
 
-def define_wait(values: flags.FlagValues) -> None:
-    """Add the flag that bounds the wait for the entry VMs."""
+def define_wait_flag(values: flags.FlagValues) -> None:
+    """Add the flag that limits the wait for the entry VMs."""
     flags.DEFINE_float(
         "wait_seconds",
         _DEFAULT_WAIT_SECONDS,
@@ -34,8 +34,8 @@
     )
 
 
-def define_base(values: flags.FlagValues) -> None:
-    """Add the flag that says what the files started from."""
+def define_base_flag(values: flags.FlagValues) -> None:
+    """Add the flag that sets the base revision of the files."""
     flags.DEFINE_string(
         "base",
         None,
@@ -45,45 +45,45 @@
     )
 
 
-def parse_revision(written: str) -> types.Revision:
-    """Return the revision that an operator wrote.
+def parse_revision(value: str) -> types.Revision:
+    """Parse a revision from the command line.
 
     Raises
     ------
     errors.CommandError
-        If it is no whole number.
+        If it is no integer.
     """
-    if not written.isdecimal():
+    if not value.isdecimal():
         raise errors.usage_error(
-            f"revision {written!r}; valid: a whole number, as `lagoonrun "
+            f"revision {value!r}; valid: a whole number, as `lagoonrun "
             "history` lists them",
             next_command="lagoonrun history",
         )
-    return types.Revision(int(written))
+    return types.Revision(int(value))
 
 
 def choose_base(
     *,
     flag: object,
-    written: types.Revision | None,
+    file_base: types.Revision | None,
     current: types.Revision,
 ) -> types.Revision:
-    """Return the revision that a change starts from.
+    """Return the base revision of a change.
 
-    There is no default once something is in force: with the newest revision
-    as a silent base, old files would undo what others changed since.
+    There is no default once a revision is in force: if the newest revision
+    were used, old files would silently undo what others changed since.
 
     Raises
     ------
     errors.CommandError
-        If neither the flag nor the files say it.
+        If neither the flag nor the files set it.
     """
     if flag == declaration_files.IN_FORCE:
         return current
     if flag is not None:
         return parse_revision(str(flag))
-    if written is not None:
-        return written
+    if file_base is not None:
+        return file_base
     if current == 0:
         return current
     raise errors.usage_error(
@@ -99,18 +99,20 @@
     store: ConfigurationStore,
     *,
     flag: object,
-    written: types.Revision | None,
+    file_base: types.Revision | None,
 ) -> types.Revision | change_outcomes.Unavailable:
-    """Return the base, asking the platform only where it must."""
+    """Return the base revision; reads from the platform only if necessary."""
     if flag not in (None, declaration_files.IN_FORCE):
         return parse_revision(str(flag))
-    if flag is None and written is not None:
-        return written
+    if flag is None and file_base is not None:
+        return file_base
     history = await store.history()
     if isinstance(history, change_outcomes.Unavailable):
         return history
     last = history.changes[-1].revision if history.changes else 0
-    return choose_base(flag=flag, written=written, current=types.Revision(last))
+    return choose_base(
+        flag=flag, file_base=file_base, current=types.Revision(last)
+    )
 
 
 async def removed_names(
@@ -120,11 +122,11 @@
 ) -> tuple[str, ...]:
     """Return the entries of `base` that `draft` lacks.
 
-    A forgotten file looks the same as a wish to remove all that it holds.
+    A file omitted by mistake cannot be told from the removal of its entries.
     """
     start = await store.get(base)
     if not isinstance(start, model.Configuration):
-        # The change itself will tell what is wrong with the base.
+        # Applying the change reports what is wrong with the base.
         return ()
     before = draft_module.draft_of(start).entries_by_name()
     after = draft.entries_by_name()
@@ -157,10 +159,10 @@
     wait_seconds: float,
     notes: tuple[str, ...] = (),
 ) -> reports.Report:
-    """Change single entries of what is in force, and wait for it.
+    """Change single entries of the revision in force, and wait for the rollout.
 
-    A clash is told and not tried again: the operator decided on what was in
-    force, which has changed meanwhile.
+    A conflict is reported and not retried: the operator decided on the basis
+    of a revision that is no longer in force.
     """
     async with context.open_store() as store:
         current = await store.get()
@@ -187,30 +189,32 @@
     notes: tuple[str, ...] = (),
 ) -> reports.Report:
     """Wait for the entry VMs and return the report of an accepted change."""
-    spread = in_force.Spread(revision=outcome.revision, failure="not asked")
+    rollout = in_force.RolloutState(
+        revision=outcome.revision, failure="not asked"
+    )
     if context.settings.entry_vms:
-        spread = await in_force.wait(
+        rollout = await in_force.wait(
             context, outcome.revision, timeout_seconds=wait_seconds
         )
-    pending = bool(context.settings.entry_vms) and not spread.everywhere
+    pending = bool(context.settings.entry_vms) and not rollout.everywhere
     code = exit_codes.ExitCode.PENDING if pending else exit_codes.ExitCode.DONE
-    said = f"accepted: revision {outcome.revision}"
+    summary = f"accepted: revision {outcome.revision}"
     if outcome.names:
-        said += f" changes {', '.join(map(str, outcome.names))}"
+        summary += f" changes {', '.join(map(str, outcome.names))}"
     else:
-        said += " already holds this; nothing was changed"
+        summary += " already holds this; nothing was changed"
     return reports.Report(
         code=code,
         fields={
             "revision": outcome.revision,
             "names": [str(name) for name in outcome.names],
-            "in_force": in_force.fields(spread),
+            "in_force": in_force.fields(rollout),
             "notes": list(notes),
         },
         sections=(
-            reports.Text(text=said),
+            reports.Text(text=summary),
             *(reports.Text(text=note) for note in notes),
-            *in_force.sections(spread),
+            *in_force.sections(rollout),
         ),
         next_command="lagoonrun status --watch" if pending else "",
     )
--- a/packages/cli/src/lagoonrun_cli/check_commands.py
+++ b/packages/cli/src/lagoonrun_cli/check_commands.py
@@ -1,4 +1,4 @@
-"""`validate` and `diff`: look at declarations and change nothing."""
+"""`validate` and `diff`: check declarations without changing anything."""
 
 from lagoonrun_cli import (
     changes,
@@ -18,7 +18,7 @@
 async def _validate(
     context: contexts.Context, invocation: command.Invocation
 ) -> reports.Report:
-    """Check files without asking anyone."""
+    """Check files without a connection to the system."""
     del context
     declared = declaration_files.load(invocation.arguments)
     if isinstance(declared, declarations.InvalidDeclarations):
@@ -31,11 +31,11 @@
         "placements": len(declared.draft.placements),
         "domains": len(declared.draft.domains_by_name),
     }
-    said = ", ".join(f"{count} {name}" for name, count in counts.items())
+    counts_text = ", ".join(f"{count} {name}" for name, count in counts.items())
     return reports.Report(
         code=exit_codes.ExitCode.DONE,
         fields=counts,
-        sections=(reports.Text(text=f"valid: {said}"),),
+        sections=(reports.Text(text=f"valid: {counts_text}"),),
     )
 
 
@@ -52,7 +52,7 @@
             return outcome_reports.report_failure(current)
         base = changes.choose_base(
             flag=invocation.flag("base"),
-            written=declared.base,
+            file_base=declared.base,
             current=current.revision,
         )
         start = await store.get(base)
@@ -63,7 +63,7 @@
         base=draft_module.draft_of(start), head=head, mine=declared.draft
     )
     if isinstance(merged, rebase.Conflict):
-        return outcome_reports.report_clash(
+        return outcome_reports.report_conflict(
             change_outcomes.ChangeConflict(
                 names=merged.names, revision=current.revision, changes=()
             )
@@ -122,7 +122,7 @@
     run=_diff,
     minimum_arguments=1,
     maximum_arguments=None,
-    define_flags=changes.define_base,
+    define_flags=changes.define_base_flag,
     codes=(
         exit_codes.ExitCode.REFUSED,
         exit_codes.ExitCode.CLASH,
--- a/packages/cli/src/lagoonrun_cli/command.py
+++ b/packages/cli/src/lagoonrun_cli/command.py
@@ -1,4 +1,4 @@
-"""One subcommand: its help, its flags and what it runs."""
+"""One subcommand: its help, its flags and the function that it runs."""
 
 import dataclasses
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
     Parameters
     ----------
     arguments
-        What is not a flag, without the subcommand's name.
+        Positional arguments, without the subcommand's name.
     flag_values
         All flags of the subcommand.
     """
@@ -43,11 +43,11 @@
     Parameters
     ----------
     usage
-        Its arguments, as the help shows them.
+        Its arguments, as shown in the help.
     minimum_arguments, maximum_arguments
-        How many may be given; None for any number.
+        Number of positional arguments; None for no maximum.
     codes
-        Codes that it may end with besides those of every command.
+        Exit codes besides those of every command.
     """
 
     name: str
@@ -63,8 +63,10 @@
     def check_arguments(self, arguments: tuple[str, ...]) -> None:
         """Raise a usage error unless the number of arguments is valid."""
         count = len(arguments)
-        most = self.maximum_arguments
-        if count >= self.minimum_arguments and (most is None or count <= most):
+        maximum = self.maximum_arguments
+        if count >= self.minimum_arguments and (
+            maximum is None or count <= maximum
+        ):
             return
         raise errors.usage_error(
             f"{count} arguments; valid: lagoonrun {self.name} {self.usage}",
--- a/packages/cli/src/lagoonrun_cli/command_line.py
+++ b/packages/cli/src/lagoonrun_cli/command_line.py
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HelpWanted:
-    """The operator asked for help and not for a command to run."""
+    """The operator requested help instead of running a command."""
 
     text: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Parsed:
-    """A command and how it is called."""
+    """A command and the arguments of its invocation."""
 
     command: commands.Command
     invocation: commands.Invocation
@@ -38,12 +38,12 @@
     arguments: Sequence[str],
     commands_by_name: Mapping[str, commands.Command],
 ) -> Parsed | HelpWanted:
-    """Return the command that `arguments` call.
+    """Parse `arguments` into a command and its invocation.
 
     Raises
     ------
     errors.CommandError
-        If there is no such command, flag or number of arguments.
+        If the command, a flag or the number of arguments is invalid.
     """
     words = [one for one in arguments if not one.startswith("-")]
     wants_help = any(one in _HELP_WORDS for one in arguments)
--- a/packages/cli/src/lagoonrun_cli/console.py
+++ b/packages/cli/src/lagoonrun_cli/console.py
@@ -16,9 +16,9 @@
     Parameters
     ----------
     out
-        Takes the result.
+        Stream of the result.
     err
-        Takes progress and errors, so that a pipe gets the result alone.
+        Stream of progress and errors, so that a pipe gets only the result.
     as_json
         Whether results are written as JSON.
     """
@@ -37,7 +37,7 @@
         return self._out.isatty()
 
     def clear(self) -> None:
-        """Empty the screen before a result is shown again."""
+        """Clear the screen before a result is shown again."""
         if self.is_terminal and not self._as_json:
             self._out.write(_CLEAR_SCREEN)
 
@@ -51,7 +51,7 @@
         self._out.flush()
 
     def progress(self, text: str) -> None:
-        """Say what is being waited for; a repeated text is written once."""
+        """Write a progress message; a repeated message is written once."""
         if text == self._last_progress:
             return
         self._last_progress = text
--- a/packages/cli/src/lagoonrun_cli/context.py
+++ b/packages/cli/src/lagoonrun_cli/context.py
@@ -1,4 +1,4 @@
-"""What every command is given: settings, console, and ways to the system."""
+"""Context of every command: settings, console and access to the system."""
 
 import asyncio
 import contextlib
@@ -23,16 +23,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Context:
-    """Parts that commands share.
+    """Objects that all commands use.
 
     Parameters
     ----------
     sleep
-        Waits between two looks at the entry VMs.
+        Waits between two polls of the entry VMs.
     first_delay_seconds
-        Delay after the first failed call of the platform.
+        Retry delay after the first failed call to the platform.
     call_timeout_seconds
-        Longest wait for one reply of the platform.
+        Time limit of one call to the platform.
     """
 
     settings: operator_settings.OperatorSettings
@@ -52,7 +52,7 @@
         Raises
         ------
         errors.CommandError
-            If no address of the platform is known.
+            If the settings have no address of the platform.
         """
         if not self.settings.platform:
             raise errors.usage_error(
--- a/packages/cli/src/lagoonrun_cli/declaration_files.py
+++ b/packages/cli/src/lagoonrun_cli/declaration_files.py
@@ -1,4 +1,4 @@
-"""Reads operators' declaration files and the revision they started from."""
+"""Reads operators' declaration files and their base revision."""
 
 import dataclasses
 import pathlib
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Declared:
-    """What the files declare together.
+    """Declarations of all files together.
 
     Parameters
     ----------
     base
-        Revision that the files started from; None where no file says it.
+        Revision that the files are based on; None if no file has a base line.
     """
 
     draft: draft_module.Draft
@@ -29,12 +29,12 @@
 
 
 def base_line(revision: types.Revision) -> str:
-    """Return the comment by which a file tells what it started from."""
+    """Return the comment line that names a file's base revision."""
     return f"# lagoonrun-base: {revision}"
 
 
 def load(paths: Sequence[str]) -> Declared | declarations.InvalidDeclarations:
-    """Return what the files at `paths` declare, or all their faults.
+    """Return the declarations of the files at `paths`, or all their faults.
 
     Raises
     ------
@@ -49,7 +49,7 @@
 
 
 def move_base(paths: Sequence[str], revision: types.Revision) -> list[str]:
-    """Write `revision` into the base lines; return the files that had one."""
+    """Set the base lines to `revision`; return the files that have one."""
     moved = []
     for path in map(pathlib.Path, paths):
         text = path.read_text(encoding="utf-8")
--- a/packages/cli/src/lagoonrun_cli/differences.py
+++ b/packages/cli/src/lagoonrun_cli/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two drafts, entry by entry and field by field."""
+"""Differences between two drafts, by entry and field."""
 
 import dataclasses
 
@@ -23,12 +23,12 @@
 def compare(
     before: draft_module.Draft, after: draft_module.Draft
 ) -> tuple[Difference, ...]:
-    """Return every difference, in the order of the entries' names."""
+    """Return all differences, ordered by the entries' names."""
     old = before.entries_by_name()
     new = after.entries_by_name()
     found: list[Difference] = []
     for name in rebase.changed_names(before, after):
-        found += _of_entry(str(name), old.get(name), new.get(name))
+        found += _compare_entry(str(name), old.get(name), new.get(name))
     return tuple(found)
 
 
@@ -44,7 +44,7 @@
     )
 
 
-def _of_entry(
+def _compare_entry(
     entry: str,
     old: draft_module.Entry | None,
     new: draft_module.Entry | None,
@@ -61,15 +61,15 @@
             entry=entry,
             change="changed",
             field=field.name,
-            before=_show(getattr(old, field.name)),
-            after=_show(getattr(new, field.name)),
+            before=_format_value(getattr(old, field.name)),
+            after=_format_value(getattr(new, field.name)),
         )
         for field in dataclasses.fields(old)
         if getattr(old, field.name) != getattr(new, field.name)
     ]
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, tuple):
         return ", ".join(map(str, value)) or _ABSENT
     text = str(getattr(value, "value", value))
--- a/packages/cli/src/lagoonrun_cli/drain_command.py
+++ b/packages/cli/src/lagoonrun_cli/drain_command.py
@@ -1,10 +1,10 @@
-"""`drain`: lets an upstream leave, or come back.
+"""`drain`: stops sending new requests to an upstream, or ends that.
 
-The drain is an entry of the configuration. Weighed was an order to the
-daemons' admin addresses, which would work while the platform is down, but
-is lost with the last entry VM that heard it and reaches no entry VM that
-starts later; as an entry it is durable, in the history, and in force
-everywhere as fast as any change.
+The drain is part of the configuration, which makes it durable, recorded in the
+history, and in force everywhere as fast as any change. A command to the
+daemons' admin addresses would work while the platform is down, but it would be
+lost with the last entry VM that received it, and would not reach entry VMs
+that start later.
 """
 
 import dataclasses
@@ -21,8 +21,8 @@
 async def _drain(
     context: contexts.Context, invocation: command.Invocation
 ) -> reports.Report:
-    (written,) = invocation.arguments
-    upstream = types.UpstreamId(written)
+    (argument,) = invocation.arguments
+    upstream = types.UpstreamId(argument)
     draining = not invocation.flag("end")
 
     def edit(draft: draft_module.Draft) -> draft_module.Draft:
@@ -60,8 +60,8 @@
     )
 
 
-def _define(values: flags.FlagValues) -> None:
-    changes.define_wait(values)
+def _define_flags(values: flags.FlagValues) -> None:
+    changes.define_wait_flag(values)
     flags.DEFINE_bool(
         "end",
         False,
@@ -80,7 +80,7 @@
     run=_drain,
     minimum_arguments=1,
     maximum_arguments=1,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(
         exit_codes.ExitCode.REFUSED,
         exit_codes.ExitCode.CLASH,
--- a/packages/cli/src/lagoonrun_cli/entry_vms.py
+++ b/packages/cli/src/lagoonrun_cli/entry_vms.py
@@ -1,4 +1,4 @@
-"""All entry VMs of the system, found through those that are known."""
+"""Status of all entry VMs, discovered through some known addresses."""
 
 import asyncio
 import dataclasses
@@ -9,8 +9,9 @@
 from lagoonrun_config import settings
 from lagoonrun_core import errors as core_errors
 
-MOST_ASKED = 64
-"""Entry VMs that are asked at once, and most that are asked again and again."""
+MAX_QUERIED = 64
+"""Maximum number of concurrent requests to entry VMs, and of entry VMs that
+are polled repeatedly."""
 
 _STATUS_PATH = "/status"
 _OWN_STATUS_PATH = "/status?scope=own"
@@ -20,20 +21,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryVmStatus:
-    """What one entry VM says of itself, or what others say of it.
+    """Status of one entry VM, from itself or from others' membership.
 
     Parameters
     ----------
     name
-        Its id; its address where nobody has told its id.
+        Its id; its address if the id is unknown.
     address
-        Admin address; None where it is not known.
+        Admin address; None if unknown.
     status
-        Its own answer at `/status`; None where it gave none.
+        Its own response at `/status`; None if it gave none.
     gossip
-        What another entry VM's membership says of it; None for nothing.
+        Record of it in another entry VM's membership; None if there is none.
     failure
-        Why there is no answer of its own; empty where there is one.
+        Why it gave no response; empty if it gave one.
     """
 
     name: str
@@ -44,32 +45,32 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force, by its own word or else by gossip."""
+        """Revision in force, from its own status or else from gossip."""
         known = self.status or self.gossip or {}
         return int(known.get("revision", 0))
 
     @property
     def state(self) -> str:
-        """State in the membership, as others see it."""
+        """Membership state recorded by other entry VMs."""
         if self.gossip is not None:
             return str(self.gossip.get("state", ""))
         return _ALIVE if self.status is not None else "unreachable"
 
     @property
     def is_alive(self) -> bool:
-        """Whether it serves, as far as anyone knows."""
+        """Whether it responded, or the membership has it as alive."""
         return self.status is not None or self.state == _ALIVE
 
 
 class EntryVms:
-    """Asks entry VMs, and learns of the others from their membership.
+    """Queries entry VMs, and discovers the others from their membership.
 
     Parameters
     ----------
     addresses
-        Admin addresses to begin with.
+        Known admin addresses.
     client
-        Makes the requests.
+        Client that sends the requests.
     """
 
     def __init__(
@@ -82,104 +83,106 @@
         self._client = client
 
     async def statuses(
-        self, *, most_asked: int | None = None
+        self, *, max_queried: int | None = None
     ) -> list[EntryVmStatus]:
-        """Return one entry for each entry VM that is known, by name.
+        """Return the status of each known entry VM, ordered by name.
 
         Parameters
         ----------
-        most_asked
-            Where more are learnt of, none of those is asked and gossip
-            speaks for them; None to ask any number.
+        max_queried
+            If more entry VMs are discovered, none of those is queried and
+            their status is taken from gossip; None for no maximum.
 
         Raises
         ------
         errors.CommandError
-            If none of them answers.
+            If none of them responds.
         """
-        first = await self._ask_all(self._addresses, _STATUS_PATH)
+        first = await self._query_all(self._addresses, _STATUS_PATH)
         gossip_by_name = _merge_gossip(first)
-        answered = _names_of(first)
-        learnt = {
+        responded = _names_of(first)
+        discovered = {
             name: address
             for name, member in gossip_by_name.items()
-            if name not in answered
+            if name not in responded
             and (address := _admin_address(member)) is not None
             and address not in self._addresses
         }
-        if most_asked is not None and len(learnt) > most_asked:
-            learnt = {}
-        second = await self._ask_all(tuple(learnt.values()), _OWN_STATUS_PATH)
+        if max_queried is not None and len(discovered) > max_queried:
+            discovered = {}
+        second = await self._query_all(
+            tuple(discovered.values()), _OWN_STATUS_PATH
+        )
         found = _collect(first | second, gossip_by_name)
         if not any(one.status for one in found):
-            raise _none_answers(first)
+            raise _no_response_error(first)
         return found
 
-    async def ask_each(
+    async def query_each(
         self, path: str
-    ) -> dict[str, admin_client.AdminAnswer | admin_client.AdminFailure]:
-        """Return the answer of each entry VM to `path`, by its name.
+    ) -> dict[str, admin_client.AdminResponse | admin_client.AdminFailure]:
+        """Return the response of each entry VM to `path`, by its name.
 
-        Those that gossip knows as dead are not asked.
+        Entry VMs that are dead according to gossip are not queried.
         """
-        found = await self.statuses(most_asked=0)
+        found = await self.statuses(max_queried=0)
         known = [one for one in found if one.address and one.state != _DEAD]
-        answers = await self._ask_all(
+        responses = await self._query_all(
             tuple(one.address for one in known if one.address), path
         )
         return {
-            one.name: answers[one.address]
+            one.name: responses[one.address]
             for one in known
             if one.address is not None
         }
 
-    async def _ask_all(
+    async def _query_all(
         self, addresses: Sequence[settings.Address], path: str
     ) -> dict[
-        settings.Address, admin_client.AdminAnswer | admin_client.AdminFailure
+        settings.Address, admin_client.AdminResponse | admin_client.AdminFailure
     ]:
-        room = asyncio.Semaphore(MOST_ASKED)
+        slots = asyncio.Semaphore(MAX_QUERIED)
 
-        async def ask(
+        async def query(
             address: settings.Address,
-        ) -> admin_client.AdminAnswer | admin_client.AdminFailure:
-            async with room:
+        ) -> admin_client.AdminResponse | admin_client.AdminFailure:
+            async with slots:
                 return await self._client.get(address, path)
 
-        answers = await asyncio.gather(*map(ask, addresses))
-        return dict(zip(addresses, answers, strict=True))
+        responses = await asyncio.gather(*map(query, addresses))
+        return dict(zip(addresses, responses, strict=True))
 
 
-_Answers = dict[
-    settings.Address, admin_client.AdminAnswer | admin_client.AdminFailure
+_Responses = dict[
+    settings.Address, admin_client.AdminResponse | admin_client.AdminFailure
 ]
 
 
 def _is_status(
-    answer: admin_client.AdminAnswer | admin_client.AdminFailure,
+    response: admin_client.AdminResponse | admin_client.AdminFailure,
 ) -> bool:
     return (
-        isinstance(answer, admin_client.AdminAnswer)
-        and answer.status == 200
-        and isinstance(answer.value, dict)
+        isinstance(response, admin_client.AdminResponse)
+        and response.status == 200
+        and isinstance(response.value, dict)
     )
 
 
-def _names_of(answers: _Answers) -> set[str]:
+def _names_of(responses: _Responses) -> set[str]:
     return {
-        str(answer.value["entry_vm"])
-        for answer in answers.values()
-        if _is_status(answer)
+        str(response.value["entry_vm"])
+        for response in responses.values()
+        if _is_status(response)
     }
 
 
-def _merge_gossip(answers: _Answers) -> dict[str, dict[str, Any]]:
-    """Return the newest record of each member, by the highest incarnation."""
+def _merge_gossip(responses: _Responses) -> dict[str, dict[str, Any]]:
+    """Return the newest record of each member, by its incarnation."""
     merged: dict[str, dict[str, Any]] = {}
-    for answer in answers.values():
-        if not _is_status(answer):
+    for response in responses.values():
+        if not _is_status(response):
             continue
-        for member in answer.value.get("members", ()):
+        for member in response.value.get("members", ()):
             known = merged.get(member["entry_vm"])
             if known is None or _age_key(member) > _age_key(known):
                 merged[member["entry_vm"]] = member
@@ -191,7 +194,7 @@
 
 
 def _admin_address(member: dict[str, Any]) -> settings.Address | None:
-    # A process that lets the system choose its admin port cannot tell it.
+    # A process whose admin port is chosen by the system does not publish it.
     if not member.get("admin_port"):
         return None
     return settings.Address(
@@ -200,21 +203,21 @@
 
 
 def _collect(
-    answers: _Answers, gossip_by_name: dict[str, dict[str, Any]]
+    responses: _Responses, gossip_by_name: dict[str, dict[str, Any]]
 ) -> list[EntryVmStatus]:
     found: dict[str, EntryVmStatus] = {}
     failure_by_address: dict[settings.Address, str] = {}
-    for address, answer in answers.items():
-        if _is_status(answer):
-            name = str(answer.value["entry_vm"])
+    for address, response in responses.items():
+        if _is_status(response):
+            name = str(response.value["entry_vm"])
             found[name] = EntryVmStatus(
                 name=name,
                 address=address,
-                status=answer.value,
+                status=response.value,
                 gossip=gossip_by_name.get(name),
             )
         else:
-            failure_by_address[address] = _failure(answer)
+            failure_by_address[address] = _failure(response)
     for name, member in gossip_by_name.items():
         if name in found:
             continue
@@ -235,21 +238,22 @@
 
 
 def _failure(
-    answer: admin_client.AdminAnswer | admin_client.AdminFailure,
+    response: admin_client.AdminResponse | admin_client.AdminFailure,
 ) -> str:
-    if isinstance(answer, admin_client.AdminFailure):
-        return f"{answer.step.value}: {answer.detail}"
-    return f"status {answer.status}"
+    if isinstance(response, admin_client.AdminFailure):
+        return f"{response.step.value}: {response.detail}"
+    return f"status {response.status}"
 
 
-def _none_answers(answers: _Answers) -> errors.CommandError:
-    if not answers:
+def _no_response_error(responses: _Responses) -> errors.CommandError:
+    if not responses:
         return errors.usage_error(
             "no entry VM is known; valid: --entry_vms=IP:PORT of an admin "
             "address, or entry_vms = ['IP:PORT'] in the settings file"
         )
     details = "; ".join(
-        f"{address}: {_failure(answer)}" for address, answer in answers.items()
+        f"{address}: {_failure(response)}"
+        for address, response in responses.items()
     )
     return errors.CommandError(
         code=exit_codes.ExitCode.UNAVAILABLE,
--- a/packages/cli/src/lagoonrun_cli/errors.py
+++ b/packages/cli/src/lagoonrun_cli/errors.py
@@ -5,7 +5,7 @@
 
 
 class CommandError(errors.LagoonrunError):
-    """A command cannot go on.
+    """A command failed.
 
     Parameters
     ----------
@@ -14,7 +14,7 @@
     step, peer, detail
         See `LagoonrunError`.
     next_command
-        What to run next; empty where nothing helps.
+        Suggested next command; empty for none.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
 
 
 def usage_error(detail: str, *, next_command: str = "") -> CommandError:
-    """Return the error of a wrong command line or settings file."""
+    """Return the error of an invalid command line or settings file."""
     return CommandError(
         code=exit_codes.ExitCode.USAGE,
         step=errors.Step.SETTINGS,
--- a/packages/cli/src/lagoonrun_cli/exit_codes.py
+++ b/packages/cli/src/lagoonrun_cli/exit_codes.py
@@ -1,10 +1,10 @@
-"""Exit codes of `lagoonrun`, one per outcome that a script tells apart."""
+"""Exit codes of `lagoonrun`, one for each outcome that scripts distinguish."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """What a command ended with; `describe` says it in words."""
+    """Outcome of a command; `describe` returns its description."""
 
     DONE = 0
     FAILED = 1
@@ -47,5 +47,5 @@
 
 
 def describe(code: ExitCode) -> str:
-    """Return what `code` means, for help and documentation."""
+    """Return the description of `code` for help and documentation."""
     return _DESCRIPTION_BY_CODE[code]
--- a/packages/cli/src/lagoonrun_cli/explain_command.py
+++ b/packages/cli/src/lagoonrun_cli/explain_command.py
@@ -1,4 +1,4 @@
-"""`explain`: why a request was routed, delayed, refused, retried or cut."""
+"""`explain`: why a request was routed, delayed, rejected, retried or cut."""
 
 import dataclasses
 import json
@@ -22,15 +22,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Checked:
+class DecisionCheck:
     """Whether a recorded decision follows from its recorded inputs.
 
     Parameters
     ----------
     entry_vm
-        Who recorded it.
+        Entry VM that recorded it.
     index
-        Its place among the decisions of that entry VM.
+        Its position among the decisions of that entry VM.
     """
 
     entry_vm: str
@@ -45,41 +45,44 @@
     (request_id,) = invocation.arguments
     path = f"/explain/{urllib.parse.quote(request_id, safe='')}"
     context.console.progress(f"asking each entry VM for {request_id}")
-    answers = await in_force.open_entry_vms(context).ask_each(path)
+    responses = await in_force.open_entry_vms(context).query_each(path)
     found = {
-        name: answer.value
-        for name, answer in answers.items()
-        if isinstance(answer, admin_client.AdminAnswer) and answer.status == 200
+        name: response.value
+        for name, response in responses.items()
+        if isinstance(response, admin_client.AdminResponse)
+        and response.status == 200
     }
     silent = {
-        name: _failure(answer)
-        for name, answer in answers.items()
-        if name not in found and not _is_not_found(answer)
+        name: _failure(response)
+        for name, response in responses.items()
+        if name not in found and not _is_not_found(response)
     }
     if not found:
-        return _report_not_found(request_id, asked=len(answers), silent=silent)
+        return _report_not_found(
+            request_id, queried_count=len(responses), silent=silent
+        )
     checks = _check_all(found) if invocation.flag("check") else ()
     return _report(request_id, found=found, silent=silent, checks=checks)
 
 
 def _is_not_found(
-    answer: admin_client.AdminAnswer | admin_client.AdminFailure,
+    response: admin_client.AdminResponse | admin_client.AdminFailure,
 ) -> bool:
     return (
-        isinstance(answer, admin_client.AdminAnswer)
-        and answer.status == _NOT_FOUND_STATUS
+        isinstance(response, admin_client.AdminResponse)
+        and response.status == _NOT_FOUND_STATUS
     )
 
 
 def _failure(
-    answer: admin_client.AdminAnswer | admin_client.AdminFailure,
+    response: admin_client.AdminResponse | admin_client.AdminFailure,
 ) -> str:
-    if isinstance(answer, admin_client.AdminFailure):
-        return str(answer)
-    return f"status {answer.status}"
+    if isinstance(response, admin_client.AdminFailure):
+        return str(response)
+    return f"status {response.status}"
 
 
-def _check_all(found: dict[str, Any]) -> tuple[Checked, ...]:
+def _check_all(found: dict[str, Any]) -> tuple[DecisionCheck, ...]:
     return tuple(
         _check(name, index, record)
         for name, explanation in sorted(found.items())
@@ -87,20 +90,20 @@
     )
 
 
-def _check(entry_vm: str, index: int, record: dict[str, Any]) -> Checked:
-    """Feed the recorded inputs to the pure decision again."""
+def _check(entry_vm: str, index: int, record: dict[str, Any]) -> DecisionCheck:
+    """Recompute the decision from the recorded inputs."""
     try:
         agreement = decision.check(
             decision.record_from_json(json.dumps(record))
         )
     except ValueError as error:
-        return Checked(
+        return DecisionCheck(
             entry_vm=entry_vm,
             index=index,
             agrees=False,
             differences=(str(error),),
         )
-    return Checked(
+    return DecisionCheck(
         entry_vm=entry_vm,
         index=index,
         agrees=agreement.agrees,
@@ -109,9 +112,9 @@
 
 
 def _report_not_found(
-    request_id: str, *, asked: int, silent: dict[str, str]
+    request_id: str, *, queried_count: int, silent: dict[str, str]
 ) -> reports.Report:
-    text = f"none of {asked} entry VMs knows of request {request_id!r}"
+    text = f"none of {queried_count} entry VMs knows of request {request_id!r}"
     if silent:
         text += f"; no answer from {', '.join(sorted(silent))}"
     return reports.Report(
@@ -127,14 +130,14 @@
     *,
     found: dict[str, Any],
     silent: dict[str, str],
-    checks: tuple[Checked, ...],
+    checks: tuple[DecisionCheck, ...],
 ) -> reports.Report:
     disagree = any(not one.agrees for one in checks)
     code = (
         exit_codes.ExitCode.DIFFERENT if disagree else exit_codes.ExitCode.DONE
     )
     sections = list(explain_sections.sections(request_id, found))
-    sections += [reports.Text(text=_said(one)) for one in checks]
+    sections += [reports.Text(text=_check_text(one)) for one in checks]
     sections += [
         reports.Text(text=f"no answer from {name}: {failure}")
         for name, failure in sorted(silent.items())
@@ -151,14 +154,16 @@
     )
 
 
-def _said(checked: Checked) -> str:
-    which = f"decision {checked.index + 1} of {checked.entry_vm}"
-    if checked.agrees:
+def _check_text(decision_check: DecisionCheck) -> str:
+    which = f"decision {decision_check.index + 1} of {decision_check.entry_vm}"
+    if decision_check.agrees:
         return f"check: {which} follows from its recorded inputs"
-    return "\n".join((f"check: {which} DOES NOT FOLLOW", *checked.differences))
+    return "\n".join(
+        (f"check: {which} DOES NOT FOLLOW", *decision_check.differences)
+    )
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_bool(
         "check",
         False,
@@ -184,7 +189,7 @@
     run=_explain,
     minimum_arguments=1,
     maximum_arguments=1,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(
         exit_codes.ExitCode.NOT_FOUND,
         exit_codes.ExitCode.UNAVAILABLE,
--- a/packages/cli/src/lagoonrun_cli/explain_sections.py
+++ b/packages/cli/src/lagoonrun_cli/explain_sections.py
@@ -1,4 +1,4 @@
-"""An explanation for people: the course of a request and its decisions."""
+"""Printed explanation of a request: its events and its decisions."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -11,7 +11,7 @@
 def sections(
     request_id: str, found: dict[str, Any]
 ) -> Iterator[reports.Section]:
-    """Yield what the entry VMs in `found` know of a request."""
+    """Yield the records that the entry VMs in `found` have of a request."""
     yield reports.Text(text=_summary(request_id, found))
     happenings = tuple(_happening_rows(found))
     if happenings:
@@ -39,16 +39,16 @@
     if not endings:
         return f"request {request_id} of {organisation}: no end is known yet"
     ending = endings[0]
-    said = f"request {request_id} of {organisation}: {ending['outcome']}"
+    summary = f"request {request_id} of {organisation}: {ending['outcome']}"
     if ending["reason"] != _NONE:
-        said += f", {ending['reason']}"
+        summary += f", {ending['reason']}"
     if ending["upstream"]:
-        said += f", by {ending['upstream']}"
+        summary += f", by {ending['upstream']}"
     if ending["retry_after_seconds"] > 0:
-        said += f", come back in {ending['retry_after_seconds']:.2f} s"
+        summary += f", come back in {ending['retry_after_seconds']:.2f} s"
     if ending["detail"]:
-        said += f" ({ending['detail']})"
-    return said
+        summary += f" ({ending['detail']})"
+    return summary
 
 
 def _happening_rows(
@@ -91,7 +91,7 @@
 
 
 def _service(record: dict[str, Any]) -> str:
-    """Return the expected service time; few samples give none."""
+    """Format the expected service time; too few samples give none."""
     seconds = record["expected_service_seconds"]
     samples = record["expected_samples"]
     if seconds == 0:
--- a/packages/cli/src/lagoonrun_cli/in_force.py
+++ b/packages/cli/src/lagoonrun_cli/in_force.py
@@ -15,15 +15,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Spread:
+class RolloutState:
     """Which entry VM has which revision in force.
 
     Parameters
     ----------
     statuses
-        Of all entry VMs that are not known to be dead.
+        Status of all entry VMs that are not known to be dead.
     failure
-        Why it is not known; empty where it is.
+        Why the statuses are unknown; empty if they are known.
     """
 
     revision: types.Revision
@@ -43,48 +43,50 @@
     revision: types.Revision,
     *,
     timeout_seconds: float,
-) -> Spread:
-    """Return how far `revision` has come when all have it or time is up."""
+) -> RolloutState:
+    """Wait until all entry VMs have `revision`, or for the timeout."""
     ends_at = context.clock.monotonic() + timeout_seconds
     while True:
-        spread = await look(context, revision)
-        if spread.everywhere or context.clock.monotonic() >= ends_at:
-            return spread
-        reached = sum(one.revision >= revision for one in spread.statuses)
+        rollout = await check_rollout(context, revision)
+        if rollout.everywhere or context.clock.monotonic() >= ends_at:
+            return rollout
+        reached = sum(one.revision >= revision for one in rollout.statuses)
         context.console.progress(
             f"revision {revision} in force on {reached} of "
-            f"{len(spread.statuses)} entry VMs"
+            f"{len(rollout.statuses)} entry VMs"
         )
         await context.sleep(_POLL_SECONDS)
 
 
-async def look(context: contexts.Context, revision: types.Revision) -> Spread:
-    """Return how far `revision` has come by now."""
+async def check_rollout(
+    context: contexts.Context, revision: types.Revision
+) -> RolloutState:
+    """Return which entry VMs have `revision` in force now."""
     try:
-        # Gossip carries each entry VM's revision. In a large fleet it is
-        # later by a heartbeat, which is cheaper than asking all in turn.
+        # Gossip carries each entry VM's revision. In a large fleet it is used
+        # instead of queries: it is late by one heartbeat, but costs less.
         statuses = await open_entry_vms(context).statuses(
-            most_asked=entry_vms.MOST_ASKED
+            max_queried=entry_vms.MAX_QUERIED
         )
     except errors.CommandError as error:
-        return Spread(revision=revision, failure=error.detail)
+        return RolloutState(revision=revision, failure=error.detail)
     live = tuple(one for one in statuses if one.is_alive)
-    return Spread(revision=revision, statuses=live)
+    return RolloutState(revision=revision, statuses=live)
 
 
 def open_entry_vms(context: contexts.Context) -> entry_vms.EntryVms:
-    """Return the entry VMs that the settings name."""
+    """Return a client of the entry VMs in the settings."""
     return entry_vms.EntryVms(
         addresses=context.settings.entry_vms,
         client=admin_client.AdminClient(token=context.settings.admin_token),
     )
 
 
-def sections(spread: Spread) -> tuple[reports.Section, ...]:
-    """Return the spread for people."""
-    if spread.failure:
+def sections(rollout: RolloutState) -> tuple[reports.Section, ...]:
+    """Return the printed form of the rollout state."""
+    if rollout.failure:
         return (
-            reports.Text(text=f"in force where: not known ({spread.failure})"),
+            reports.Text(text=f"in force where: not known ({rollout.failure})"),
         )
     return (
         reports.Table(
@@ -95,18 +97,18 @@
                     str(one.revision),
                     "itself" if one.status else "gossip",
                 )
-                for one in spread.statuses
+                for one in rollout.statuses
             ),
         ),
     )
 
 
-def fields(spread: Spread) -> reports.JsonObject:
-    """Return the spread as JSON values."""
+def fields(rollout: RolloutState) -> reports.JsonObject:
+    """Return the rollout state as JSON values."""
     return {
-        "everywhere": spread.everywhere,
+        "everywhere": rollout.everywhere,
         "revision_by_entry_vm": {
-            one.name: one.revision for one in spread.statuses
+            one.name: one.revision for one in rollout.statuses
         },
-        "failure": spread.failure,
+        "failure": rollout.failure,
     }
--- a/packages/cli/src/lagoonrun_cli/key_command.py
+++ b/packages/cli/src/lagoonrun_cli/key_command.py
@@ -1,4 +1,4 @@
-"""`keys`: makes bearer keys for organisations, and admin tokens."""
+"""`keys`: generates bearer keys for organisations, and admin tokens."""
 
 import hashlib
 import secrets
--- a/packages/cli/src/lagoonrun_cli/main.py
+++ b/packages/cli/src/lagoonrun_cli/main.py
@@ -37,7 +37,7 @@
 ) -> exit_codes.ExitCode:
     """Run one command line and return its exit code.
 
-    Errors are told on `err` in one line each, never as a traceback.
+    Each error is written to `err` as one line, never as a traceback.
     """
     try:
         parsed = command_line.parse(arguments, registry.COMMANDS_BY_NAME)
@@ -46,10 +46,10 @@
             return exit_codes.ExitCode.DONE
         return await _run(parsed, out, err, make_context)
     except errors.CommandError as error:
-        _tell(err, error.detail, error.next_command)
+        _print_error(err, error.detail, error.next_command)
         return error.code
     except core_errors.LagoonrunError as error:
-        _tell(err, str(error), "")
+        _print_error(err, str(error), "")
         return exit_codes.ExitCode.FAILED
     except BrokenPipeError:
         return exit_codes.ExitCode.FAILED
@@ -74,7 +74,7 @@
     return report.code
 
 
-def _tell(err: TextIO, detail: str, next_command: str) -> None:
+def _print_error(err: TextIO, detail: str, next_command: str) -> None:
     err.write(f"lagoonrun: {detail}\n")
     if next_command:
         err.write(f"next: {next_command}\n")
@@ -91,8 +91,8 @@
         sys.stderr.write("\nlagoonrun: interrupted\n")
         return exit_codes.ExitCode.INTERRUPTED
     except Exception as error:
-        # A fault of this program: operators are told where to look, and a
-        # traceback in their terminal would say less.
+        # A fault of this program: one line instead of a traceback, which would
+        # tell operators less.
         sys.stderr.write(f"lagoonrun: internal error: {error!r}\n")
         return exit_codes.ExitCode.FAILED
 
--- a/packages/cli/src/lagoonrun_cli/operator_settings.py
+++ b/packages/cli/src/lagoonrun_cli/operator_settings.py
@@ -1,4 +1,4 @@
-"""Where an operator's commands find the system: flags and a TOML file."""
+"""Settings of the command line, from flags and a TOML file."""
 
 import dataclasses
 import getpass
@@ -18,18 +18,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OperatorSettings:
-    """What the command line needs to know of the system.
+    """Settings of the command line.
 
     Parameters
     ----------
     platform
         Addresses of the platform's gateway, tried in order.
     entry_vms
-        Admin addresses of some entry VMs; the others are learnt from them.
+        Admin addresses of some entry VMs; these return the others.
     admin_token
         Bearer token of the admin addresses; empty for none. Never printed.
     operator
-        Name under which changes stand in the history.
+        Name that the history records with each change.
     """
 
     platform: tuple[settings.Address, ...] = ()
@@ -39,7 +39,7 @@
 
 
 def define_flags(values: flags.FlagValues) -> None:
-    """Add the flags that override the file."""
+    """Add the flags that override the settings file."""
     flags.DEFINE_string(
         "settings",
         None,
--- a/packages/cli/src/lagoonrun_cli/outcome_reports.py
+++ b/packages/cli/src/lagoonrun_cli/outcome_reports.py
@@ -1,4 +1,4 @@
-"""Turns outcomes of changes into reports with their exit codes."""
+"""Reports, with their exit codes, of the outcomes of changes."""
 
 from lagoonrun_cli import exit_codes, reports
 from lagoonrun_config import change_outcomes, faults
@@ -10,7 +10,7 @@
 
 
 def report_faults(found: tuple[faults.Fault, ...]) -> reports.Report:
-    """Return the report of declarations that are not valid."""
+    """Return the report of invalid declarations."""
     return reports.Report(
         code=exit_codes.ExitCode.REFUSED,
         fields={
@@ -37,8 +37,8 @@
     )
 
 
-def report_clash(outcome: change_outcomes.ChangeConflict) -> reports.Report:
-    """Return the report of a change that met another operator's."""
+def report_conflict(outcome: change_outcomes.ChangeConflict) -> reports.Report:
+    """Return the report of a conflict with another operator's change."""
     names = [str(name) for name in outcome.names]
     text = reports.Text(
         text=f"clash: {', '.join(names)} changed since the base; "
@@ -62,7 +62,7 @@
 
 
 def report_unknown(outcome: change_outcomes.Unknown) -> reports.Report:
-    """Return the report of a change whose outcome nobody could read."""
+    """Return the report of a change whose outcome could not be read."""
     return reports.Report(
         code=exit_codes.ExitCode.UNKNOWN,
         fields={
@@ -84,7 +84,7 @@
 def report_unavailable(
     outcome: change_outcomes.Unavailable,
 ) -> reports.Report:
-    """Return the report of a platform that was not reached."""
+    """Return the report of an unreachable platform."""
     return reports.Report(
         code=exit_codes.ExitCode.UNAVAILABLE,
         fields={"detail": outcome.detail},
@@ -117,7 +117,7 @@
 
 
 def report_cancelled(outcome: change_outcomes.Cancelled) -> reports.Report:
-    """Return the report of a change that was settled as not applied."""
+    """Return the report of a change that was cancelled by `settle`."""
     return reports.Report(
         code=exit_codes.ExitCode.CANCELLED,
         fields={
@@ -145,7 +145,7 @@
     """Return the report of any outcome but an accepted one."""
     match outcome:
         case change_outcomes.ChangeConflict():
-            return report_clash(outcome)
+            return report_conflict(outcome)
         case change_outcomes.Refused():
             return report_faults(outcome.faults)
         case change_outcomes.Unknown():
--- a/packages/cli/src/lagoonrun_cli/profile_command.py
+++ b/packages/cli/src/lagoonrun_cli/profile_command.py
@@ -1,4 +1,4 @@
-"""`profile set`: changes single values of a profile that is in force."""
+"""`profile set`: changes single values of a profile in force."""
 
 import tomllib
 from typing import Any
@@ -23,7 +23,7 @@
 _SOURCE = "command line"
 
 
-class _EditedFaultyError(Exception):
+class _InvalidEditError(Exception):
     """The edited declarations are not valid."""
 
     def __init__(self, found: tuple[faults.Fault, ...]) -> None:
@@ -46,30 +46,30 @@
         return await changes.edit_in_force(
             context, edit, wait_seconds=float(invocation.flag("wait_seconds"))
         )
-    except _EditedFaultyError as error:
+    except _InvalidEditError as error:
         return outcome_reports.report_faults(error.faults)
 
 
-def _parse_assignment(written: str) -> tuple[str, Any]:
-    key, equals, value = written.partition("=")
+def _parse_assignment(assignment: str) -> tuple[str, Any]:
+    key, equals, value = assignment.partition("=")
     if not equals or not key.isidentifier():
         raise errors.usage_error(
-            f"{written!r}; valid: KEY=VALUE, like target_seconds=0.5"
+            f"{assignment!r}; valid: KEY=VALUE, like target_seconds=0.5"
         )
     try:
         return key, tomllib.loads(f"value = {value}")["value"]
     except tomllib.TOMLDecodeError:
-        # A bare word, like first-token, is meant as a string.
+        # A bare word, such as first-token, is a string.
         return key, value
 
 
 def _with_values(
     draft: draft_module.Draft, name: str, values: dict[str, Any]
 ) -> draft_module.Draft:
-    """Return the draft with the values written into the profile's table.
+    """Return the draft with the values set in the profile's table.
 
-    It goes through the declarations, so that each value meets the same
-    checks as in a file.
+    The values are parsed as declarations, so that they are checked as in a
+    file.
     """
     document = tomlkit.parse(rendering.render_declarations(draft))
     profiles = document.get("profiles", {})
@@ -87,12 +87,12 @@
     )
     edited = declarations.parse_declarations([file])
     if isinstance(edited, declarations.InvalidDeclarations):
-        raise _EditedFaultyError(edited.faults)
+        raise _InvalidEditError(edited.faults)
     return edited
 
 
-def _define(values: flags.FlagValues) -> None:
-    changes.define_wait(values)
+def _define_flags(values: flags.FlagValues) -> None:
+    changes.define_wait_flag(values)
 
 
 PROFILE = command.Command(
@@ -105,7 +105,7 @@
     run=_profile,
     minimum_arguments=3,
     maximum_arguments=None,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(
         exit_codes.ExitCode.REFUSED,
         exit_codes.ExitCode.CLASH,
--- a/packages/cli/src/lagoonrun_cli/registry.py
+++ b/packages/cli/src/lagoonrun_cli/registry.py
@@ -1,4 +1,4 @@
-"""All subcommands, in the order in which the help lists them."""
+"""All subcommands, in the order of the help text."""
 
 from lagoonrun_cli import (
     blocked_requests_command,
--- a/packages/cli/src/lagoonrun_cli/reports.py
+++ b/packages/cli/src/lagoonrun_cli/reports.py
@@ -1,4 +1,4 @@
-"""What a command has to say, before it is written as text or JSON."""
+"""Result of a command, before it is written as text or JSON."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Table:
-    """Rows under column heads.
+    """Rows with column headings.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Text:
-    """Lines that are written as they stand."""
+    """Lines that are written unchanged."""
 
     text: str
 
@@ -45,9 +45,9 @@
     fields
         The result as JSON values, for `--json`.
     sections
-        The same for people.
+        The result as text.
     next_command
-        What to run next; empty for nothing.
+        Suggested next command; empty for none.
     """
 
     code: exit_codes.ExitCode
--- a/packages/cli/src/lagoonrun_cli/status_command.py
+++ b/packages/cli/src/lagoonrun_cli/status_command.py
@@ -1,4 +1,4 @@
-"""`status`: the state of the whole system, once or again and again."""
+"""`status`: the state of the whole system, once or repeatedly."""
 
 from absl import flags
 
@@ -57,7 +57,7 @@
     )
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_bool(
         "watch", False, "Show it again until interrupted.", flag_values=values
     )
@@ -85,6 +85,6 @@
     "what the others' membership says of it. Queues and rooms are those of "
     "the shard's dispatcher.",
     run=_status,
-    define_flags=_define,
+    define_flags=_define_flags,
     codes=(exit_codes.ExitCode.UNAVAILABLE,),
 )
--- a/packages/cli/src/lagoonrun_cli/status_tables.py
+++ b/packages/cli/src/lagoonrun_cli/status_tables.py
@@ -1,4 +1,4 @@
-"""The tables of `status`, from what the entry VMs said."""
+"""The tables of `status`, from the responses of the entry VMs."""
 
 import collections
 from collections.abc import Iterator, Sequence
@@ -31,7 +31,7 @@
 
 
 def shard_table(found: Sequence[entry_vms.EntryVmStatus]) -> reports.Table:
-    """Return each shard with its dispatcher, as its dispatcher says it."""
+    """Return each shard with its dispatcher, as reported by the dispatcher."""
     rows = []
     for shard in _shards(found):
         runners = shard.get("runners", ())
@@ -53,7 +53,7 @@
 
 
 def class_table(found: Sequence[entry_vms.EntryVmStatus]) -> reports.Table:
-    """Return queue and running work of each class in each shard."""
+    """Return waiting and running requests of each class in each shard."""
     return reports.Table(
         title="classes",
         columns=(
@@ -84,7 +84,7 @@
 def upstream_table(
     found: Sequence[entry_vms.EntryVmStatus],
 ) -> reports.Table:
-    """Return each declared upstream with its state and room."""
+    """Return each declared upstream with its state and concurrency limit."""
     runner_by_id = {
         runner["upstream"]: runner
         for shard in _shards(found)
@@ -112,7 +112,7 @@
 
 
 def request_table(found: Sequence[entry_vms.EntryVmStatus]) -> reports.Table:
-    """Return the requests of each class since the processes' start."""
+    """Return the number of requests of each class since the processes' start."""
     sums: dict[str, collections.Counter[str]] = {}
     for one in found:
         for totals in (one.status or {}).get("requests", ()):
@@ -165,7 +165,7 @@
 
 
 def _orders(status: dict[str, Any]) -> str:
-    """Return under which fencing number the entry VM orders its domain."""
+    """Format the fencing number under which the entry VM is the orderer."""
     fencing = status["orderer_fencing"]
     return _NOT_KNOWN if fencing is None else f"fencing {fencing}"
 
@@ -173,7 +173,7 @@
 def _shards(
     found: Sequence[entry_vms.EntryVmStatus],
 ) -> list[dict[str, Any]]:
-    """Return each shard once, by the word of whoever dispatches it."""
+    """Return each shard once, as reported by its dispatcher."""
     by_id: dict[str, dict[str, Any]] = {}
     for shard in _all_shards(found):
         known = by_id.get(shard["shard"])
@@ -191,7 +191,7 @@
 
 
 def _rank(shard: dict[str, Any]) -> tuple[bool, bool]:
-    """Prefer the dispatcher that the ranking names over an older one."""
+    """Rank the dispatcher that the ranking selects above a previous one."""
     here = bool(shard["dispatched_here"])
     return (here and shard["dispatcher"] == shard["told_by"], here)
 
@@ -199,10 +199,10 @@
 def _newest_upstreams(
     found: Sequence[entry_vms.EntryVmStatus],
 ) -> list[dict[str, Any]]:
-    answered = [one for one in found if "upstreams" in (one.status or {})]
-    if not answered:
+    responded = [one for one in found if "upstreams" in (one.status or {})]
+    if not responded:
         return []
-    newest = max(answered, key=lambda one: one.revision)
+    newest = max(responded, key=lambda one: one.revision)
     upstreams = (newest.status or {}).get("upstreams", ())
     return sorted(upstreams, key=lambda one: one["upstream"])
 
--- a/packages/cli/tests/test_blocked_requests.py
+++ b/packages/cli/tests/test_blocked_requests.py
@@ -1,4 +1,4 @@
-"""Operators see the requests that end upstreams, and lift a block."""
+"""Listing requests that crash upstreams, and unblocking them."""
 
 import io
 import json
@@ -24,7 +24,7 @@
         self.lifted = []
 
     def blocks(self):
-        """Return it until it is lifted."""
+        """Return the block until it is lifted."""
         if self.lifted:
             return ()
         crashes = tuple(
@@ -41,7 +41,7 @@
         )
 
     def lift(self, request):
-        """Lift it, once."""
+        """Lift the block; return whether there was one."""
         known = request == DIGEST and not self.lifted
         if known:
             self.lifted.append(request)
@@ -49,12 +49,12 @@
 
 
 class Router:
-    """Gives metrics."""
+    """Router that only has metrics."""
 
     ready = True
 
     def metrics_text(self):
-        """Return one line."""
+        """Return one metric."""
         return b"lagoonrun_ready 1.0\n"
 
 
@@ -112,7 +112,7 @@
     assert DIGEST in err
 
 
-async def test_nobody_to_ask_is_told():
+async def test_missing_address_is_reported():
     code, _, err = await run()
     assert code is exit_codes.ExitCode.UNAVAILABLE
     assert "--entry_vms" in err
