--- a/packages/cli/tests/conftest.py
+++ b/packages/cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: the platform's stand-in, and commands run in process."""
+"""Shared fixtures: the platform's stand-in, and commands run in-process."""
 
 import asyncio
 import dataclasses
@@ -26,7 +26,7 @@
 KEY = "key-of-house"
 KEY_DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
 ADMIN_TOKEN = "token-of-operators"
-_LONGEST_RECORDING_SECONDS = 10.0
+_MAX_RECORDING_SECONDS = 10.0
 INNER_KEY = b"k" * 32
 
 DECLARATIONS = f"""
@@ -66,8 +66,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Ran:
-    """How one command ended and what it wrote."""
+class CommandResult:
+    """Exit code and output of one command."""
 
     code: int
     out: str
@@ -86,7 +86,7 @@
         self.entry_vm_ports: list[int] = []
         self.admin_token = ADMIN_TOKEN
 
-    async def run(self, *arguments: str) -> Ran:
+    async def run(self, *arguments: str) -> CommandResult:
         """Run one command line in this process."""
         out, err = io.StringIO(), io.StringIO()
         addresses = [f"--platform=127.0.0.1:{self.platform_port}"]
@@ -99,7 +99,9 @@
             err=err,
             make_context=self._make_context,
         )
-        return Ran(code=int(code), out=out.getvalue(), err=err.getvalue())
+        return CommandResult(
+            code=int(code), out=out.getvalue(), err=err.getvalue()
+        )
 
     def _make_context(self, loaded, console) -> contexts.Context:
         return contexts.Context(
@@ -126,7 +128,7 @@
 
 @pytest.fixture
 def secrets() -> tuple[str, ...]:
-    """Return what no command and no page may show."""
+    """Return the secrets that no command and no page may print."""
     return (KEY, ADMIN_TOKEN, INNER_KEY.hex())
 
 
@@ -137,11 +139,11 @@
     return path
 
 
-async def _recorded(
+async def _wait_recorded(
     ingress: daemons.Daemon, request_id: types.RequestId
 ) -> None:
-    """Wait until the end is recorded, which a quick caller may outrun."""
-    async with asyncio.timeout(_LONGEST_RECORDING_SECONDS):
+    """Wait until the end is recorded, which may be after the response."""
+    async with asyncio.timeout(_MAX_RECORDING_SECONDS):
         while True:
             found = ingress.explanations.find(request_id)
             if found is not None and found.ending is not None:
@@ -179,18 +181,18 @@
     async def look_up(
         self, *, through: daemons.Daemon | None = None
     ) -> http_client.Answer:
-        """Make one caller's request, by default of the first entry VM."""
+        """Send one caller's request, by default to the first entry VM."""
         ingress = through or self.daemon
-        answer = await http_client.fetch(
+        response = await http_client.fetch(
             "127.0.0.1",
             ingress.caller_server.port,
             "GET",
             "/lookups/page/7",
             headers=[("Authorization", f"Bearer {KEY}")],
         )
-        request_id = answer.head.headers["lagoonrun-request-id"]
-        await _recorded(ingress, types.RequestId(request_id))
-        return answer
+        request_id = response.head.headers["lagoonrun-request-id"]
+        await _wait_recorded(ingress, types.RequestId(request_id))
+        return response
 
 
 @pytest.fixture
--- a/packages/cli/tests/test_console.py
+++ b/packages/cli/tests/test_console.py
@@ -12,7 +12,7 @@
     """Standard output that is a terminal."""
 
     def isatty(self) -> bool:
-        """Return that it is one."""
+        """Return True."""
         return True
 
 
@@ -59,7 +59,7 @@
     assert err == ""
 
 
-def test_progress_is_kept_apart_and_not_repeated():
+def test_progress_goes_to_stderr_and_is_not_repeated():
     out, err = io.StringIO(), io.StringIO()
     shown = console.Console(out=out, err=err)
     for text in ("1 of 2", "1 of 2", "2 of 2"):
--- a/packages/cli/tests/test_reference_pages.py
+++ b/packages/cli/tests/test_reference_pages.py
@@ -1,4 +1,4 @@
-"""The pages of the reference say what the code does."""
+"""The reference pages are generated from the current code."""
 
 import pathlib
 import re
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     "name", ["settings.md", "declarations.md", "command-line.md", "metrics.md"]
 )
-def test_committed_page_is_what_the_code_writes(pages, name):
+def test_committed_page_matches_the_generated_one(pages, name):
     assert read(f"reference/{name}") == pages[name], "run `make docs`"
 
 
@@ -53,7 +53,7 @@
     assert missing == []
 
 
-def test_runbook_reads_metrics_and_events_that_exist():
+def test_runbook_names_existing_metrics_and_events():
     text = read("runbook.md")
     families = {one.name for one in reference_pages.metric_families()}
     suffixed = {
@@ -78,7 +78,7 @@
         for path in (*_DOCS.rglob("*.md"), _ROOT / "README.md")
     ),
 )
-def test_links_between_pages_lead_somewhere(page):
+def test_links_between_pages_resolve(page):
     path = _ROOT / page
     targets = _LINK.findall(path.read_text(encoding="utf-8"))
     broken = [one for one in targets if not (path.parent / one).exists()]
--- a/packages/cli/tests/test_tutorial.py
+++ b/packages/cli/tests/test_tutorial.py
@@ -1,4 +1,4 @@
-"""The files and commands of the tutorial are valid."""
+"""Validity of the files and commands of the tutorial."""
 
 import hashlib
 import pathlib
