--- a/packages/cli/src/lagoonrun_cli/log_explanation.py
+++ b/packages/cli/src/lagoonrun_cli/log_explanation.py
@@ -163,7 +163,7 @@
 
 
 def is_late(ended: log_lines.LogLine) -> bool:
-    """Return whether a complete response missed its target or pause target."""
+    """Return whether a complete response missed one of its latency targets."""
     first, target = ended.get("first_seconds"), ended.get("target_seconds")
     if first is not None and target is not None and first > target:
         return True
--- a/packages/http/src/lagoonrun_http/exchange.py
+++ b/packages/http/src/lagoonrun_http/exchange.py
@@ -19,7 +19,7 @@
         """Write status line and headers, with the framing that h11 chooses."""
 
     def write_whole(self, head: messages.ResponseHead, body: bytes) -> None:
-        """Write a whole response by one write."""
+        """Write a whole response in a single write."""
 
     def write_data(self, data: bytes) -> None:
         """Write a chunk of the body."""
--- a/packages/http/src/lagoonrun_http/rejections.py
+++ b/packages/http/src/lagoonrun_http/rejections.py
@@ -1,4 +1,4 @@
-"""Error responses that the server sends without calling the handler."""
+"""Error responses that the server sends by itself, not its handler."""
 
 import dataclasses
 
--- a/packages/http/src/lagoonrun_http/response_writer.py
+++ b/packages/http/src/lagoonrun_http/response_writer.py
@@ -54,7 +54,7 @@
     def write_whole(
         self, head: messages.ResponseHead, body: bytes, *, closing: bool
     ) -> None:
-        """Write a whole response by one write."""
+        """Write a whole response in a single write."""
         framed = [self._h11.send(_response(head, closing=closing))]
         if body:
             framed.append(self._h11.send(h11.Data(data=body)))
--- a/packages/http/src/lagoonrun_http/server_connection.py
+++ b/packages/http/src/lagoonrun_http/server_connection.py
@@ -169,7 +169,7 @@
         self._writer.write_head(head, closing=self._must_close())
 
     def write_whole(self, head: messages.ResponseHead, body: bytes) -> None:
-        """Write a whole response by one write."""
+        """Write a whole response in a single write."""
         self._writer.write_whole(head, body, closing=self._must_close())
 
     def write_data(self, data: bytes) -> None:
