--- a/packages/daemon/src/lagoonrun_daemon/execution.py
+++ b/packages/daemon/src/lagoonrun_daemon/execution.py
@@ -12,9 +12,9 @@
 from lagoonrun_core import events, logs, outcomes
 from lagoonrun_daemon import (
     answers,
+    at_most_once,
     attempt,
     delivery,
-    once,
     permit_seeking,
     permit_types,
 )
@@ -46,7 +46,7 @@
         self._ran = outcomes.Outcome.NOT_RUN
         self._seeker = permit_seeking.PermitSeeker(call=call, services=services)
         self._delivery = delivery.Delivery(call=call, services=services)
-        self._once = once.OnceGuard(
+        self._once = at_most_once.OnceGuard(
             call=call,
             claims=services.claims,
             tasks=services.settlements,
@@ -169,7 +169,7 @@
         )
 
     async def _record_late(
-        self, still: delivery.StillRunning, guard: once.OnceGuard
+        self, still: delivery.StillRunning, guard: at_most_once.OnceGuard
     ) -> None:
         outcome = outcomes.Outcome.UNKNOWN
         try:
--- a/packages/daemon/src/lagoonrun_daemon/permits.py
+++ b/packages/daemon/src/lagoonrun_daemon/permits.py
@@ -11,10 +11,10 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import events, logs, outcomes, types
 from lagoonrun_daemon import (
-    ask_timers,
     dispatcher_search,
     permit_types,
     reach,
+    reply_timers,
     stalls,
     transport,
     work_digests,
@@ -72,7 +72,7 @@
         self._unanswered = work_digests.UnansweredDigests(
             limit=self._timing.unanswered_digests
         )
-        self._timers = ask_timers.AskTimers(
+        self._timers = reply_timers.AskTimers(
             timing=self._timing,
             clock=clock,
             heard=lambda dispatcher: self._messages_by_vm[dispatcher],
