--- a/packages/daemon/src/lagoonrun_daemon/permit_types.py
+++ b/packages/daemon/src/lagoonrun_daemon/permit_types.py
@@ -1,4 +1,4 @@
-"""What an ingress asks dispatchers for, and what it gets."""
+"""Permit requests of an ingress, the replies to them and permits."""
 
 import asyncio
 import dataclasses
@@ -11,35 +11,35 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitTiming:
-    """Times of the exchange between ingress and dispatcher.
+    """Timeouts and periods of the exchange of an ingress with dispatchers.
 
     Parameters
     ----------
     acknowledge_timeout_seconds
         Silence after which the next-ranked dispatcher is asked.
     own_lateness_seconds
-        Lateness of a timer from which this process itself was too busy to
+        Lateness of a timer above which this process itself was too busy to
         read an acknowledgement.
     digest_period_seconds
-        Time between two digests of running and waiting work.
-    silence_memory_seconds
-        How long a silent dispatcher is passed over by later requests.
+        Period of the digests of running and waiting requests.
+    skip_seconds
+        How long later requests skip a silent dispatcher.
     slow_acknowledgements
-        How often a dispatcher that answers others meanwhile is waited for
-        again.
+        How often the acknowledgement timeout is extended for a dispatcher
+        that replies to other requests meanwhile.
     unanswered_digests
-        Periods without a sign of life after which a dispatcher is silent.
+        Digest periods without a message after which a dispatcher is silent.
     empty_digests
-        Digests without work that follow the last one that named some.
+        Empty digests sent after the last one that listed a request.
     ask_again_seconds
-        Pause between asks of a request that has met many dispatchers.
+        Pause before each further permit request after the first few.
     """
 
     acknowledge_timeout_seconds: float = 0.15
     own_lateness_seconds: float = 0.02
     digest_period_seconds: float = 0.5
     slow_acknowledgements: int = 5
-    silence_memory_seconds: float = 2.0
+    skip_seconds: float = 2.0
     unanswered_digests: int = 3
     empty_digests: int = 20
     ask_again_seconds: float = 0.05
@@ -47,15 +47,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SilenceLimit:
-    """How long another domain's dispatchers may leave an ask unanswered.
+    """How long another domain's dispatchers may leave a request unanswered.
 
     Parameters
     ----------
     distance_seconds
-        Round trip to the domain, which each acknowledgement takes besides.
+        Round-trip time to the domain, by which acknowledgements are delayed.
     at
         Reading of the monotonic clock at which the shard is given up if no
-        dispatcher has acknowledged the ask.
+        dispatcher has acknowledged the permit request.
     """
 
     distance_seconds: float
@@ -64,15 +64,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitWanted:
-    """What an ingress asks a shard for.
+    """Parameters of a permit request to a shard.
 
     Parameters
     ----------
     limit_at, target_at
         Readings of the monotonic clock.
     silence
-        Bound on unanswered asks; None in the own domain, where the request
-        looks for a dispatcher to its limit.
+        Limit on unanswered permit requests; None in the own domain, where
+        the request searches for a dispatcher until its time limit.
     """
 
     request_id: types.RequestId
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptKey:
-    """Names one ask of one request; later asks have higher attempts."""
+    """Identifies one permit request; the attempt number increases."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
@@ -99,16 +99,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Permit:
-    """Leave to send one request to one upstream.
+    """Permission to send one request to one upstream.
 
     Parameters
     ----------
     asked_at, granted_at
         Readings of the monotonic clock; an old permit must not be used.
     on_cut
-        Called when the dispatcher wants the work stopped.
+        Called when the dispatcher cancels the request.
     first_token_seconds, tokens
-        Progress, kept by the ingress while the work runs.
+        Progress, updated by the ingress while the request is running.
     """
 
     key: AttemptKey
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PermitRefusal:
-    """No permit; nothing was sent to any upstream."""
+    """Refusal of a permit; nothing was sent to any upstream."""
 
     reason: outcomes.Reason
     retry_after_seconds: float
@@ -135,10 +135,10 @@
 
 
 class PermitSource(Protocol):
-    """Where an ingress gets permits from, and reports their use to."""
+    """Grants permits to an ingress and receives reports of their use."""
 
     async def obtain(self, wanted: PermitWanted) -> Permit | PermitRefusal:
-        """Return a permit, or why there is none."""
+        """Return a permit, or the reason why there is none."""
 
     def give_back(self, permit: Permit) -> None:
         """Return a permit that was not used."""
@@ -151,100 +151,102 @@
         reason: outcomes.Reason,
         total_seconds: float,
     ) -> None:
-        """Report the end of granted work."""
+        """Report the end of a granted request."""
 
     def forget_request(self, request_id: types.RequestId) -> None:
-        """Drop what is kept of a request that is over."""
+        """Drop the state of a request that has ended."""
 
     def is_fresh(self, permit: Permit, *, maximum_age_seconds: float) -> bool:
-        """Return whether the permit is young enough to be used."""
+        """Return whether the permit is recent enough to be used."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Silent:
-    """The dispatcher did not answer in time, or is dead."""
+class DispatcherSilent:
+    """The dispatcher did not reply in time, or is dead."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GaveUp:
-    """The request cannot wait until the dispatcher counts as silent."""
+class WaitGivenUp:
+    """The request reached its silence limit before the timeout."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Forgotten:
-    """The dispatcher lives but does not know of the request."""
+class RequestUnknown:
+    """The dispatcher is alive but does not know the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CameBack:
-    """A dispatcher ranked before the one that was asked is heard again."""
+class DispatcherReturned:
+    """A preferred dispatcher, skipped until now, replies again."""
 
     dispatcher: types.EntryVmId
 
 
-Answer = (
+Reply = (
     messages.PermitGranted
     | messages.PermitRefused
     | messages.PermitNotMine
-    | Silent
-    | GaveUp
-    | Forgotten
-    | CameBack
+    | DispatcherSilent
+    | WaitGivenUp
+    | RequestUnknown
+    | DispatcherReturned
 )
 
 
 @dataclasses.dataclass(kw_only=True)
-class Ask:
-    """A request that waits for a dispatcher's answer.
+class PendingRequest:
+    """A permit request that waits for a dispatcher's reply.
 
     Parameters
     ----------
     asked_at
         Reading of the monotonic clock.
-    heard_before
-        Messages of the dispatcher that had been heard, at first when this
-        was asked.
-    patience_left
-        How often the acknowledgement may still be waited for again.
+    messages_before
+        Number of messages received from the dispatcher when the request was
+        sent or its acknowledgement timeout last extended.
+    extensions_left
+        How often the acknowledgement timeout may still be extended.
     """
 
     wanted: PermitWanted
     key: AttemptKey
     dispatcher: types.EntryVmId
     asked_at: float
-    answer: asyncio.Future[Answer]
-    heard_before: int = 0
-    patience_left: int = 0
+    reply: asyncio.Future[Reply]
+    messages_before: int = 0
+    extensions_left: int = 0
     timer: asyncio.TimerHandle | None = None
     give_up_timer: asyncio.TimerHandle | None = None
 
-    def waits_again(self, heard: int) -> bool:
+    def extends_wait(self, received: int) -> bool:
         """Return whether the dispatcher is slow rather than silent.
 
+        If so, use up one extension.
+
         Parameters
         ----------
-        heard
-            Messages of the dispatcher that have been heard by now.
+        received
+            Number of messages received from the dispatcher by now.
         """
-        is_heard = heard > self.heard_before and self.patience_left > 0
-        if is_heard:
-            self.heard_before = heard
-            self.patience_left -= 1
-        return is_heard
+        is_slow = received > self.messages_before and self.extensions_left > 0
+        if is_slow:
+            self.messages_before = received
+            self.extensions_left -= 1
+        return is_slow
 
     def acknowledge(self) -> None:
-        """Take in that the dispatcher has the request in its queue."""
+        """Cancel the timers: the dispatcher has queued the request."""
         for timer in (self.timer, self.give_up_timer):
             if timer:
                 timer.cancel()
 
     def give_up(self) -> None:
-        """Go on without an answer; the timer still shows a silence."""
-        if not self.answer.done():
-            self.answer.set_result(GaveUp())
+        """Resolve without a reply; the timer still detects silence."""
+        if not self.reply.done():
+            self.reply.set_result(WaitGivenUp())
 
-    def settle(self, answer: Answer) -> None:
-        """Take in an answer; only the first one counts."""
+    def settle(self, reply: Reply) -> None:
+        """Resolve with a reply; only the first one counts."""
         self.acknowledge()
-        if not self.answer.done():
-            self.answer.set_result(answer)
+        if not self.reply.done():
+            self.reply.set_result(reply)
--- a/packages/daemon/src/lagoonrun_daemon/permits.py
+++ b/packages/daemon/src/lagoonrun_daemon/permits.py
@@ -1,8 +1,8 @@
-"""Obtain permits from dispatchers, and report what became of them.
+"""Obtain permits from dispatchers and report how they were used.
 
-Permit messages are answered by the entry VM ranked first for a shard. One
-that stays silent is passed over for the next-ranked; whatever it grants late
-is given back, because each grant names its request and attempt.
+The entry VM ranked first for a shard replies to permit messages. If it does
+not reply, the next-ranked one is asked. A grant that arrives late is returned,
+which is possible because each grant names its request and attempt.
 """
 
 import asyncio
@@ -22,29 +22,29 @@
 from lagoonrun_membership import shards as membership_shards
 from lagoonrun_protocol import messages
 
-_ASKS_WITHOUT_PAUSE = 4
-_FLAT_RETRY_AFTER_SECONDS = 1.0
+_REQUESTS_WITHOUT_PAUSE = 4
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 class PermitClient:
-    """Ask dispatchers for permits on behalf of one ingress.
+    """Request permits from dispatchers on behalf of one ingress.
 
     Parameters
     ----------
     entry_vm
         This entry VM.
     ranking
-        Who dispatches which shard.
+        Order in which entry VMs dispatch each shard.
     transport
-        Carries messages to dispatchers, this entry VM's own included.
+        Sends messages to dispatchers, including this entry VM's own.
     clock
         Source of time.
     stalls
-        Tells of times in which this process did not run.
+        Detects times in which this process did not run.
     timing
-        Times of the exchange.
+        Timeouts and periods of the exchange with dispatchers.
     domains
-        Takes in which domains answer.
+        Records which domains reply.
     """
 
     def __init__(
@@ -67,21 +67,23 @@
         self._search = dispatcher_search.DispatcherSearch(
             ranking=ranking,
             clock=clock,
-            memory_seconds=self._timing.silence_memory_seconds,
+            skip_seconds=self._timing.skip_seconds,
         )
         self._unanswered = work_digests.UnansweredDigests(
             limit=self._timing.unanswered_digests
         )
-        self._timers = reply_timers.AskTimers(
+        self._timers = reply_timers.ReplyTimers(
             timing=self._timing,
             clock=clock,
-            heard=lambda dispatcher: self._messages_by_vm[dispatcher],
+            received_count=lambda dispatcher: self._messages_by_vm[dispatcher],
             on_unanswered=self._on_unanswered,
         )
-        self._ended_work = work_digests.EndedWork(
+        self._empty_digests = work_digests.EmptyDigests(
             digests=self._timing.empty_digests
         )
-        self._asks_by_key: dict[permit_types.AttemptKey, permit_types.Ask] = {}
+        self._pending_by_key: dict[
+            permit_types.AttemptKey, permit_types.PendingRequest
+        ] = {}
         self._running_by_key: dict[
             permit_types.AttemptKey, permit_types.Permit
         ] = {}
@@ -93,12 +95,12 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a dispatcher's answer."""
-        return len(self._asks_by_key)
+        """Number of requests that wait for a dispatcher's reply."""
+        return len(self._pending_by_key)
 
     @property
     def running(self) -> int:
-        """Permits that are in use."""
+        """Number of permits in use."""
         return len(self._running_by_key)
 
     async def start(self) -> None:
@@ -114,12 +116,12 @@
     async def obtain(
         self, wanted: permit_types.PermitWanted
     ) -> permit_types.Permit | permit_types.PermitRefusal:
-        """Return a permit, or why there is none.
+        """Return a permit, or the reason why there is none.
 
-        A refusal is returned at once when it is known; at the latest when
-        the request's limit has passed.
+        A refusal is returned as soon as it is known, at the latest when the
+        request's time limit has passed.
         """
-        search = dispatcher_search.Search()
+        search = dispatcher_search.SearchState()
         while True:
             result = await self._ask_next(wanted, search)
             if result is not None:
@@ -138,9 +140,10 @@
         reason: outcomes.Reason,
         total_seconds: float,
     ) -> None:
-        """Report the end of granted work to whoever dispatches now.
+        """Report the end of a granted request to the current dispatcher.
 
-        Also to the one that granted it, which may dispatch again later.
+        Also reports it to the dispatcher that granted the permit, which may
+        dispatch the shard again later.
         """
         self._running_by_key.pop(permit.key, None)
         end = messages.PermitEnd(
@@ -160,19 +163,19 @@
             self._transport.send(owner, end)
 
     def forget_request(self, request_id: types.RequestId) -> None:
-        """Drop the attempt counter of a request that is over."""
+        """Drop the attempt counter of a request that has ended."""
         self._attempts_by_request.pop(request_id, None)
 
     def is_fresh(
         self, permit: permit_types.Permit, *, maximum_age_seconds: float
     ) -> bool:
-        """Return whether the permit is young enough to be used.
+        """Return whether the permit is recent enough to be used.
 
-        Guards against a process that was frozen between grant and use, or
-        waited long for a claim: by then the upstream may be leaving. A grant
-        that arrived while the process was frozen looks new when it is read,
-        so that none is used that was asked for before a stall. One that was
-        asked for after it is as good as any other.
+        The upstream may be leaving by the time a process uses its permit if
+        it was frozen after the grant or waited long for a claim. A grant that
+        arrived while the process was frozen looks new when it is read, so no
+        permit is used that was requested before a stall. A permit requested
+        after the stall is valid as usual.
         """
         if self._stalls.stalled_since(permit.asked_at):
             return False
@@ -180,36 +183,36 @@
         return age <= maximum_age_seconds
 
     def on_member_gone(self, entry_vm: types.EntryVmId) -> None:
-        """Ask elsewhere for all that waits at a dead dispatcher."""
-        for ask in list(self._asks_by_key.values()):
-            if ask.dispatcher == entry_vm:
-                ask.settle(permit_types.Silent())
+        """Ask other dispatchers for all requests waiting at a dead one."""
+        for pending in list(self._pending_by_key.values()):
+            if pending.dispatcher == entry_vm:
+                pending.settle(permit_types.DispatcherSilent())
 
     def on_ranking_changed(self) -> None:
-        """Register running work with new dispatchers at once."""
+        """Register running requests with new dispatchers immediately."""
         for addressed in self._due_digests():
             self._transport.send(addressed.dispatcher, addressed.digest)
 
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take in one answer of a dispatcher."""
+        """Process one message of a dispatcher."""
         self._messages_by_vm[sender] += 1
-        self._unanswered.note_sign_of_life(sender)
-        if self._search.note_sign_of_life(sender):
-            self._return_to(sender)
+        self._unanswered.record_message(sender)
+        if self._search.record_message(sender):
+            self._move_back_to(sender)
         match message:
             case messages.PermitAcknowledged():
-                ask = self._asks_by_key.get(_key_of(message))
-                if ask:
-                    ask.acknowledge()
-                    self._domains.note_answer(_domain_of(ask))
+                pending = self._pending_by_key.get(_key_of(message))
+                if pending:
+                    pending.acknowledge()
+                    self._domains.record_reply(_domain_of(pending))
             case messages.PermitGranted():
                 self._on_granted(sender, message)
             case messages.PermitRefused() | messages.PermitNotMine():
-                ask = self._asks_by_key.get(_key_of(message))
-                if ask:
-                    ask.settle(message)
+                pending = self._pending_by_key.get(_key_of(message))
+                if pending:
+                    pending.settle(message)
             case messages.CutWork():
                 self._on_cut(message)
             case messages.DigestAcknowledged():
@@ -217,32 +220,37 @@
             case _:
                 pass
 
-    def _return_to(self, dispatcher: types.EntryVmId) -> None:
-        """Go back to a dispatcher that was silent and is heard again.
+    def _move_back_to(self, dispatcher: types.EntryVmId) -> None:
+        """Return to a dispatcher that was unresponsive and replies again.
 
-        Two that dispatch one shard each grant all of its slots, and the
-        runners are overfilled for as long. So it learns at once of what
-        others have granted meanwhile, and gets what waits there.
+        While two entry VMs dispatch one shard, each grants all of its slots
+        and the runners are oversubscribed. Therefore the dispatcher
+        immediately gets the requests that others have granted meanwhile and
+        the requests that wait at them.
         """
         self.on_ranking_changed()
-        for ask in list(self._asks_by_key.values()):
-            owner = self._search.owner_of(ask.wanted.shard)
-            if owner == dispatcher != ask.dispatcher:
-                self._send_return(ask.dispatcher, ask.key, ask.wanted.shard)
-                ask.settle(permit_types.CameBack(dispatcher=dispatcher))
+        for pending in list(self._pending_by_key.values()):
+            owner = self._search.owner_of(pending.wanted.shard)
+            if owner == dispatcher != pending.dispatcher:
+                self._send_return(
+                    pending.dispatcher, pending.key, pending.wanted.shard
+                )
+                pending.settle(
+                    permit_types.DispatcherReturned(dispatcher=dispatcher)
+                )
 
     def _on_granted(
         self, sender: types.EntryVmId, message: messages.PermitGranted
     ) -> None:
         key = _key_of(message)
-        ask = self._asks_by_key.get(key)
-        if ask is not None and not ask.answer.done():
-            ask.settle(message)
+        pending = self._pending_by_key.get(key)
+        if pending is not None and not pending.reply.done():
+            pending.settle(message)
             return
         if key in self._running_by_key:
             return
-        # The request has gone to another dispatcher or is over: the late
-        # grant would hold a slot for ever if it were not given back.
+        # The request has moved to another dispatcher or has ended: a late
+        # grant that is not returned would occupy its slot indefinitely.
         self._send_return(sender, key, message.shard)
         logs.emit(
             events.LogEvent.PERMIT_RETURNED,
@@ -263,153 +271,159 @@
         self, sender: types.EntryVmId, message: messages.DigestAcknowledged
     ) -> None:
         for work in message.unknown:
-            ask = self._asks_by_key.get(_key_of(work))
-            if ask and ask.dispatcher == sender:
-                ask.settle(permit_types.Forgotten())
+            pending = self._pending_by_key.get(_key_of(work))
+            if pending and pending.dispatcher == sender:
+                pending.settle(permit_types.RequestUnknown())
 
     async def _ask_next(
         self,
         wanted: permit_types.PermitWanted,
-        search: dispatcher_search.Search,
+        search: dispatcher_search.SearchState,
     ) -> permit_types.Permit | permit_types.PermitRefusal | None:
-        """Ask one dispatcher; None says that another has to be asked."""
+        """Ask one dispatcher; return None if another one has to be asked."""
         remaining = wanted.limit_at - self._clock.monotonic()
         if remaining <= 0:
             return _refusal(outcomes.Reason.DEADLINE)
-        if search.silent and self._may_not_wait(wanted):
+        if search.silent and self._silence_limit_passed(wanted):
             return _refusal(outcomes.Reason.NO_DISPATCHER)
         dispatcher = self._search.choose(wanted.shard, search)
         if dispatcher is None:
             return _refusal(outcomes.Reason.NO_DISPATCHER)
         search.asks += 1
-        if search.asks > _ASKS_WITHOUT_PAUSE:
+        if search.asks > _REQUESTS_WITHOUT_PAUSE:
             pause = min(self._timing.ask_again_seconds, remaining)
             await asyncio.sleep(pause)
-        ask = self._send_ask(wanted, dispatcher, search)
+        pending = self._send_ask(wanted, dispatcher, search)
         try:
             async with asyncio.timeout(remaining):
-                answer = await ask.answer
+                reply = await pending.reply
         except TimeoutError:
-            self._abandon(ask)
+            self._abandon(pending)
             return _refusal(outcomes.Reason.DEADLINE, dispatcher=dispatcher)
         except asyncio.CancelledError:
-            self._abandon(ask)
+            self._abandon(pending)
             raise
-        self._asks_by_key.pop(ask.key, None)
-        return self._judge(ask, answer, search)
+        self._pending_by_key.pop(pending.key, None)
+        return self._on_reply(pending, reply, search)
 
-    def _judge(
+    def _on_reply(
         self,
-        ask: permit_types.Ask,
-        answer: permit_types.Answer,
-        search: dispatcher_search.Search,
+        pending: permit_types.PendingRequest,
+        reply: permit_types.Reply,
+        search: dispatcher_search.SearchState,
     ) -> permit_types.Permit | permit_types.PermitRefusal | None:
-        match answer:
+        match reply:
             case messages.PermitGranted():
-                return self._take(ask, answer)
+                return self._accept_grant(pending, reply)
             case messages.PermitRefused():
                 return permit_types.PermitRefusal(
-                    reason=answer.reason,
-                    retry_after_seconds=answer.retry_after_seconds,
-                    dispatcher=ask.dispatcher,
+                    reason=reply.reason,
+                    retry_after_seconds=reply.retry_after_seconds,
+                    dispatcher=pending.dispatcher,
                 )
             case messages.PermitNotMine():
-                search.disowned.add(ask.dispatcher)
-                search.hint = answer.owner or None
-            case permit_types.Silent():
-                search.silent.add(ask.dispatcher)
-                self._give_up_on(ask)
-            case permit_types.GaveUp():
-                self._send_return(ask.dispatcher, ask.key, ask.wanted.shard)
+                search.declined.add(pending.dispatcher)
+                search.hint = reply.owner or None
+            case permit_types.DispatcherSilent():
+                search.silent.add(pending.dispatcher)
+                self._on_silent(pending)
+            case permit_types.WaitGivenUp():
+                self._send_return(
+                    pending.dispatcher, pending.key, pending.wanted.shard
+                )
                 return _refusal(
-                    outcomes.Reason.NO_DISPATCHER, dispatcher=ask.dispatcher
+                    outcomes.Reason.NO_DISPATCHER, dispatcher=pending.dispatcher
                 )
-            case permit_types.CameBack():
-                search.silent.discard(answer.dispatcher)
-            case permit_types.Forgotten():
+            case permit_types.DispatcherReturned():
+                search.silent.discard(reply.dispatcher)
+            case permit_types.RequestUnknown():
                 pass
         return None
 
-    def _take(
-        self, ask: permit_types.Ask, answer: messages.PermitGranted
+    def _accept_grant(
+        self,
+        pending: permit_types.PendingRequest,
+        reply: messages.PermitGranted,
     ) -> permit_types.Permit:
         permit = permit_types.Permit(
-            key=ask.key,
-            shard=ask.wanted.shard,
-            upstream=answer.upstream,
-            dispatcher=ask.dispatcher,
-            profile=ask.wanted.profile,
-            organisation=ask.wanted.organisation,
-            asked_at=ask.asked_at,
+            key=pending.key,
+            shard=pending.wanted.shard,
+            upstream=reply.upstream,
+            dispatcher=pending.dispatcher,
+            profile=pending.wanted.profile,
+            organisation=pending.wanted.organisation,
+            asked_at=pending.asked_at,
             granted_at=self._clock.monotonic(),
         )
         self._running_by_key[permit.key] = permit
-        self._ended_work.note_grant(permit.dispatcher, permit.shard)
+        self._empty_digests.record_grant(permit.dispatcher, permit.shard)
         return permit
 
-    def _give_up_on(self, ask: permit_types.Ask) -> None:
-        """Pass a silent dispatcher over, and withdraw the request there."""
-        self._note_silence(ask)
-        self._send_return(ask.dispatcher, ask.key, ask.wanted.shard)
+    def _on_silent(self, pending: permit_types.PendingRequest) -> None:
+        """Skip an unresponsive dispatcher and withdraw the request there."""
+        self._record_silence(pending)
+        self._send_return(pending.dispatcher, pending.key, pending.wanted.shard)
         logs.emit(
             events.LogEvent.PERMIT_HANDOVER,
-            request_id=ask.key.request_id,
-            attempt_id=ask.key.attempt_id,
-            shard=ask.wanted.shard,
-            dispatcher=ask.dispatcher,
+            request_id=pending.key.request_id,
+            attempt_id=pending.key.attempt_id,
+            shard=pending.wanted.shard,
+            dispatcher=pending.dispatcher,
         )
 
-    def _note_silence(self, ask: permit_types.Ask) -> None:
-        self._domains.note_silence(_domain_of(ask), ask.dispatcher)
-        if self._search.note_silence(ask.dispatcher):
-            # The next dispatcher would else grant slots that are in use.
+    def _record_silence(self, pending: permit_types.PendingRequest) -> None:
+        self._domains.record_silence(_domain_of(pending), pending.dispatcher)
+        if self._search.record_silence(pending.dispatcher):
+            # Otherwise the next dispatcher would grant slots that are in use.
             self.on_ranking_changed()
 
     def _send_ask(
         self,
         wanted: permit_types.PermitWanted,
         dispatcher: types.EntryVmId,
-        search: dispatcher_search.Search,
-    ) -> permit_types.Ask:
+        search: dispatcher_search.SearchState,
+    ) -> permit_types.PendingRequest:
         loop = asyncio.get_running_loop()
         now = self._clock.monotonic()
-        self._stalls.note(now)
-        ask = permit_types.Ask(
+        self._stalls.record_tick(now)
+        pending = permit_types.PendingRequest(
             wanted=wanted,
             key=self._next_key(wanted.request_id),
             dispatcher=dispatcher,
             asked_at=now,
-            answer=loop.create_future(),
-            heard_before=self._messages_by_vm[dispatcher],
-            patience_left=self._timing.slow_acknowledgements,
+            reply=loop.create_future(),
+            messages_before=self._messages_by_vm[dispatcher],
+            extensions_left=self._timing.slow_acknowledgements,
         )
-        self._asks_by_key[ask.key] = ask
-        request = self._request_of(ask, search)
+        self._pending_by_key[pending.key] = pending
+        request = self._request_of(pending, search)
         if not self._transport.send(dispatcher, request):
-            ask.settle(permit_types.Silent())
+            pending.settle(permit_types.DispatcherSilent())
         elif dispatcher != self._entry_vm:
-            self._timers.watch(ask)
-        return ask
+            self._timers.watch(pending)
+        return pending
 
-    def _may_not_wait(self, wanted: permit_types.PermitWanted) -> bool:
+    def _silence_limit_passed(self, wanted: permit_types.PermitWanted) -> bool:
         silence = wanted.silence
         return silence is not None and self._clock.monotonic() >= silence.at
 
-    def _on_unanswered(self, ask: permit_types.Ask) -> None:
-        """Take in that a dispatcher never acknowledged a given-up ask."""
-        if self._search.heard_since(ask.dispatcher, ask.asked_at):
-            self._domains.note_answer(_domain_of(ask))
+    def _on_unanswered(self, pending: permit_types.PendingRequest) -> None:
+        """Record that an abandoned permit request was never acknowledged."""
+        if self._search.received_since(pending.dispatcher, pending.asked_at):
+            self._domains.record_reply(_domain_of(pending))
         else:
-            self._note_silence(ask)
+            self._record_silence(pending)
 
     def _request_of(
-        self, ask: permit_types.Ask, search: dispatcher_search.Search
+        self,
+        pending: permit_types.PendingRequest,
+        search: dispatcher_search.SearchState,
     ) -> messages.PermitRequest:
         now = self._clock.monotonic()
-        wanted = ask.wanted
+        wanted = pending.wanted
         return messages.PermitRequest(
-            request_id=ask.key.request_id,
-            attempt_id=ask.key.attempt_id,
+            request_id=pending.key.request_id,
+            attempt_id=pending.key.attempt_id,
             shard=wanted.shard,
             profile=wanted.profile,
             organisation=wanted.organisation,
@@ -421,7 +435,7 @@
             revision=wanted.revision,
             model=wanted.model,
             handover=self._search.is_handover(
-                wanted.shard, ask.dispatcher, search
+                wanted.shard, pending.dispatcher, search
             ),
         )
 
@@ -432,10 +446,10 @@
             request_id=request_id, attempt_id=types.AttemptId(number)
         )
 
-    def _abandon(self, ask: permit_types.Ask) -> None:
-        self._asks_by_key.pop(ask.key, None)
-        ask.settle(permit_types.Silent())
-        self._send_return(ask.dispatcher, ask.key, ask.wanted.shard)
+    def _abandon(self, pending: permit_types.PendingRequest) -> None:
+        self._pending_by_key.pop(pending.key, None)
+        pending.settle(permit_types.DispatcherSilent())
+        self._send_return(pending.dispatcher, pending.key, pending.wanted.shard)
 
     def _send_return(
         self,
@@ -458,20 +472,20 @@
             self.send_periodic_digests()
 
     def send_periodic_digests(self) -> None:
-        """Send all digests, and give up on dispatchers that answer none.
+        """Send all digests and skip dispatchers that reply to none.
 
-        A frozen dispatcher has acknowledged the requests, so that their own
-        timers are off; its silence on digests is what shows it.
+        If a dispatcher freezes after it has acknowledged requests, their own
+        timers are cancelled; only its missing replies to digests reveal it.
         """
         due = self._due_digests()
         dispatchers = [addressed.dispatcher for addressed in due]
         silent = self._unanswered.begin_period(dispatchers)
-        # Empty digests are no heartbeat: nobody waits for their answer.
-        for addressed in [*due, *self._ended_work.begin_period(due)]:
+        # Empty digests are no heartbeat: missing replies are not counted.
+        for addressed in [*due, *self._empty_digests.begin_period(due)]:
             if addressed.dispatcher not in silent:
                 self._transport.send(addressed.dispatcher, addressed.digest)
         for dispatcher in silent:
-            self._search.note_silence(dispatcher)
+            self._search.record_silence(dispatcher)
             self.on_member_gone(dispatcher)
         if silent:
             self.on_ranking_changed()
@@ -480,15 +494,15 @@
         return list(
             work_digests.compose_digests(
                 running=self._running_by_key.values(),
-                waiting=self._asks_by_key.values(),
+                waiting=self._pending_by_key.values(),
                 owner_of=self._search.owner_of,
                 now=self._clock.monotonic(),
             )
         )
 
 
-def _domain_of(ask: permit_types.Ask) -> types.FailureDomain:
-    return membership_shards.domain_of(ask.wanted.shard)
+def _domain_of(pending: permit_types.PendingRequest) -> types.FailureDomain:
+    return membership_shards.domain_of(pending.wanted.shard)
 
 
 _Keyed = (
@@ -512,6 +526,6 @@
 ) -> permit_types.PermitRefusal:
     return permit_types.PermitRefusal(
         reason=reason,
-        retry_after_seconds=_FLAT_RETRY_AFTER_SECONDS,
+        retry_after_seconds=_DEFAULT_RETRY_AFTER_SECONDS,
         dispatcher=dispatcher,
     )
--- a/packages/daemon/src/lagoonrun_daemon/reach.py
+++ b/packages/daemon/src/lagoonrun_daemon/reach.py
@@ -1,4 +1,4 @@
-"""Remembers other failure domains whose dispatchers do not answer."""
+"""Track other failure domains whose dispatchers do not reply."""
 
 import dataclasses
 import math
@@ -6,44 +6,45 @@
 from lagoonrun_core import clock as clocks
 from lagoonrun_core import types
 
-_SILENT_DISPATCHERS = 2
-"""One may have died alone; its domain's next-ranked one answers then."""
+_MIN_SILENT_DISPATCHERS = 2
+"""A single one may have died; the next-ranked one of its domain replies."""
 
-_FIRST_MEMORY_SECONDS = 2.0
-_LONGEST_MEMORY_SECONDS = 8.0
+_MIN_SKIP_SECONDS = 2.0
+_MAX_SKIP_SECONDS = 8.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Silence:
-    """Silence of one domain.
+    """Missing replies of one domain.
 
     Parameters
     ----------
     dispatchers
-        Those that did not answer.
-    memory_seconds
-        For how long the domain is passed over.
+        Dispatchers that did not reply.
+    skip_seconds
+        How long the domain is skipped.
     until
-        When it may be asked again; infinity while too few were silent.
+        Time at which it may be asked again; infinity while too few
+        dispatchers were silent.
     """
 
     dispatchers: set[types.EntryVmId] = dataclasses.field(default_factory=set)
-    memory_seconds: float = _FIRST_MEMORY_SECONDS
+    skip_seconds: float = _MIN_SKIP_SECONDS
     until: float = math.inf
 
     @property
-    def is_passed_over(self) -> bool:
-        """Whether enough dispatchers were silent."""
-        return len(self.dispatchers) >= _SILENT_DISPATCHERS
+    def is_skipped(self) -> bool:
+        """Whether enough dispatchers were silent to skip the domain."""
+        return len(self.dispatchers) >= _MIN_SILENT_DISPATCHERS
 
 
 class DomainReach:
-    """Pass over domains that are cut off, so that few requests wait for them.
+    """Skip domains that are cut off, so that few requests wait for them.
 
-    The membership needs some ten seconds to hold a cut-off domain for dead.
-    Until then every request that looks for room elsewhere would wait for
-    dispatchers that cannot answer. Here the first few do; then one request
-    at a time tries the domain, ever more rarely.
+    The membership takes about ten seconds to consider a cut-off domain dead.
+    Until then, every request that searches for capacity in other domains would
+    wait for dispatchers that cannot reply. With this class, only the first few
+    wait; then one request at a time probes the domain, at growing intervals.
 
     Parameters
     ----------
@@ -58,34 +59,32 @@
     def may_ask(self, domain: types.FailureDomain) -> bool:
         """Return whether a request may ask dispatchers of `domain`."""
         silence = self._silences_by_domain.get(domain)
-        if silence is None or not silence.is_passed_over:
+        if silence is None or not silence.is_skipped:
             return True
         return self._clock.monotonic() >= silence.until
 
     def begin_ask(self, domain: types.FailureDomain) -> None:
-        """Take in that a request asks `domain`.
+        """Record that a request asks `domain`.
 
-        Where the domain was silent, the others pass it over meanwhile.
+        If the domain was silent, other requests skip it meanwhile.
         """
         silence = self._silences_by_domain.get(domain)
-        if silence is None or not silence.is_passed_over:
+        if silence is None or not silence.is_skipped:
             return
-        silence.memory_seconds = min(
-            2 * silence.memory_seconds, _LONGEST_MEMORY_SECONDS
-        )
-        silence.until = self._clock.monotonic() + silence.memory_seconds
+        silence.skip_seconds = min(2 * silence.skip_seconds, _MAX_SKIP_SECONDS)
+        silence.until = self._clock.monotonic() + silence.skip_seconds
 
-    def note_silence(
+    def record_silence(
         self, domain: types.FailureDomain, dispatcher: types.EntryVmId
     ) -> None:
-        """Take in that a dispatcher of `domain` did not answer in time."""
+        """Record that a dispatcher of `domain` did not reply in time."""
         silence = self._silences_by_domain.setdefault(domain, _Silence())
-        if silence.is_passed_over:
+        if silence.is_skipped:
             return
         silence.dispatchers.add(dispatcher)
-        if silence.is_passed_over:
-            silence.until = self._clock.monotonic() + silence.memory_seconds
+        if silence.is_skipped:
+            silence.until = self._clock.monotonic() + silence.skip_seconds
 
-    def note_answer(self, domain: types.FailureDomain) -> None:
-        """Take in an answer from `domain`."""
+    def record_reply(self, domain: types.FailureDomain) -> None:
+        """Record a reply from `domain`, which ends its skipping."""
         self._silences_by_domain.pop(domain, None)
--- a/packages/daemon/src/lagoonrun_daemon/stalls.py
+++ b/packages/daemon/src/lagoonrun_daemon/stalls.py
@@ -1,4 +1,4 @@
-"""Notice times in which this process did not run."""
+"""Detect times in which this process did not run."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 
 
 class StallDetector:
-    """Task whose late ticks show that the process was frozen.
+    """Task that detects freezes of the process by late ticks.
 
-    A frozen process (a paused VM, a stopped process) reads on waking what
-    arrived meanwhile as if it were new. It finds the last tick long ago; the
-    event loop reads sockets before it runs due timers, so that the first
-    messages read on waking are judged before the next tick hides the stall.
+    When a frozen process (a paused VM, a stopped process) resumes, it reads
+    messages that arrived meanwhile as if they were new, but its last tick was
+    long ago. The event loop reads sockets before it runs due timers, so the
+    stall is still visible when the first messages are processed.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
         self._listeners.append(listener)
 
     async def start(self) -> None:
-        """Begin to tick."""
+        """Start ticking."""
         self._ticked_at = self._clock.monotonic()
         self._task = asyncio.create_task(self._tick_forever())
 
@@ -46,12 +46,12 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def stalled_since(self, at: float) -> bool:
-        """Return whether a stall has ended since `at`, or ends just now."""
-        self.note(self._clock.monotonic())
+        """Return whether a stall has ended since `at`, or is ending now."""
+        self.record_tick(self._clock.monotonic())
         return self._stall_ended_at > at
 
-    def note(self, now: float) -> None:
-        """Take in that the process runs at `now`."""
+    def record_tick(self, now: float) -> None:
+        """Record that the process runs at `now`; detect the end of a stall."""
         stalled = now - self._ticked_at > _STALL_SECONDS
         self._ticked_at = max(self._ticked_at, now)
         if not stalled:
@@ -63,4 +63,4 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(_TICK_SECONDS)
-            self.note(self._clock.monotonic())
+            self.record_tick(self._clock.monotonic())
--- a/packages/daemon/src/lagoonrun_daemon/work_digests.py
+++ b/packages/daemon/src/lagoonrun_daemon/work_digests.py
@@ -1,8 +1,9 @@
-"""Digests of what an ingress has running and waiting at each dispatcher.
+"""Digests of an ingress's running and waiting requests at each dispatcher.
 
-A digest reconciles permits whose end was lost, registers running work with a
-new dispatcher, and is a heartbeat: a dispatcher that answers none of several
-is silent, even if it had acknowledged the requests that wait at it.
+A digest reconciles permits whose end message was lost, registers running
+requests with a new dispatcher, and serves as a heartbeat: a dispatcher that
+does not reply to several digests is silent, even if it has acknowledged the
+requests that wait at it.
 """
 
 import dataclasses
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AddressedDigest:
-    """A digest and the dispatcher that is to get it."""
+    """A digest and the dispatcher to send it to."""
 
     dispatcher: types.EntryVmId
     digest: messages.WorkDigest
@@ -30,19 +31,19 @@
 def compose_digests(
     *,
     running: Iterable[permit_types.Permit],
-    waiting: Iterable[permit_types.Ask],
+    waiting: Iterable[permit_types.PendingRequest],
     owner_of: Callable[[types.ShardId], types.EntryVmId | None],
     now: float,
 ) -> Sequence[AddressedDigest]:
-    """Return the digests that are due, one a dispatcher and shard.
+    """Return the digests to send, one per dispatcher and shard.
 
     Parameters
     ----------
     running
-        Goes to whoever dispatches the shard now, so that a new dispatcher
-        learns of work that an old one granted.
+        Sent to the current dispatcher of the shard, so that a new dispatcher
+        gets the requests that a previous one granted.
     waiting
-        Goes to where each request waits.
+        Sent to the dispatcher at which each request waits.
     now
         Reading of the monotonic clock.
     """
@@ -55,10 +56,12 @@
         work = _running_work(permit, now)
         running_by_address.setdefault(address, []).append(work)
     waiting_by_address: dict[_Address, list[messages.WaitingWork]] = {}
-    for ask in waiting:
-        address = _Address(dispatcher=ask.dispatcher, shard=ask.wanted.shard)
+    for pending in waiting:
+        address = _Address(
+            dispatcher=pending.dispatcher, shard=pending.wanted.shard
+        )
         work = messages.WaitingWork(
-            request_id=ask.key.request_id, attempt_id=ask.key.attempt_id
+            request_id=pending.key.request_id, attempt_id=pending.key.attempt_id
         )
         waiting_by_address.setdefault(address, []).append(work)
     addresses = dict.fromkeys([*running_by_address, *waiting_by_address])
@@ -75,35 +78,35 @@
     ]
 
 
-class EndedWork:
-    """Dispatchers that may hold permits of an ingress that has none left.
+class EmptyDigests:
+    """Send empty digests after the last request at a dispatcher has ended.
 
-    An ingress without work at a dispatcher would send it no digest, and a
-    permit whose end was lost on the way would hold its slot for ever. So
-    empty digests follow the last one that named work.
+    An ingress without requests at a dispatcher would send it no digest, and a
+    permit whose end message was lost would occupy its slot indefinitely.
+    Therefore empty digests follow the last one that listed a request.
 
     Parameters
     ----------
     digests
-        Number of empty digests; they outlast a connection that is lost and
-        made again.
+        Number of empty digests; enough to continue after a connection was
+        lost and re-established.
     """
 
     def __init__(self, *, digests: int) -> None:
         self._digests = digests
         self._left_by_address: dict[_Address, int] = {}
 
-    def note_grant(
+    def record_grant(
         self, dispatcher: types.EntryVmId, shard: types.ShardId
     ) -> None:
-        """Take in a grant; its work may end before a digest names it."""
+        """Record a grant, whose request may end before a digest lists it."""
         address = _Address(dispatcher=dispatcher, shard=shard)
         self._left_by_address[address] = self._digests
 
     def begin_period(
         self, due: Iterable[AddressedDigest]
     ) -> Sequence[AddressedDigest]:
-        """Return the empty digests that are sent besides those of `due`."""
+        """Return the empty digests to send in addition to `due`."""
         named = {
             _Address(dispatcher=one.dispatcher, shard=one.digest.shard)
             for one in due
@@ -126,28 +129,29 @@
 
 
 class UnansweredDigests:
-    """Counts the periods in which a dispatcher gave no sign of life.
+    """Count digest periods in which a dispatcher sent no message.
 
     Parameters
     ----------
     limit
-        Periods after which it counts as silent.
+        Number of periods after which it counts as silent.
     """
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
         self._periods_by_vm: dict[types.EntryVmId, int] = {}
 
-    def note_sign_of_life(self, dispatcher: types.EntryVmId) -> None:
-        """Take in any message of a dispatcher."""
+    def record_message(self, dispatcher: types.EntryVmId) -> None:
+        """Reset the count of a dispatcher on any message."""
         self._periods_by_vm.pop(dispatcher, None)
 
     def begin_period(
         self, dispatchers: Iterable[types.EntryVmId]
     ) -> Sequence[types.EntryVmId]:
-        """Count a period for those that get digests; return the silent ones.
+        """Start a period; return the dispatchers that are silent.
 
-        A period counts once however many shards a dispatcher has.
+        The period counts once for each dispatcher that gets digests,
+        regardless of its number of shards.
         """
         silent = []
         addressed = set(dispatchers)
--- a/packages/daemon/tests/test_permits.py
+++ b/packages/daemon/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits under silence, late grants, handovers and lost callers."""
+"""Permits with silent dispatchers, late grants and callers that leave."""
 
 import asyncio
 
@@ -13,21 +13,21 @@
 
 
 class FakeTransport:
-    """Keeps what was sent; a test answers by hand."""
+    """Transport that records messages; the test sends the replies."""
 
     def __init__(self):
         self.sent = asyncio.Queue()
         self.unreachable = set()
 
     def send(self, to, message):
-        """Keep a message, or say that it certainly will not go."""
+        """Record a message; return False if its receiver is unreachable."""
         if to in self.unreachable:
             return False
         self.sent.put_nowait((to, message))
         return True
 
     async def next(self, kind):
-        """Return the next message of `kind` and whom it went to."""
+        """Return the receiver and the next message of `kind`."""
         async with asyncio.timeout(_BOUND_SECONDS):
             while True:
                 to, message = await self.sent.get()
@@ -35,7 +35,7 @@
                     return to, message
 
     def drain(self, kind):
-        """Return all messages of `kind`, and drop the others."""
+        """Return all messages of `kind` and discard the others."""
         found = []
         while not self.sent.empty():
             to, message = self.sent.get_nowait()
@@ -45,7 +45,7 @@
 
 
 class FixedRanking:
-    """The same order for every shard."""
+    """Ranking with the same order for every shard."""
 
     def __init__(self, *entry_vms):
         self.order = entry_vms
@@ -111,7 +111,7 @@
 
 
 async def ask(client, manual_clock, sent, **fields):
-    """Start a request; return its task, the first ask and its dispatcher."""
+    """Start obtaining a permit; return the task, dispatcher and message."""
     task = asyncio.create_task(client.obtain(wanted(manual_clock, **fields)))
     to, request = await sent.next(messages.PermitRequest)
     return task, to, request
@@ -131,11 +131,11 @@
 async def test_silent_dispatcher_is_passed_over_and_its_late_grant_returned(
     client, manual_clock, sent
 ):
-    """A dispatcher is frozen while a reader's lookup asks it for a runner.
+    """A dispatcher freezes while a lookup requests a permit from it.
 
-    The reader sees nothing but a short delay. The lookup goes to the
-    next-ranked dispatcher; the first wakes and grants a slot that nobody
-    uses, which would be lost if it were not given back.
+    The lookup asks the next-ranked dispatcher after a short delay. When the
+    first one resumes, it grants a slot that nobody uses, which would be leaked
+    if the grant were not returned.
     """
     task, first, lost = await ask(client, manual_clock, sent)
     second, request = await sent.next(messages.PermitRequest)
@@ -153,11 +153,11 @@
 async def test_own_dispatcher_is_never_taken_for_silent(
     client, manual_clock, sent
 ):
-    """A thousand callers come at once and keep the event loop busy.
+    """A thousand concurrent callers keep the event loop busy.
 
-    Every dispatcher looks silent, because the loop gets to acknowledgements
-    only after the timers; callers were refused though all entry VMs lived.
-    The own dispatcher comes last and is waited for.
+    Every dispatcher looked silent, because the loop processed acknowledgements
+    only after the timers; callers were refused although all entry VMs were
+    alive. The own dispatcher is asked last, without a timeout.
     """
     task, _, _ = await ask(client, manual_clock, sent)
     await sent.next(messages.PermitRequest)
@@ -170,9 +170,9 @@
 
 
 async def test_late_timer_reads_sockets_first(manual_clock, sent):
-    """The event loop is busy for longer than a dispatcher may be silent.
+    """The event loop is busy for longer than the acknowledgement timeout.
 
-    The timer is due while the acknowledgement waits unread in the socket.
+    The timer is due while the acknowledgement is unread in the socket.
     """
     client = make_client(manual_clock, sent, acknowledge_timeout_seconds=0.1)
     task, to, request = await ask(client, manual_clock, sent)
@@ -181,7 +181,7 @@
     while loop.time() < end:
         pass
     acknowledged = messages.PermitAcknowledged(**keyed(request))
-    # One turn of the loop after the timer, as a socket's data would come.
+    # One loop iteration after the timer, as received socket data would be.
     loop.call_soon(loop.call_soon, client.on_message, to, acknowledged)
     await asyncio.wait({task}, timeout=0.05)
     assert not sent.drain(messages.PermitRequest)
@@ -207,8 +207,8 @@
 ):
     """Two entry VMs see different memberships and each names the other.
 
-    Without an end to that, the request would go back and forth until its
-    limit. Whoever is asked a second time is told that it has to dispatch.
+    The request would go back and forth until its limit. Instead, the one that
+    is asked a second time gets a handover, which it must accept.
     """
     task, to, request = await ask(client, manual_clock, sent)
     asked = []
@@ -227,10 +227,10 @@
 
 
 async def test_forgotten_request_is_asked_again(client, manual_clock, sent):
-    """A dispatcher restarts and no longer knows of a request that waits.
+    """A dispatcher restarts and no longer knows a waiting request.
 
-    The digest names the request, the dispatcher answers that it does not
-    know it, and it is asked again instead of waiting until its limit.
+    The digest lists the request and the dispatcher reports it as unknown; the
+    permit is requested again instead of waiting until the limit.
     """
     task, to, request = await ask(client, manual_clock, sent)
     client.on_message(to, messages.PermitAcknowledged(**keyed(request)))
@@ -249,10 +249,10 @@
 async def test_frozen_dispatcher_that_had_acknowledged_is_found_by_digests(
     client, manual_clock, sent
 ):
-    """A dispatcher takes a request into its queue and is then frozen.
+    """A dispatcher queues a request and then freezes.
 
-    The acknowledgement has stopped the request's own timer; only digests
-    that nobody answers show that it waits for nothing.
+    The acknowledgement has cancelled the request's own timer; only digests
+    without a reply reveal the frozen dispatcher.
     """
     task, to, request = await ask(client, manual_clock, sent)
     client.on_message(to, messages.PermitAcknowledged(**keyed(request)))
@@ -267,10 +267,10 @@
 async def test_dispatcher_of_many_shards_is_not_taken_for_silent(
     client, manual_clock, sent
 ):
-    """One entry VM dispatches more shards than unanswered digests count.
+    """One entry VM dispatches more shards than the unanswered-digest limit.
 
-    Digests for all of them leave in one period. Counted each by itself, the
-    fourth would make the dispatcher look silent before it could answer.
+    The digests of all its shards are sent in one period. If each counted, the
+    fourth would make the dispatcher count as silent before it can reply.
     """
     tasks = []
     for index in range(5):
@@ -329,10 +329,10 @@
 async def test_grant_read_right_after_a_freeze_is_not_fresh(
     client, manual_clock, sent
 ):
-    """An entry VM is frozen for a minute with a grant in its socket.
+    """An entry VM is frozen for half a minute with a grant in its socket.
 
-    On waking it reads the grant as if it were new, while the upstream has
-    begun to leave meanwhile; sent there, the request would be cut.
+    When it resumes, it reads the grant as if it were new, but the upstream may
+    have started to leave meanwhile: a request sent there would be cut.
     """
     task, to, request = await ask(client, manual_clock, sent)
     manual_clock.advance(30.0)
@@ -346,10 +346,10 @@
 async def test_grant_asked_for_after_a_freeze_is_fresh(
     client, manual_clock, sent
 ):
-    """An entry VM wakes from a freeze and takes a reader's lookup.
+    """An entry VM resumes from a freeze and serves a new lookup.
 
-    Held for stale for a second, every grant went back and was asked for
-    again at once: hundreds of grants came and went for a few lookups.
+    For a second, every grant was considered stale, returned and immediately
+    requested again: hundreds of grants were wasted for a few lookups.
     """
     manual_clock.advance(30.0)
     task, to, request = await ask(client, manual_clock, sent)
@@ -360,23 +360,23 @@
 async def test_slow_dispatcher_that_answers_others_is_not_passed_over(
     manual_clock,
 ):
-    """A storm of check-ins keeps a dispatcher busy for longer than 150 ms.
+    """A burst of requests keeps a dispatcher busy for more than 150 ms.
 
-    Taken for silent, it was passed over while it went on granting; two entry
-    VMs filled the same runners twice, and the highest tier came too late.
-    One that says nothing at all, or is slow for ever, is passed over.
+    It was considered silent and skipped while it continued granting; two entry
+    VMs granted the same runners, and the highest tier missed its target. A
+    dispatcher that sends nothing, or stays slow, is still skipped.
     """
-    waiting = permit_types.Ask(
+    waiting = permit_types.PendingRequest(
         wanted=wanted(manual_clock),
         key=permit_types.AttemptKey(request_id="r-1", attempt_id=1),
         dispatcher="vm-1",
         asked_at=0.0,
-        answer=asyncio.get_running_loop().create_future(),
-        heard_before=7,
-        patience_left=2,
+        reply=asyncio.get_running_loop().create_future(),
+        messages_before=7,
+        extensions_left=2,
     )
-    heard = [8, 8, 9, 10]
-    assert [waiting.waits_again(count) for count in heard] == [
+    received = [8, 8, 9, 10]
+    assert [waiting.extends_wait(count) for count in received] == [
         True,
         False,
         True,
@@ -389,8 +389,8 @@
 ):
     """A dispatcher freezes while its runners are full.
 
-    The next one knew of nothing that ran and granted every slot a second
-    time, so that all answers slowed down and many came too late.
+    The next one did not know the running requests and granted every slot a
+    second time, so all responses slowed down and many came too late.
     """
     task, first, request = await ask(client, manual_clock, sent)
     client.on_message(first, granted(request))
@@ -407,9 +407,9 @@
 async def test_request_goes_back_to_a_dispatcher_that_is_heard_again(
     client, manual_clock, sent
 ):
-    """A dispatcher wakes while requests wait at the next-ranked one.
+    """A dispatcher resumes while requests wait at the next-ranked one.
 
-    Both went on granting all slots of the same runners for seconds.
+    Both continued granting all slots of the same runners for seconds.
     """
     task, first, lost = await ask(client, manual_clock, sent)
     second, moved = await sent.next(messages.PermitRequest)
