--- a/packages/daemon/src/lagoonrun_daemon/answers.py
+++ b/packages/daemon/src/lagoonrun_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Answers that lagoonrun itself gives to callers."""
+"""Responses to callers: refusals, rejections and forwarded responses."""
 
 import math
 
@@ -40,7 +40,7 @@
 def ending_headers(
     request_id: types.RequestId, ending: outcomes.Ending
 ) -> http_messages.Headers:
-    """Return the headers that tell a caller how its request ended."""
+    """Return the headers that report how a request ended."""
     headers = http_messages.Headers(
         pairs=[
             (REQUEST_ID_HEADER, request_id),
@@ -50,7 +50,7 @@
     if ending.reason is not outcomes.Reason.NONE:
         headers = headers.with_added(_REASON_HEADER, ending.reason.value)
     if ending.retry_after_seconds > 0:
-        # Whole seconds, rounded up: coming back early is refused again.
+        # Rounded up to seconds: an earlier retry would be refused again.
         seconds = str(math.ceil(ending.retry_after_seconds))
         headers = headers.with_added("Retry-After", seconds)
     return headers
@@ -62,7 +62,7 @@
     request_id: types.RequestId,
     ending: outcomes.Ending,
 ) -> None:
-    """Answer a request that was accepted but got no upstream's answer."""
+    """Respond to an accepted request that got no upstream response."""
     status = _STATUS_BY_REASON.get(ending.reason, _DEFAULT_STATUS)
     body = http_errors.error_body(
         step=_STEP_BY_REASON.get(ending.reason, errors.Step.PERMIT),
@@ -84,7 +84,7 @@
     head: http_messages.ResponseHead,
     body: bytes,
 ) -> None:
-    """Answer with an upstream's whole answer, tagged with its outcome."""
+    """Forward an upstream's complete response with outcome headers."""
     headers = hop_by_hop.strip(head.headers)
     for name, value in ending_headers(request_id, ending):
         headers = headers.with_added(name, value)
@@ -97,7 +97,7 @@
     request_id: types.RequestId,
     rejection: resolution.Rejection,
 ) -> None:
-    """Answer a request that cannot be served as it stands."""
+    """Respond to an invalid request."""
     body = http_errors.error_body(
         step=rejection.step,
         field=rejection.field,
--- a/packages/daemon/src/lagoonrun_daemon/at_most_once.py
+++ b/packages/daemon/src/lagoonrun_daemon/at_most_once.py
@@ -1,4 +1,4 @@
-"""Make sure that a call with an idempotency key is sent at most once."""
+"""Ensure that a call with an idempotency key is sent at most once."""
 
 import asyncio
 import hashlib
@@ -10,14 +10,14 @@
 from lagoonrun_daemon import background
 from lagoonrun_daemon import call as calls
 
-_LONGEST_CLAIM_SECONDS = 5.0
+_MAX_CLAIM_SECONDS = 5.0
 
 
 class OnceGuard:
-    """The claim of one call, if it needs one.
+    """Hold the claim of one call, if it needs one.
 
-    A caller's answer does not wait for the platform to record its end. A
-    retry that comes before is told truthfully that the end is not known yet.
+    The response to a caller does not wait until the platform has recorded the
+    outcome. A retry that arrives earlier gets the outcome "unknown".
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     claims
         Claims of this entry VM.
     tasks
-        Keeps the writes of last states.
+        Holds the tasks that write final claim states.
     clock
         Source of time.
     """
@@ -47,17 +47,17 @@
 
     @property
     def needed(self) -> bool:
-        """Whether the call may be sent only with a claim.
+        """Whether the call requires a claim before it is sent.
 
-        Without a key the platform is not asked, so that such calls go on
-        being served when it can't be reached.
+        Calls without a key do not use the platform, so that they are still
+        served while it is unreachable.
         """
         return (
             not self._call.idempotent and self._call.idempotency_key is not None
         )
 
-    async def secure(self) -> outcomes.Ending | None:
-        """Claim the key; return why the call must not be sent, else None."""
+    async def claim_key(self) -> outcomes.Ending | None:
+        """Claim the key; return the refusal if the call must not be sent."""
         if not self.needed or self._attempt is not None:
             return None
         remaining = self._call.limit_at - self._clock.monotonic()
@@ -66,7 +66,7 @@
             key=self._call.idempotency_key,
             request_id=self._call.request_id,
             body_digest=_digest_request(self._call),
-            deadline_seconds=min(remaining, _LONGEST_CLAIM_SECONDS),
+            deadline_seconds=min(remaining, _MAX_CLAIM_SECONDS),
         )
         if isinstance(result, claims.Won):
             self._attempt = result.attempt
@@ -74,17 +74,17 @@
         return _explain_refusal(result)
 
     def may_send(self) -> bool:
-        """Return whether the call may be sent now; asked just before."""
+        """Return whether the claim still allows sending the call now."""
         if not self.needed:
             return True
         return self._attempt is not None and self._claims.may_send(
             self._attempt
         )
 
-    def take_over(self) -> "OnceGuard":
-        """Return a guard that holds the claim from now on; this one has none.
+    def transfer(self) -> "OnceGuard":
+        """Move the claim to a new guard, which is returned.
 
-        For a call that runs on after its caller got its final answer.
+        Used for a call that is still running after its final response.
         """
         successor = OnceGuard(
             call=self._call,
@@ -96,7 +96,7 @@
         return successor
 
     def settle(self, outcome: outcomes.Outcome) -> None:
-        """Record the call's end, or make the key usable if it was not run."""
+        """Record the outcome, or release the key if the call was not run."""
         if self._attempt is None:
             return
         attempt, self._attempt = self._attempt, None
@@ -133,9 +133,9 @@
                 f"{result.request_id}",
             )
         case claims.Taken():
-            # The key names one request, sent twice. "Not run" would be true
-            # of this arrival only, and a caller that believed it would send
-            # its request under a new key, a second time.
+            # The same request was sent twice. "Not run" would only be true of
+            # this arrival: a caller that relied on it would send its request
+            # again under a new key, and it would run twice.
             outcome = result.outcome or outcomes.Outcome.UNKNOWN
             return outcomes.Ending(
                 outcome=outcome,
--- a/packages/daemon/src/lagoonrun_daemon/attempt.py
+++ b/packages/daemon/src/lagoonrun_daemon/attempt.py
@@ -1,8 +1,8 @@
-"""One try of a request at one upstream, as a tagged result.
+"""Results of one attempt to send a request to one upstream.
 
-An attempt never raises for what an upstream does; it says what is known of
-the request: whether a byte of it left, and whether the caller has got any
-of the answer.
+An attempt does not raise for failures of the upstream. Its result states
+whether any byte of the request was sent and whether the caller got any part of
+the response.
 """
 
 import dataclasses
@@ -15,18 +15,18 @@
 _FIRST_SERVER_ERROR = 500
 
 NOT_RUN_HEADER = "X-Not-Run"
-"""Set to `true` by an upstream that says it did not run the request."""
+"""Set to `true` by an upstream that did not run the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The attempt gave no answer that may be delivered.
+    """The attempt yielded no response that may be delivered.
 
     Parameters
     ----------
     ran
-        `NOT_RUN` where no byte left or the upstream said so, else `UNKNOWN`
-        or `FAILED`.
+        `NOT_RUN` if no byte was sent or the upstream reported it, `PARTIAL`
+        for a stream that broke off, else `UNKNOWN` or `FAILED`.
     """
 
     ran: outcomes.Outcome
@@ -38,7 +38,7 @@
 def lost_by(
     failure: http_upstream.UpstreamFailure, *, upstream: types.UpstreamId
 ) -> Lost:
-    """Return what a failed exchange says of the request."""
+    """Return the loss that results from a failed exchange."""
     ran = (
         outcomes.Outcome.UNKNOWN
         if failure.write_attempted
@@ -67,7 +67,7 @@
 def failed_by(
     head: http_messages.ResponseHead, *, upstream: types.UpstreamId
 ) -> Lost:
-    """Return the loss of a request that the upstream failed to answer."""
+    """Return the loss of a request that failed at the upstream."""
     return Lost(
         ran=outcomes.Outcome.FAILED,
         reason=outcomes.Reason.UPSTREAM_REFUSED,
@@ -77,10 +77,10 @@
 
 
 def says_failed(head: http_messages.ResponseHead) -> bool:
-    """Return whether the upstream says that it failed."""
+    """Return whether the response reports a server error."""
     return head.status >= _FIRST_SERVER_ERROR
 
 
 def says_not_run(head: http_messages.ResponseHead) -> bool:
-    """Return whether the upstream says by protocol that it ran nothing."""
+    """Return whether the response states that the request was not run."""
     return head.headers.get(NOT_RUN_HEADER, "").lower() == "true"
--- a/packages/daemon/src/lagoonrun_daemon/background.py
+++ b/packages/daemon/src/lagoonrun_daemon/background.py
@@ -1,13 +1,13 @@
-"""Tasks that nobody waits for, until the process stops."""
+"""Background tasks that are awaited only when the process stops."""
 
 import asyncio
 
 
 class BackgroundTasks:
-    """Keeps tasks alive until they end.
+    """Hold references to tasks until they end.
 
-    The event loop itself holds tasks only weakly: one that nobody refers to
-    may vanish before it has run.
+    The event loop keeps only weak references: an unreferenced task may be
+    garbage-collected before it has run.
     """
 
     def __init__(self) -> None:
@@ -17,17 +17,17 @@
         return len(self._tasks)
 
     def add(self, task: asyncio.Task[object]) -> None:
-        """Keep `task` until it ends."""
+        """Hold a reference to `task` until it ends."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self, *, timeout_seconds: float) -> int:
-        """Wait for what is under way, at most so long.
+        """Wait for the running tasks, at most `timeout_seconds`.
 
         Returns
         -------
         int
-            Tasks that were still running, which are cancelled.
+            Number of tasks that were still running; they are cancelled.
         """
         if not self._tasks:
             return 0
--- a/packages/daemon/src/lagoonrun_daemon/call.py
+++ b/packages/daemon/src/lagoonrun_daemon/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller as the ingress works on it."""
+"""One request of a caller during its execution at the ingress."""
 
 import dataclasses
 
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """A resolved request and its limits.
+    """A resolved request and its deadlines.
 
     Parameters
     ----------
     arrived_at, target_at, limit_at
         Readings of the monotonic clock.
     idempotency_key
-        The caller's own, None where it gave none.
+        Sent by the caller; None if it sent none.
     """
 
     request_id: types.RequestId
--- a/packages/daemon/src/lagoonrun_daemon/delivery.py
+++ b/packages/daemon/src/lagoonrun_daemon/delivery.py
@@ -1,4 +1,4 @@
-"""Send a call to one upstream and deliver what it answers."""
+"""Send a call to one upstream and deliver the response."""
 
 import asyncio
 import dataclasses
@@ -17,9 +17,9 @@
 PRIORITY_HEADER = "X-Request-Priority"
 """Tier of the request, for engines that honour priorities."""
 
-_LARGEST_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
-_OWN_HEADERS = (
+_REPLACED_HEADERS = (
     "Authorization",
     "Content-Length",
     "Expect",
@@ -28,17 +28,17 @@
     PRIORITY_HEADER,
     relay.RESUME_HEADER,
 )
-"""Set by lagoonrun alone: a caller could claim another's priority."""
+"""Never forwarded: a caller could set a priority above its tier."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StillRunning:
-    """A call that has outlived its limit and must not be stopped.
+    """A call that runs past its limit and must not be cancelled.
 
     Parameters
     ----------
     work
-        Ends with what became of it.
+        Task that returns the result of the attempt.
     """
 
     work: asyncio.Task[outcomes.Ending | attempt.Lost]
@@ -48,14 +48,14 @@
 
 
 class Delivery:
-    """Make the attempts of one call.
+    """Execute the attempts of one call.
 
     Parameters
     ----------
     call
         The call to send.
     services
-        Shared parts of the daemon.
+        Shared components of the daemon.
     """
 
     def __init__(
@@ -72,21 +72,24 @@
         permit: permit_types.Permit,
         upstream: model.Upstream,
         *,
-        keeps_failures: bool,
+        delivers_failures: bool,
         may_write: Callable[[], bool],
     ) -> Delivered | StillRunning:
-        """Send the call, and deliver the answer unless it was lost.
+        """Send the call and deliver the response unless it was lost.
 
         Parameters
         ----------
-        keeps_failures
-            Deliver an answer that says the upstream failed, since there is
-            no attempt left that could do better.
+        delivers_failures
+            Deliver a response with a server error, because no further
+            attempt is allowed.
         may_write
-            Asked on the open connection right before the first byte.
+            Called on the open connection right before the first byte is
+            written.
         """
         self._may_write = may_write
-        work = self._attempt(permit, upstream, keeps_failures=keeps_failures)
+        work = self._attempt(
+            permit, upstream, delivers_failures=delivers_failures
+        )
         if self._call.idempotent:
             return await work
         return await self._wait_to_limit(asyncio.create_task(work))
@@ -94,11 +97,11 @@
     async def _wait_to_limit(
         self, work: asyncio.Task[Delivered]
     ) -> Delivered | StillRunning:
-        """Return when the call ends, or at its limit while it runs on.
+        """Return when the call ends, or at its limit while it is running.
 
-        A non-idempotent call is never stopped by its limit: it may have
-        taken effect, and its outcome is to be recorded. The caller is not
-        kept waiting for that.
+        A non-idempotent call is not cancelled at its limit: it may have taken
+        effect, and its outcome must be recorded. The caller does not wait for
+        that.
         """
         remaining = self._call.limit_at - self._services.clock.monotonic()
         try:
@@ -115,15 +118,15 @@
         permit: permit_types.Permit,
         upstream: model.Upstream,
         *,
-        keeps_failures: bool,
+        delivers_failures: bool,
     ) -> Delivered:
-        """Make one attempt and report its end to the dispatcher."""
+        """Execute one attempt and report its end to the dispatcher."""
         started = self._services.clock.monotonic()
         outcome = outcomes.Outcome.UNKNOWN
         reason = outcomes.Reason.CALLER_LEFT
         try:
             result = await self._attempt_within_limit(
-                permit, upstream, keeps_failures=keeps_failures
+                permit, upstream, delivers_failures=delivers_failures
             )
             outcome, reason = _outcome_of(result)
             return result
@@ -145,20 +148,20 @@
         permit: permit_types.Permit,
         upstream: model.Upstream,
         *,
-        keeps_failures: bool,
+        delivers_failures: bool,
     ) -> Delivered:
         try:
             async with self._limit_scope() as scope:
                 loop = asyncio.get_running_loop()
                 permit.on_cut = lambda: scope.reschedule(loop.time())
                 return await self._exchange(
-                    permit, upstream, scope, keeps_failures=keeps_failures
+                    permit, upstream, scope, delivers_failures=delivers_failures
                 )
         except TimeoutError:
             return await self._on_timeout(permit)
 
     def _limit_scope(self) -> asyncio.Timeout:
-        """Return the scope that ends work whose answer became worthless."""
+        """Return the scope that cancels idempotent requests at their limit."""
         if not self._call.idempotent:
             return asyncio.timeout(None)
         now = self._services.clock.monotonic()
@@ -170,7 +173,7 @@
         upstream: model.Upstream,
         scope: asyncio.Timeout,
         *,
-        keeps_failures: bool,
+        delivers_failures: bool,
     ) -> Delivered:
         self.sent = True
         response = await self._services.client.send(
@@ -189,7 +192,7 @@
             if self._call.resolved.streamed and head.status == 200:
                 return await self.relay.run(response, permit, scope)
             return await self._deliver_whole(
-                permit, response, keeps_failures=keeps_failures
+                permit, response, delivers_failures=delivers_failures
             )
         finally:
             await response.cancel()
@@ -199,20 +202,20 @@
         permit: permit_types.Permit,
         response: http_upstream.UpstreamResponse,
         *,
-        keeps_failures: bool,
+        delivers_failures: bool,
     ) -> Delivered:
-        body = await response.read_all(_LARGEST_WHOLE_ANSWER_BYTES)
+        body = await response.read_all(_MAX_RESPONSE_BYTES)
         if isinstance(body, http_upstream.UpstreamFailure):
             return attempt.lost_by(body, upstream=permit.upstream)
         failed = attempt.says_failed(response.head)
-        if failed and not keeps_failures:
+        if failed and not delivers_failures:
             return attempt.failed_by(response.head, upstream=permit.upstream)
         ending = outcomes.Ending(
             outcome=_outcome_of_whole(response, failed=failed),
             upstream=permit.upstream,
         )
         if self._call.exchange.started:
-            # The caller was told at the limit that the end is not known.
+            # The caller was informed at the limit that the outcome is unknown.
             return ending
         try:
             await answers.pass_on(
@@ -223,7 +226,7 @@
                 body=body,
             )
         except http_errors.CallerLeftError:
-            # The work is done all the same; a claim records its true end.
+            # The request has run; a claim records its actual outcome.
             return dataclasses.replace(
                 ending, reason=outcomes.Reason.CALLER_LEFT
             )
@@ -261,16 +264,16 @@
 def request_headers(
     headers: http_messages.Headers, *, tier: types.Tier, delivered_events: int
 ) -> http_messages.Headers:
-    """Return the headers with which a call goes to an upstream.
+    """Return the headers with which a call is sent to an upstream.
 
     Parameters
     ----------
     headers
-        The caller's.
+        Headers of the caller's request.
     delivered_events
-        Events of the stream that the caller has already.
+        Events of the stream that the caller has already received.
     """
-    passed = hop_by_hop.strip(headers).without(_OWN_HEADERS)
+    passed = hop_by_hop.strip(headers).without(_REPLACED_HEADERS)
     passed = passed.with_added(PRIORITY_HEADER, str(tier))
     if not delivered_events:
         return passed
@@ -291,7 +294,7 @@
     if failed:
         return outcomes.Outcome.FAILED
     if response.close_delimited:
-        # Its end is told by nothing but the closed connection, so that a
-        # truncated answer would look the same.
+        # Only the closed connection marks the end, so a truncated response
+        # would look the same.
         return outcomes.Outcome.UNKNOWN
     return outcomes.Outcome.COMPLETE
--- a/packages/daemon/src/lagoonrun_daemon/execution.py
+++ b/packages/daemon/src/lagoonrun_daemon/execution.py
@@ -1,8 +1,9 @@
-"""Carry one call from its first permit to its final answer.
+"""Execute one call, from its first permit to its final response.
 
-The loop: obtain a permit, claim if the call may run only once, send, deliver.
-What is lost before the caller got a byte is tried again only where that
-cannot run a non-idempotent request twice.
+Each iteration obtains a permit, claims the idempotency key if the call may run
+only once, sends the request and delivers the response. An attempt that is lost
+before the caller got a byte is retried only if that cannot run a
+non-idempotent request twice.
 """
 
 import asyncio
@@ -26,14 +27,14 @@
 
 
 class CallExecution:
-    """Run one call to its end.
+    """Execute one call to its end.
 
     Parameters
     ----------
     call
         The resolved request.
     services
-        Shared parts of the daemon.
+        Shared components of the daemon.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self._call = call
         self._services = services
         self._attempts = 0
-        # What is known of all attempts together.
+        # Outcome of all attempts so far.
         self._ran = outcomes.Outcome.NOT_RUN
         self._seeker = permit_seeking.PermitSeeker(call=call, services=services)
         self._delivery = delivery.Delivery(call=call, services=services)
@@ -55,21 +56,21 @@
 
     @property
     def first_token_at(self) -> float | None:
-        """Instant of the first streamed part; None where none came."""
+        """Time of the first streamed part; None if there was none."""
         return self._delivery.relay.first_token_at
 
     @property
     def must_finish(self) -> bool:
-        """Whether the call goes on even if its caller leaves.
+        """Whether the call continues even if its caller disconnects.
 
-        A plain non-idempotent call that was sent is let run to its end, so
-        that its outcome is recorded.
+        A plain non-idempotent call that was sent runs to its end, so that its
+        outcome is recorded.
         """
         plain = self._call.resolved.service.kind is model.ServiceKind.PLAIN
         return plain and not self._call.idempotent and self._delivery.sent
 
     async def run(self) -> outcomes.Ending:
-        """Return how the call ended, after the caller has been answered."""
+        """Return how the call ended, after responding to the caller."""
         self._services.budget.record_first_attempt(
             self._call.resolved.profile.name
         )
@@ -91,29 +92,31 @@
         permit = await self._obtain_permit()
         if isinstance(permit, permit_types.PermitRefusal):
             return await self._refuse(permit)
-        self._note(
+        self._add_step(
             "permit-granted",
             f"{permit.upstream} by {permit.dispatcher} for {permit.shard}",
         )
         refusal = await self._claim(permit)
         if refusal is not None:
-            return await self._answer_ending(refusal)
+            return await self._respond_with(refusal)
         upstream = self._seeker.usable_upstream(permit)
         if upstream is None:
-            self._note("permit-unused", f"{permit.upstream}: old or leaving")
+            self._add_step(
+                "permit-unused", f"{permit.upstream}: old or leaving"
+            )
             self._services.permits.give_back(permit)
             return None
         if not self._once.may_send():
             self._once.settle(outcomes.Outcome.NOT_RUN)
             self._services.permits.give_back(permit)
             return None
-        self._note("sent", upstream.id)
+        self._add_step("sent", upstream.id)
         result = await self._delivery.send(
             permit,
             upstream,
-            keeps_failures=not self._may_repeat(),
-            # Connecting may take longer than a permit lasts, and the process
-            # may be frozen meanwhile: what was checked above is old by then.
+            delivers_failures=not self._may_repeat(),
+            # Connecting may take longer than the permit is valid, and the
+            # process may freeze meanwhile: the checks above may be outdated.
             may_write=lambda: (
                 self._seeker.usable_upstream(permit) is not None
                 and self._once.may_send()
@@ -141,26 +144,26 @@
     async def _claim(
         self, permit: permit_types.Permit
     ) -> outcomes.Ending | None:
-        """Claim the call's key; return the refusal if that did not work."""
+        """Claim the call's key; return the refusal if the claim failed."""
         try:
-            refusal = await self._once.secure()
+            refusal = await self._once.claim_key()
         except BaseException:
             self._services.permits.give_back(permit)
             raise
         if refusal is not None:
-            self._note("claim-refused", refusal.reason.value)
+            self._add_step("claim-refused", refusal.reason.value)
             self._services.permits.give_back(permit)
         return refusal
 
     async def _leave_running(
         self, still: delivery.StillRunning
     ) -> outcomes.Ending:
-        """Tell the caller at the limit, and record the true end later."""
-        self._note("running-past-limit")
-        guard = self._once.take_over()
-        late = asyncio.create_task(self._record_late(still, guard))
+        """Respond to the caller at the limit and record the outcome later."""
+        self._add_step("running-past-limit")
+        guard = self._once.transfer()
+        late = asyncio.create_task(self._record_late_outcome(still, guard))
         self._services.unfinished.add(late)
-        return await self._answer_ending(
+        return await self._respond_with(
             outcomes.Ending(
                 outcome=outcomes.Outcome.UNKNOWN,
                 reason=outcomes.Reason.DEADLINE,
@@ -168,7 +171,7 @@
             )
         )
 
-    async def _record_late(
+    async def _record_late_outcome(
         self, still: delivery.StillRunning, guard: at_most_once.OnceGuard
     ) -> None:
         outcome = outcomes.Outcome.UNKNOWN
@@ -180,11 +183,11 @@
                 outcome = result.outcome
         finally:
             guard.settle(outcome)
-            self._note("ended-past-limit", outcome.value)
+            self._add_step("ended-past-limit", outcome.value)
 
     async def _after_loss(self, lost: attempt.Lost) -> outcomes.Ending | None:
-        """Try again where that is harmless, else tell the caller."""
-        self._note("lost", f"{lost.upstream}: {lost.detail}")
+        """Retry if that is safe, else report the loss to the caller."""
+        self._add_step("lost", f"{lost.upstream}: {lost.detail}")
         if lost.reason is outcomes.Reason.UPSTREAM_MISMATCH:
             logs.emit(
                 events.LogEvent.UPSTREAM_MISMATCH,
@@ -201,7 +204,7 @@
             self._seeker.exclude(lost.upstream)
             self._count_another_try(lost)
             return None
-        return await self._answer_ending(
+        return await self._respond_with(
             outcomes.Ending(
                 outcome=self._ran,
                 reason=lost.reason,
@@ -212,7 +215,7 @@
         )
 
     async def _may_try_again(self, lost: attempt.Lost) -> bool:
-        """Spend a retry and wait for its backoff, if there may be one."""
+        """Use a retry if one is allowed, and wait for its backoff."""
         self._attempts += 1
         profile = self._call.resolved.profile
         decided = self._services.budget.decide(
@@ -225,7 +228,7 @@
             resumes=self._call.exchange.started,
         )
         if isinstance(decided, retries.RetryDenied):
-            self._note("retry-denied", decided.reason.value)
+            self._add_step("retry-denied", decided.reason.value)
             return False
         remaining = self._call.limit_at - self._services.clock.monotonic()
         if decided.delay_seconds >= remaining:
@@ -241,7 +244,7 @@
     async def _refuse(
         self, refusal: permit_types.PermitRefusal
     ) -> outcomes.Ending:
-        return await self._answer_ending(
+        return await self._respond_with(
             outcomes.Ending(
                 outcome=self._ran,
                 reason=refusal.reason,
@@ -249,8 +252,8 @@
             )
         )
 
-    async def _answer_ending(self, ending: outcomes.Ending) -> outcomes.Ending:
-        """Give the caller its final answer and return what it was told."""
+    async def _respond_with(self, ending: outcomes.Ending) -> outcomes.Ending:
+        """Send the caller its final response and return the ending sent."""
         if self._call.exchange.started:
             return await self._delivery.relay.end_partial(
                 ending.reason, ending.upstream
@@ -268,7 +271,7 @@
         if self._call.exchange.started:
             counted = self._services.metrics.resumes
             event = events.LogEvent.REQUEST_RESUMED
-        self._note(
+        self._add_step(
             event.label,
             f"without {lost.upstream}, after "
             f"{self._delivery.relay.delivered_events} delivered events",
@@ -282,5 +285,5 @@
             delivered_events=self._delivery.relay.delivered_events,
         )
 
-    def _note(self, what: str, detail: str = "") -> None:
-        self._services.note(self._call, what, detail)
+    def _add_step(self, what: str, detail: str = "") -> None:
+        self._services.add_step(self._call, what, detail)
--- a/packages/daemon/src/lagoonrun_daemon/permit_seeking.py
+++ b/packages/daemon/src/lagoonrun_daemon/permit_seeking.py
@@ -1,4 +1,4 @@
-"""Seek a permit for one call, in the own failure domain and in others."""
+"""Obtain a permit for one call, in the own failure domain or another."""
 
 from lagoonrun_config import model
 from lagoonrun_core import outcomes, types
@@ -7,10 +7,10 @@
 from lagoonrun_daemon import services as daemon_services
 
 MAXIMUM_PERMIT_AGE_SECONDS = 1.0
-"""An older permit is given back: its upstream may be leaving by now."""
+"""An older permit is returned: its upstream may be leaving by now."""
 
-_FLAT_RETRY_AFTER_SECONDS = 1.0
-_ROOM_REASONS = frozenset(
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
+_CAPACITY_REASONS = frozenset(
     {
         outcomes.Reason.QUEUE_FULL,
         outcomes.Reason.SHED_FOR_HIGHER_TIER,
@@ -22,14 +22,14 @@
 
 
 class PermitSeeker:
-    """Ask one shard after the other for a permit.
+    """Request a permit from one shard after another.
 
     Parameters
     ----------
     call
-        The call that is to be sent.
+        The call to be sent.
     services
-        Shared parts of the daemon.
+        Shared components of the daemon.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._excluded: tuple[types.UpstreamId, ...] = ()
 
     def exclude(self, upstream: types.UpstreamId) -> None:
-        """Never again take a permit for `upstream`, which failed the call."""
+        """Request no more permits for `upstream`, where the call failed."""
         self._excluded = (*self._excluded, upstream)
 
     def exclude_upstreams_without_resume(self) -> None:
-        """Leave only engines that can go on after the delivered events."""
+        """Exclude engines that cannot resume after the delivered events."""
         upstreams = self._call.configuration.upstreams_by_id.values()
         self._excluded += tuple(
             upstream.id
@@ -57,44 +57,45 @@
     async def obtain(
         self,
     ) -> permit_types.Permit | permit_types.PermitRefusal:
-        """Ask the own domain's shard first, then others that are reachable.
+        """Ask the own domain's shards first, then other reachable ones.
 
-        Before a request is refused for room, other shards are asked, so that
-        no high tier is refused here while lower ones are admitted there.
+        Before a request is refused for lack of capacity, other shards are
+        asked, so that no high tier is refused here while lower tiers are
+        admitted elsewhere.
         """
         first_refusal: permit_types.PermitRefusal | None = None
         search = shard_search.ShardSearch(
             call=self._call, services=self._services
         )
         while (shard := search.next_shard()) is not None:
-            answer = await self._services.permits.obtain(
-                self._wanted(shard, search.limits(shard))
+            result = await self._services.permits.obtain(
+                self._wanted(shard, search.begin_ask(shard))
             )
-            if isinstance(answer, permit_types.Permit):
-                return answer
-            self._services.note(
+            if isinstance(result, permit_types.Permit):
+                return result
+            self._services.add_step(
                 self._call,
                 "permit-refused",
-                f"{answer.reason.value} by {answer.dispatcher or 'nobody'} "
+                f"{result.reason.value} by {result.dispatcher or 'nobody'} "
                 f"for {shard}",
             )
-            search.note_refusal(shard, answer)
+            search.record_refusal(shard, result)
             if first_refusal is None:
-                first_refusal = answer
-            if answer.reason not in _ROOM_REASONS:
+                first_refusal = result
+            if result.reason not in _CAPACITY_REASONS:
                 break
         return first_refusal or permit_types.PermitRefusal(
             reason=outcomes.Reason.NO_UPSTREAM,
-            retry_after_seconds=_FLAT_RETRY_AFTER_SECONDS,
+            retry_after_seconds=_DEFAULT_RETRY_AFTER_SECONDS,
         )
 
     def usable_upstream(
         self, permit: permit_types.Permit
     ) -> model.Upstream | None:
-        """Check a permit again at its point of use.
+        """Return the permit's upstream if the permit may still be used.
 
-        Between grant and use the process may have been frozen or the
-        upstream may have begun to leave; such a permit is not used.
+        Between grant and use, the process may have been frozen or the
+        upstream may have started to leave; such a permit must not be used.
         """
         fresh = self._services.permits.is_fresh(
             permit, maximum_age_seconds=MAXIMUM_PERMIT_AGE_SECONDS
--- a/packages/daemon/src/lagoonrun_daemon/services.py
+++ b/packages/daemon/src/lagoonrun_daemon/services.py
@@ -1,4 +1,4 @@
-"""What the work on every call needs of the daemon."""
+"""Components of the daemon that the execution of calls shares."""
 
 import dataclasses
 
@@ -20,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Services:
-    """Shared parts of the daemon.
+    """Shared components of the daemon.
 
     Parameters
     ----------
     settlements
-        Writes of last claim states.
+        Tasks that write final claim states.
     unfinished
-        Calls that run on after their caller has got its final answer.
+        Calls that are still running after their final response.
     """
 
     entry_vm: types.EntryVmId
@@ -43,7 +43,7 @@
     clock: clocks.Clock
     metrics: metrics.DaemonMetrics
 
-    def note(self, call: calls.Call, what: str, detail: str = "") -> None:
+    def add_step(self, call: calls.Call, what: str, detail: str = "") -> None:
         """Add a step of a call to its explanation; see `Happening`."""
         self.explanations.add_happening(
             call.request_id,
--- a/packages/daemon/src/lagoonrun_daemon/shard_search.py
+++ b/packages/daemon/src/lagoonrun_daemon/shard_search.py
@@ -1,4 +1,4 @@
-"""The shards that one call asks for a permit, one after the other."""
+"""Order in which one call asks shards for a permit."""
 
 from collections.abc import Sequence
 
@@ -12,27 +12,27 @@
 _MAXIMUM_SHARDS_ASKED = 5
 
 _SILENCE_SHARE = 0.25
-"""Share of the time to the target that silent domains may cost a call."""
+"""Fraction of the time to its target that a call may lose to silent domains."""
 
-_ROUND_TRIPS_TO_ANSWER = 1.5
+_ROUND_TRIPS_TO_REPLY = 1.5
 
 
 class ShardSearch:
     """Choose shards: those of the own domain, then others by their summaries.
 
-    A domain that is cut off does not answer, and nobody has told of it yet.
-    All such domains together cost a call a bounded share of its time: each
-    may use up half of what is left of it, and the region of a silent domain
-    comes last from then on. Before the call is refused, those given up so are
-    asked again with a share of the time to its limit: of a domain whose
-    dispatcher alone has died, the next-ranked one answers then.
+    A domain that was just cut off does not reply, and the membership does not
+    know it yet. The time that a call may lose to all such domains is bounded:
+    each may use half of the remaining budget, and further shards in the region
+    of a silent domain are moved to the end. Before the call is refused, the
+    shards given up are asked again with a share of the time to its limit: if
+    only the dispatcher of a domain has died, the next-ranked one replies then.
 
     Parameters
     ----------
     call
-        The call that is to be sent.
+        The call to be sent.
     services
-        Shared parts of the daemon.
+        Shared components of the daemon.
     """
 
     def __init__(
@@ -42,23 +42,28 @@
         self._services = services
         self._asked = 0
         self._asked_at = 0.0
-        self._silence_seconds_left = 0.0
+        self._silence_budget_seconds = 0.0
         self._others_ranked = False
         self._given_up: list[types.ShardId] = []
         self._is_second_pass = False
-        self._left = self._own_shards()
+        self._remaining_shards = self._own_shards()
 
     def next_shard(self) -> types.ShardId | None:
-        """Return whom to ask next, None if there is nobody left."""
-        while self._left or self._begin_stage():
-            shard = self._left.pop(0)
+        """Return the shard to ask next, or None if there is none left."""
+        while self._remaining_shards or self._begin_stage():
+            shard = self._remaining_shards.pop(0)
             if self._may_ask(shard):
                 self._asked += 1
                 return shard
         return None
 
-    def limits(self, shard: types.ShardId) -> permit_types.SilenceLimit | None:
-        """Return how long `shard` may stay silent; None in the own domain."""
+    def begin_ask(
+        self, shard: types.ShardId
+    ) -> permit_types.SilenceLimit | None:
+        """Start to ask `shard`; return how long it may stay silent.
+
+        None, that is no limit, in the own domain.
+        """
         domain = membership_shards.domain_of(shard)
         fleet = self._services.fleet
         self._asked_at = self._services.clock.monotonic()
@@ -66,18 +71,18 @@
             return None
         self._services.reach.begin_ask(domain)
         distance = fleet.distance_to(domain)
-        # Less than the way takes would find every far domain silent.
+        # A limit below the round trip would find each distant domain silent.
         allowed = max(
-            self._silence_seconds_left / 2, _ROUND_TRIPS_TO_ANSWER * distance
+            self._silence_budget_seconds / 2, _ROUND_TRIPS_TO_REPLY * distance
         )
         return permit_types.SilenceLimit(
             distance_seconds=distance, at=self._asked_at + allowed
         )
 
-    def note_refusal(
+    def record_refusal(
         self, shard: types.ShardId, refusal: permit_types.PermitRefusal
     ) -> None:
-        """Take in that `shard` gave no permit."""
+        """Record that `shard` granted no permit."""
         domain = membership_shards.domain_of(shard)
         fleet = self._services.fleet
         if refusal.reason is not outcomes.Reason.NO_DISPATCHER:
@@ -87,25 +92,29 @@
         if not self._is_second_pass:
             self._given_up.append(shard)
         lost = self._services.clock.monotonic() - self._asked_at
-        self._silence_seconds_left = max(0.0, self._silence_seconds_left - lost)
+        self._silence_budget_seconds = max(
+            0.0, self._silence_budget_seconds - lost
+        )
         region = fleet.region_of(domain)
-        self._left.sort(key=lambda other: self._region_of(other) == region)
+        self._remaining_shards.sort(
+            key=lambda other: self._region_of(other) == region
+        )
 
     def _begin_stage(self) -> bool:
-        """Take the next shards to ask; return whether there are any."""
+        """Determine the next shards to ask; return whether there are any."""
         if not self._others_ranked:
-            # Ranked only now: the own domain's queue may have taken long.
+            # Ranked only now, as the wait in the own domain may have been long.
             self._others_ranked = True
-            self._left = self._other_shards()
-        if not self._left and self._given_up:
+            self._remaining_shards = self._other_shards()
+        if not self._remaining_shards and self._given_up:
             self._begin_second_pass()
-        return bool(self._left)
+        return bool(self._remaining_shards)
 
     def _begin_second_pass(self) -> None:
         now = self._services.clock.monotonic()
         remaining = max(self._call.limit_at - now, 0.0)
-        self._silence_seconds_left = _SILENCE_SHARE * remaining
-        self._left, self._given_up = self._given_up, []
+        self._silence_budget_seconds = _SILENCE_SHARE * remaining
+        self._remaining_shards, self._given_up = self._given_up, []
         self._is_second_pass = True
 
     def _own_shards(self) -> list[types.ShardId]:
@@ -121,7 +130,7 @@
         now = self._services.clock.monotonic()
         target = self._call.target_at - now
         limit = self._call.limit_at - now
-        self._silence_seconds_left = _SILENCE_SHARE * (
+        self._silence_budget_seconds = _SILENCE_SHARE * (
             target if target > 0 else max(limit, 0.0)
         )
         views = self._services.fleet.other_shard_views(
--- a/packages/daemon/tests/failures/test_lost_regions.py
+++ b/packages/daemon/tests/failures/test_lost_regions.py
@@ -1,4 +1,4 @@
-"""Other regions that stop answering while requests look for room there.
+"""Other regions stop replying while requests search for capacity there.
 
 Time is virtual: the event loop's clock jumps to the next timer.
 """
@@ -34,8 +34,8 @@
 }
 _VMS_PER_DOMAIN = 5
 _ENTRY_VM = "vm-east-a-0"
-_NEAR_SECONDS = 0.001
-_FAR_SECONDS = 0.08
+_SAME_REGION_SECONDS = 0.001
+_OTHER_REGION_SECONDS = 0.08
 
 TARGET_SECONDS = 0.6
 LIMIT_SECONDS = 4.0
@@ -55,7 +55,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Let the loop's clock jump where it would wait."""
+    """Advance the loop's clock instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -69,7 +69,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only while nothing is to be done."""
+    """An event loop whose time advances only while it is idle."""
 
     def __init__(self):
         self._jumping = _JumpingSelector()
@@ -89,7 +89,7 @@
 
 
 class Members:
-    """What a membership would tell: who lives, how far, with what room."""
+    """Fake membership: live members, distances and shard summaries."""
 
     def __init__(self):
         self.dead_domains = set()
@@ -105,7 +105,7 @@
         }
 
     def summary_of(self, shard):
-        """Return what a shard's dispatcher told last."""
+        """Return the last summary of a shard."""
         return self.summaries_by_shard.get(shard)
 
     def eligible_in(self, domain):
@@ -113,16 +113,16 @@
         return () if domain in self.dead_domains else _vms(domain)
 
     def round_trip_to(self, domain):
-        """Return how far a domain is."""
+        """Return the round-trip time to a domain."""
         return _distance(domain)
 
     def upstream_is_leaving(self, upstream):
-        """Return that none is."""
+        """Return False: no upstream is leaving."""
         return False
 
 
 class Dispatchers:
-    """All dispatchers: each domain answers in its own way, or not at all."""
+    """Fake dispatchers whose replies are set per domain."""
 
     def __init__(self):
         self.silent = set()
@@ -133,7 +133,7 @@
         self.client = None
 
     def send(self, to, message):
-        """Take a message in; answer it when its way there and back is over."""
+        """Receive a message and reply to it after the round trip."""
         if not isinstance(message, messages.PermitRequest):
             return True
         domain = membership_shards.domain_of(message.shard)
@@ -166,11 +166,11 @@
     if domain == OWN:
         return 0.0
     near = _REGION_BY_DOMAIN[domain] == _REGION_BY_DOMAIN[OWN]
-    return _NEAR_SECONDS if near else _FAR_SECONDS
+    return _SAME_REGION_SECONDS if near else _OTHER_REGION_SECONDS
 
 
 def refuses(message, keyed):
-    """Refuse for room at once."""
+    """Refuse immediately for lack of capacity."""
     del message
     return 0.0, messages.PermitRefused(
         **keyed,
@@ -180,7 +180,7 @@
 
 
 def grants_after(seconds):
-    """Return the answer of a dispatcher with a short queue."""
+    """Return the reply function of a dispatcher with a short queue."""
 
     def grant(message, keyed):
         return seconds, messages.PermitGranted(
@@ -205,7 +205,7 @@
 
 
 class World:
-    """One ingress in the middle of five domains in three regions."""
+    """One ingress and five domains in three regions."""
 
     def __init__(self):
         self.clock = LoopClock()
@@ -235,11 +235,11 @@
             reach=self.reach,
             permits=self.client,
             clock=self.clock,
-            note=lambda call, what, detail: None,
+            add_step=lambda call, what, detail: None,
         )
 
-    def tell(self, domain, *, free=0, wait_seconds=0.0):
-        """Have a domain's summary known."""
+    def set_summary(self, domain, *, free=0, wait_seconds=0.0):
+        """Set the summary of a domain's shard."""
         shard = f"portal@{domain}/0"
         self.members.summaries_by_shard[shard] = messages.ShardSummary(
             shard=shard,
@@ -251,7 +251,7 @@
         )
 
     async def seek(self):
-        """Have one lookup seek a permit; return it and its seconds."""
+        """Obtain a permit for one lookup; return it and the time taken."""
         configuration = self.fleet.configuration
         service = configuration.services_by_name["lookups"]
         now = self.clock.monotonic()
@@ -280,7 +280,7 @@
 
 @pytest.fixture
 def run():
-    """Return what runs a scenario on a world in virtual time."""
+    """Return a function that runs a scenario in virtual time."""
 
     def run_scenario(scenario):
         async def on_new_world():
@@ -292,17 +292,17 @@
     return run_scenario
 
 
-def lost_regions(world):
-    """Two regions with room are cut off; the near domain has a queue."""
+def cut_off_regions(world):
+    """Cut off two regions with capacity; the near domain has a queue."""
     for domain in ("north-a", "north-b", "west-a"):
-        world.tell(domain, free=8)
+        world.set_summary(domain, free=8)
         world.dispatchers.silent.add(domain)
-    world.tell("east-b", wait_seconds=2.0)
+    world.set_summary("east-b", wait_seconds=2.0)
     world.dispatchers.answer_by_domain["east-b"] = grants_after(0.2)
 
 
 async def burst(world, *, requests, period_seconds):
-    """Have lookups come in at a steady rate; return all answers."""
+    """Start lookups at a constant rate; return all results."""
     tasks = []
     for _ in range(requests):
         tasks.append(asyncio.create_task(world.seek()))
@@ -311,15 +311,16 @@
 
 
 def test_lost_regions_cost_lookups_no_target(run):
-    """Two regions are cut off under load, and nobody has told of it yet.
+    """Two regions are cut off under load and not yet considered dead.
 
-    The own shard refuses for room, the far ones had free runners a moment
-    ago, the near one a queue. Each lookup asked the far entry VMs one after
-    the other, 150 ms each, while the near queue would have served it in time.
+    The own shard refuses for lack of capacity, the last summaries of the far
+    shards show free runners, and the near shard has a queue. Each lookup asked
+    the far entry VMs one after another, 150 ms each, although the near queue
+    would have served it in time.
     """
 
     async def scenario(world):
-        lost_regions(world)
+        cut_off_regions(world)
         answers = await burst(world, requests=500, period_seconds=0.02)
         return world, answers
 
@@ -328,7 +329,7 @@
         assert isinstance(permit, permit_types.Permit)
         assert world.domain_of(permit) == "east-b"
     assert max(seconds for _, seconds in answers) <= TARGET_SECONDS
-    # After the first second or two, only trials ask in vain.
+    # After the first two seconds, only probes wait for no reply.
     delayed = [seconds for _, seconds in answers[100:] if seconds > 0.25]
     assert len(delayed) <= 12
 
@@ -336,12 +337,12 @@
 def test_other_domains_of_a_silent_region_come_last(run):
     """A lookup has found one domain of a far region silent.
 
-    The region's other domain looks as good, but is most likely cut off too:
-    asked next, it would cost time that others could have served it in.
+    The region's other domain has an equally good summary but is probably cut
+    off too. Asking it next would use up time in which others could serve.
     """
 
     async def scenario(world):
-        lost_regions(world)
+        cut_off_regions(world)
         answer = await world.seek()
         return world, answer
 
@@ -352,14 +353,14 @@
 
 
 def test_room_of_a_region_that_is_back_is_used_again(run):
-    """A cut of half a minute ends; the far region has room, the near none.
+    """A partition of 30 s ends; only the far region has capacity.
 
-    The far domains are passed over meanwhile; one lookup now and then has to
-    try them, or their room would stay unused until a restart.
+    The far domains are skipped meanwhile. If no lookup probed them from time
+    to time, their capacity would stay unused until a restart.
     """
 
     async def scenario(world):
-        lost_regions(world)
+        cut_off_regions(world)
         world.dispatchers.answer_by_domain["east-b"] = refuses
         await burst(world, requests=300, period_seconds=0.1)
         world.dispatchers.silent.clear()
@@ -372,15 +373,15 @@
 
 
 def test_one_dead_entry_vm_does_not_hide_its_domain(run):
-    """The dispatcher of a far shard dies; its domain goes on without it.
+    """The dispatcher of a far shard dies; its domain continues without it.
 
-    The next-ranked one has to be asked by the same lookup. Were the domain
-    passed over for one silent entry VM, lookups would be refused here while
-    lower tiers run there.
+    The same lookup must ask the next-ranked one. If one silent entry VM made
+    the whole domain skipped, lookups would be refused here while lower tiers
+    run there.
     """
 
     async def scenario(world):
-        world.tell("west-a", free=8)
+        world.set_summary("west-a", free=8)
         world.dispatchers.answer_by_domain["east-b"] = refuses
         for domain in ("north-a", "north-b"):
             world.dispatchers.answer_by_domain[domain] = refuses
@@ -397,13 +398,14 @@
 def test_slow_acknowledgement_hides_nobody(run):
     """A dispatcher is busy and acknowledges after 120 ms.
 
-    A lookup with little time left goes on without it, but that is no silence:
-    all others of this entry VM would pass a healthy dispatcher over.
+    A lookup with little time left continues without it. That must not count
+    as silence: all other lookups of this entry VM would skip a healthy
+    dispatcher.
     """
 
     async def scenario(world):
         world.dispatchers.acknowledge_seconds = 0.12
-        world.tell("east-b", free=8)
+        world.set_summary("east-b", free=8)
         for domain in ("north-a", "north-b", "west-a"):
             world.dispatchers.answer_by_domain[domain] = refuses
         await burst(world, requests=10, period_seconds=0.5)
@@ -417,14 +419,15 @@
 
 
 def test_far_dispatcher_is_not_silent_for_the_way(run):
-    """A region is further away than a near dispatcher may stay silent.
+    """The round trip to a region exceeds the acknowledgement timeout.
 
-    Each acknowledgement comes after 150 ms; every dispatcher there would be
-    passed over, and a second one would grant the same runners.
+    Each acknowledgement takes more than 150 ms. Without an allowance for the
+    round trip, every dispatcher there would be skipped, and a second one would
+    grant the same runners.
     """
 
     async def scenario(world):
-        world.tell("west-a", free=8)
+        world.set_summary("west-a", free=8)
         world.dispatchers.acknowledge_seconds = 0.1
         for domain in ("east-b", "north-a", "north-b"):
             world.dispatchers.answer_by_domain[domain] = refuses
@@ -438,14 +441,14 @@
 
 
 def test_dead_region_is_dispatched_by_nobody_here(run):
-    """All entry VMs of a far region are held for dead: it is cut off.
+    """All entry VMs of a far region are considered dead: it is cut off.
 
-    Whoever lived took its shards over and granted runners out of reach, and
-    read their load reports in vain.
+    Live entry VMs of other regions took over its shards, granted unreachable
+    runners and tried to read their load reports.
     """
 
     async def scenario(world):
-        lost_regions(world)
+        cut_off_regions(world)
         world.members.dead_domains.update(("north-a", "north-b", "west-a"))
         world.fleet.on_members_changed()
         await burst(world, requests=20, period_seconds=0.02)
@@ -457,7 +460,7 @@
         membership_shards.domain_of(view.shard): view.reachable
         for view in world.fleet.other_shard_views("portal")
     }
-    # They must not take up the few places among those that are asked.
+    # Unreachable shards must not use up the limited number of shards asked.
     assert [d for d, known in reachable.items() if known] == ["east-b"]
     assert set(world.dispatchers.asks_by_domain) == {OWN, "east-b"}
 
--- a/packages/daemon/tests/test_delivery.py
+++ b/packages/daemon/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""What goes to upstreams, and calls that outlive their limit."""
+"""Requests sent to upstreams, and calls that run past their limit."""
 
 import asyncio
 import dataclasses
@@ -27,10 +27,10 @@
     ],
 )
 def test_callers_cannot_forge_what_the_router_sets(forged):
-    """A caller sends a priority of its own with a low-tier request.
+    """A caller sends its own priority header with a low-tier request.
 
-    Passed on before the router's, it would win at the engine, and the
-    caller's work would go before that of the classes above it.
+    If it were forwarded before the router's header, the engine would use it,
+    and the request would overtake those of higher classes.
     """
     headers = delivery.request_headers(
         messages.Headers(pairs=[forged, ("Accept", "text/plain")]),
@@ -53,11 +53,11 @@
 async def test_call_past_its_limit_is_told_at_once_and_recorded_later(
     small_deployment,
 ):
-    """A warning is sent, and the service that takes it hangs.
+    """A warning is sent to a service that hangs.
 
-    The caller is told at the warning's limit that its end is not known. The
-    service wakes and runs the warning once; a retry with the same key is
-    told how it ended and does not run it again.
+    At the warning's limit, the caller gets the outcome "unknown". When the
+    service resumes, it runs the warning once; a retry with the same key gets
+    its outcome and does not run it again.
     """
     headers = (("Idempotency-Key", "spill-9"),)
     small_deployment.portal.control({"frozen": True})
@@ -78,10 +78,10 @@
 async def test_call_that_may_run_once_goes_on_from_an_unreachable_upstream(
     small_deployment,
 ):
-    """One of two servers that take warnings has crashed.
+    """One of two servers for warnings has crashed.
 
-    No byte of a warning that is granted there leaves. It goes to the other
-    server, once, instead of being told "not run" to its caller.
+    No byte of a warning that is granted there is sent. It must be sent to the
+    other server, once, instead of being reported as "not-run".
     """
     await _add_unreachable_portal(small_deployment)
     for _ in range(6):
