--- a/packages/daemon/src/lagoonrun_daemon/decision_log.py
+++ b/packages/daemon/src/lagoonrun_daemon/decision_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the dispatcher's decisions."""
+"""Log events of the dispatcher's decisions."""
 
 import logging
 from collections.abc import Set
@@ -30,7 +30,7 @@
 
 
 def log_cut(shard: types.ShardId, action: policy_messages.Cut) -> None:
-    """Log that running work is stopped for a higher tier."""
+    """Log that a running request is cancelled in favour of a higher tier."""
     logs.emit(
         events.LogEvent.REQUEST_CUT,
         request_id=action.key.request_id,
@@ -46,7 +46,7 @@
     before: Set[types.UpstreamId],
     after: Set[types.UpstreamId],
 ) -> None:
-    """Log which runners failed out of service, and which came back."""
+    """Log which runners were ejected after failures, and which restored."""
     for upstream in sorted(after - before):
         logs.emit(
             events.LogEvent.UPSTREAM_EJECTED,
--- a/packages/daemon/src/lagoonrun_daemon/dispatcher.py
+++ b/packages/daemon/src/lagoonrun_daemon/dispatcher.py
@@ -1,8 +1,8 @@
-"""The dispatcher of the shards that this entry VM is asked to dispatch.
+"""Dispatch the shards for which this entry VM is asked for permits.
 
-It turns permit messages into scheduler events and scheduler actions into
-messages. Its state is soft: after its loss every ingress registers what it
-has in flight with the next-ranked entry VM.
+The dispatcher translates permit messages into scheduler events and scheduler
+actions into messages. Its state is soft: if it is lost, every ingress
+registers its in-flight requests with the next-ranked entry VM.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 from lagoonrun_policy import messages as policy_messages
 from lagoonrun_protocol import messages
 
-_LONGEST_SLEEP_SECONDS = 1.0
+_MAX_SLEEP_SECONDS = 1.0
 
 
 class ShardView(Protocol):
-    """What the dispatcher asks of the daemon's view of the fleet."""
+    """The part of the daemon's view of the fleet that a dispatcher needs."""
 
     def owner_of(self, shard: types.ShardId) -> types.EntryVmId | None:
         """Return the entry VM ranked first for `shard`."""
 
     def leaving_upstreams(self) -> frozenset[types.UpstreamId]:
-        """Return the upstreams that get no new work."""
+        """Return the upstreams that get no new requests."""
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -48,7 +48,7 @@
 
 
 class Dispatcher:
-    """Own the schedulers of shards and answer permit messages.
+    """Run the schedulers of the owned shards and reply to permit messages.
 
     Parameters
     ----------
@@ -57,14 +57,14 @@
     view
         Ranking and upstream states.
     transport
-        Carries the answers.
+        Sends the replies.
     explanations
-        Keeps a record of each decision.
+        Stores a record of each decision.
     clock
         Source of time.
     switches
-        Which parts of the order of service are in use; all that are meant
-        for service if None.
+        Scheduling features that are enabled; the production defaults if
+        None.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
 
     @property
     def owned_shards(self) -> Sequence[types.ShardId]:
-        """Shards that this entry VM dispatches at present."""
+        """Shards that this entry VM currently dispatches."""
         return tuple(self._owned_by_id)
 
     def scheduler_of(
@@ -111,7 +111,7 @@
         )
 
     def summaries(self) -> Sequence[shard_ranking.ShardView]:
-        """Return what other domains need to know of the owned shards."""
+        """Return the summaries of the owned shards for other domains."""
         now = self._clock.monotonic()
         return [
             owned.scheduler.summary(now=now)
@@ -119,7 +119,7 @@
         ]
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take over a new revision for all shards."""
+        """Apply a new configuration revision to all shards."""
         self._configuration = configuration
         self._shards_by_id = {
             shard.id: shard for shard in shards.shards_of(configuration)
@@ -134,10 +134,10 @@
     def on_upstream_changed(
         self, upstream: types.UpstreamId, *, leaving: bool
     ) -> None:
-        """Pass an upstream's state on to the scheduler of its shard.
+        """Forward an upstream's state to the scheduler of its shard.
 
-        A new policy would not do: it says nothing of liveness, so that an
-        upstream that has come back would get no work until a handover.
+        A new policy does not suffice: it has no liveness, so an upstream that
+        has returned would get no requests until a handover.
         """
         state = (
             policy_messages.UpstreamState.LEAVING
@@ -147,42 +147,42 @@
         event = policy_messages.UpstreamChanged(upstream=upstream, state=state)
         for shard_id, owned in list(self._owned_by_id.items()):
             if any(known.id == upstream for known in owned.shard.upstreams):
-                self._handle(shard_id, event)
+                self._apply_event(shard_id, event)
 
     def on_ranking_changed(self) -> None:
-        """Release shards that another entry VM is ranked first for."""
+        """Release shards for which another entry VM is ranked first."""
         for shard_id in list(self._owned_by_id):
             if self._view.owner_of(shard_id) != self._entry_vm:
                 self._release(shard_id)
 
     def on_ingress_gone(self, ingress: types.EntryVmId) -> None:
-        """Forget what a dead entry VM had running and waiting."""
+        """Drop the running and waiting requests of a dead entry VM."""
         event = policy_messages.IngressGone(ingress=ingress)
         for shard_id in list(self._owned_by_id):
-            self._handle(shard_id, event)
+            self._apply_event(shard_id, event)
 
     def on_stall(self) -> None:
-        """Take in that this process did not run for a while."""
+        """Notify all schedulers that this process did not run for a while."""
         event = policy_messages.DispatcherStalled()
         for shard_id in list(self._owned_by_id):
-            self._handle(shard_id, event)
+            self._apply_event(shard_id, event)
 
     def on_link_lost(self, ingress: types.EntryVmId) -> None:
-        """Take in the loss of a connection with an entry VM."""
-        self._lost_ingresses.note_lost(ingress)
+        """Start the grace period of an entry VM whose connection was lost."""
+        self._lost_ingresses.record_disconnect(ingress)
 
     def on_load_report(
         self, shard: types.ShardId, report: policy_messages.LoadReported
     ) -> None:
-        """Pass an engine's load report on, if the shard is owned."""
+        """Forward an engine's load report if the shard is owned."""
         if shard in self._owned_by_id:
-            self._handle(shard, report)
+            self._apply_event(shard, report)
 
     def stop_owning(self) -> None:
         """Hand all shards over to other entry VMs, if there are any.
 
-        As the last one that lives, this entry VM dispatches to its end, so
-        that a planned stop refuses nothing that it could still serve.
+        If it is the last one alive, this entry VM dispatches until it exits,
+        so that a planned stop refuses no request that it can still serve.
         """
         self._stopping = True
         self.on_ranking_changed()
@@ -198,8 +198,8 @@
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take in one permit message of an ingress."""
-        self._lost_ingresses.note_heard(sender)
+        """Process one permit message of an ingress."""
+        self._lost_ingresses.record_message(sender)
         match message:
             case messages.PermitRequest():
                 self._on_request(sender, message)
@@ -217,18 +217,18 @@
     ) -> None:
         owner = self._view.owner_of(message.shard)
         known = message.shard in self._shards_by_id
-        others_turn = owner != self._entry_vm and not message.handover
+        owned_elsewhere = owner != self._entry_vm and not message.handover
         handed_over = self._stopping and owner != self._entry_vm
-        out_of_turn = handed_over or others_turn
-        if not known or out_of_turn or self._is_behind(message):
+        not_owner = handed_over or owned_elsewhere
+        if not known or not_owner or self._lacks_profile(message):
             self._send_not_mine(sender, message, owner)
             return
-        owned = self._own(message.shard)
-        self._handle(
+        owned = self._ensure_owned(message.shard)
+        self._apply_event(
             message.shard, permit_events.request_event(sender, message)
         )
         if owned.scheduler.is_waiting(permit_events.key_of(message)):
-            # What was granted or refused at once says as much.
+            # An immediate grant or refusal implies the acknowledgement.
             self._transport.send(
                 sender,
                 messages.PermitAcknowledged(
@@ -237,12 +237,12 @@
                 ),
             )
 
-    def _is_behind(self, message: messages.PermitRequest) -> bool:
-        """Return whether the ingress has a class that is not known here yet.
+    def _lacks_profile(self, message: messages.PermitRequest) -> bool:
+        """Return whether the profile is from a revision not yet known here.
 
-        While a new revision spreads, ingresses may have it first. A refusal
-        would tell callers that a class which is in force does not exist; the
-        ingress asks on until the revision has come here, or elsewhere.
+        An ingress may receive a new revision first. A refusal would tell
+        callers that a class in force does not exist; instead the ingress
+        repeats its request, here or elsewhere, until the revision arrives.
         """
         configuration = self._configuration
         known = message.profile in configuration.profiles_by_name
@@ -270,15 +270,17 @@
         if message.shard not in self._owned_by_id:
             return
         key = permit_events.key_of(message)
-        self._handle(message.shard, policy_messages.PermitReturned(key=key))
+        self._apply_event(
+            message.shard, policy_messages.PermitReturned(key=key)
+        )
 
     def _on_end(self, message: messages.PermitEnd) -> None:
         if message.shard not in self._owned_by_id:
             return
-        self._handle(message.shard, permit_events.ended_event(message))
-        self._note_ejections(self._owned_by_id[message.shard])
+        self._apply_event(message.shard, permit_events.ended_event(message))
+        self._record_ejections(self._owned_by_id[message.shard])
 
-    def _note_ejections(self, owned: _OwnedShard) -> None:
+    def _record_ejections(self, owned: _OwnedShard) -> None:
         ejected = owned.scheduler.ejected_runners()
         decision_log.log_ejections(
             owned.shard.id, before=owned.ejected, after=ejected
@@ -294,23 +296,27 @@
             is_empty = not message.running and not message.waiting
             if is_empty or self._view.owner_of(message.shard) != self._entry_vm:
                 return
-            self._own(message.shard)
+            self._ensure_owned(message.shard)
         owned = self._owned_by_id[message.shard]
         unknown = tuple(
             work
             for work in message.waiting
             if not owned.scheduler.is_waiting(permit_events.key_of(work))
         )
-        self._handle(message.shard, permit_events.digest_event(sender, message))
+        self._apply_event(
+            message.shard, permit_events.digest_event(sender, message)
+        )
         for work in message.running:
             if work.tokens:
-                self._handle(message.shard, permit_events.progress_event(work))
+                self._apply_event(
+                    message.shard, permit_events.progress_event(work)
+                )
         self._transport.send(
             sender,
             messages.DigestAcknowledged(shard=message.shard, unknown=unknown),
         )
 
-    def _own(self, shard_id: types.ShardId) -> _OwnedShard:
+    def _ensure_owned(self, shard_id: types.ShardId) -> _OwnedShard:
         owned = self._owned_by_id.get(shard_id)
         if owned is None:
             owned = _OwnedShard(
@@ -325,7 +331,7 @@
         return owned
 
     def _release(self, shard_id: types.ShardId) -> None:
-        """Tell all that wait here to ask the next dispatcher at once."""
+        """Redirect all waiting requests to the next dispatcher."""
         owned = self._owned_by_id.pop(shard_id)
         if owned.timer:
             owned.timer.cancel()
@@ -357,43 +363,43 @@
 
     def _refresh_policy(self, shard_id: types.ShardId) -> None:
         event = policy_messages.PolicyChanged(policy=self._policy(shard_id))
-        self._handle(shard_id, event)
+        self._apply_event(shard_id, event)
         owned = self._owned_by_id[shard_id]
         leaving = self._view.leaving_upstreams()
         returned = owned.leaving - leaving
         owned.leaving = leaving
-        # A policy never turns a leaving runner live again, since its default
-        # says nothing of liveness: without this event an upstream that came
-        # back, or whose drain was ended, would stay without work for ever.
+        # A policy never makes a leaving runner live again, because its default
+        # does not state liveness: without this event, an upstream that has
+        # returned or whose drain has ended would never get requests again.
         for upstream in sorted(returned):
-            self._handle(
+            self._apply_event(
                 shard_id,
                 policy_messages.UpstreamChanged(
                     upstream=upstream, state=policy_messages.UpstreamState.LIVE
                 ),
             )
 
-    def _handle(
+    def _apply_event(
         self, shard_id: types.ShardId, event: policy_messages.Event
     ) -> None:
         owned = self._owned_by_id[shard_id]
         now = self._clock.monotonic()
         for action in owned.scheduler.handle(event, now=now):
-            self._carry_out(owned, action)
+            self._execute(owned, action)
         self._set_timer(owned)
 
-    def _carry_out(
+    def _execute(
         self, owned: _OwnedShard, action: policy_messages.Action
     ) -> None:
         if isinstance(action, policy_messages.Cut):
             decision_log.log_cut(owned.shard.id, action)
         else:
             self._explanations.add_decision(action.record)
-            # The answer waits in this turn of the loop and leaves first.
+            # Deferred, so that the reply is sent before the log is written.
             loop = asyncio.get_running_loop()
             loop.call_soon(decision_log.log_decision, action.record)
-        answer = permit_events.answer_of(action, shard=owned.shard.id)
-        self._transport.send(action.ingress, answer)
+        reply = permit_events.reply_of(action, shard=owned.shard.id)
+        self._transport.send(action.ingress, reply)
 
     def _set_timer(self, owned: _OwnedShard) -> None:
         if owned.timer:
@@ -403,11 +409,11 @@
         wake = owned.scheduler.next_wake(now=now)
         if wake is None:
             return
-        delay = min(max(wake - now, 0.0), _LONGEST_SLEEP_SECONDS)
+        delay = min(max(wake - now, 0.0), _MAX_SLEEP_SECONDS)
         owned.timer = asyncio.get_running_loop().call_later(
             delay, self._on_timer, owned.shard.id
         )
 
     def _on_timer(self, shard_id: types.ShardId) -> None:
         if shard_id in self._owned_by_id:
-            self._handle(shard_id, policy_messages.Ticked())
+            self._apply_event(shard_id, policy_messages.Ticked())
--- a/packages/daemon/src/lagoonrun_daemon/experiment.py
+++ b/packages/daemon/src/lagoonrun_daemon/experiment.py
@@ -1,4 +1,4 @@
-"""Which order of service the settings of an experiment ask for."""
+"""Scheduling features selected by the settings of an experiment."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 
 class UnknownSwitchError(ValueError):
-    """An experiment names a part of the order of service that is unknown."""
+    """An experiment names an unknown scheduling feature."""
 
 
 def switches_of(experiment: settings.Experiment) -> features.Features:
-    """Return the parts of the order of service that are in use.
+    """Return the scheduling features that the experiment enables.
 
     Raises
     ------
--- a/packages/daemon/src/lagoonrun_daemon/lost_ingresses.py
+++ b/packages/daemon/src/lagoonrun_daemon/lost_ingresses.py
@@ -1,4 +1,4 @@
-"""Ingresses whose connection was lost and that have been silent since."""
+"""Detect ingresses that stay silent after their connection was lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,24 +6,24 @@
 from lagoonrun_core import types
 
 GRACE_SECONDS = 3.0
-"""Silence after a lost connection that shows an ingress's permits as ended.
+"""Silence after a lost connection until an ingress's permits are dropped.
 
-Several periods of its digests, so that one that lives has been heard.
+Several times the digest period, so that a live ingress has sent a message.
 """
 
 
 class LostIngresses:
     """Timers of ingresses whose connection was lost.
 
-    An entry VM that is replaced under its name at once may never be seen
-    dead, and the new process knows nothing of the old one's permits: their
-    slots would stay taken. What tells is the lost connection and that no
-    digest follows it.
+    If an entry VM is replaced quickly under the same name, the membership may
+    never consider it dead, and the new process does not know the permits of
+    the old one: their slots would stay occupied. A lost connection that no
+    digest follows reveals this.
 
     Parameters
     ----------
     on_silent
-        Called with an ingress that was not heard within the grace.
+        Called with an ingress that sent no message in the grace period.
     grace_seconds
         See `GRACE_SECONDS`.
     """
@@ -38,8 +38,8 @@
         self._grace_seconds = grace_seconds
         self._timers_by_ingress: dict[types.EntryVmId, asyncio.TimerHandle] = {}
 
-    def note_lost(self, ingress: types.EntryVmId) -> None:
-        """Take in that the connection with `ingress` ended."""
+    def record_disconnect(self, ingress: types.EntryVmId) -> None:
+        """Start the grace period of `ingress`, whose connection was lost."""
         if ingress not in self._timers_by_ingress:
             self._timers_by_ingress[ingress] = (
                 asyncio.get_running_loop().call_later(
@@ -47,8 +47,8 @@
                 )
             )
 
-    def note_heard(self, ingress: types.EntryVmId) -> None:
-        """Take in any message of `ingress`."""
+    def record_message(self, ingress: types.EntryVmId) -> None:
+        """Cancel the grace period of `ingress` on any message of it."""
         timer = self._timers_by_ingress.pop(ingress, None)
         if timer is not None:
             timer.cancel()
--- a/packages/daemon/src/lagoonrun_daemon/naive_permits.py
+++ b/packages/daemon/src/lagoonrun_daemon/naive_permits.py
@@ -1,7 +1,8 @@
-"""Permits without a dispatcher, for measuring what the dispatcher buys.
+"""Permits without a dispatcher, as a baseline for measuring its benefit.
 
-Each entry VM alone sends every request at once to the better of two random
-runners of the pool, by the reports that it reads itself.
+Each entry VM independently sends every request immediately to the better of
+two random runners of the pool (power of two choices), according to the load
+reports that it reads itself.
 """
 
 import random
@@ -18,7 +19,7 @@
 
 
 class NaivePermits:
-    """Grant permits from what this entry VM sees alone.
+    """Grant permits from the local state of this entry VM only.
 
     Parameters
     ----------
@@ -29,7 +30,7 @@
     clock
         Source of time.
     rng
-        Source of the two choices.
+        Chooses the two candidate runners.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
     async def obtain(
         self, wanted: permit_types.PermitWanted
     ) -> permit_types.Permit | permit_types.PermitRefusal:
-        """Return a permit, or why there is none."""
+        """Return a permit, or the reason why there is none."""
         self._attempts += 1
         key = permit_types.AttemptKey(
             request_id=wanted.request_id,
@@ -59,7 +60,7 @@
         )
         event = self._requested(wanted, key)
         pool = self._view.shards_by_id[wanted.shard].pool
-        actions = self._handle(pool, event)
+        actions = self._apply_event(pool, event)
         granted = actions[0] if actions else None
         if isinstance(granted, policy_messages.Grant):
             return self._permit(wanted, key, granted.upstream)
@@ -72,7 +73,7 @@
         pool = self._pool_of(permit)
         if pool is not None:
             event = policy_messages.PermitReturned(key=_policy_key(permit.key))
-            self._handle(pool, event)
+            self._apply_event(pool, event)
 
     def finish(
         self,
@@ -82,11 +83,11 @@
         reason: outcomes.Reason,
         total_seconds: float,
     ) -> None:
-        """Take in the end of granted work."""
+        """Process the end of a granted request."""
         pool = self._pool_of(permit)
         if pool is None:
             return
-        self._handle(
+        self._apply_event(
             pool,
             policy_messages.PermitEnded(
                 key=_policy_key(permit.key),
@@ -100,12 +101,12 @@
         )
 
     def forget_request(self, request_id: types.RequestId) -> None:
-        """Do nothing: attempts are not kept by request."""
+        """Do nothing: attempts are not stored by request."""
 
     def is_fresh(
         self, permit: permit_types.Permit, *, maximum_age_seconds: float
     ) -> bool:
-        """Return whether the permit is young enough to be used."""
+        """Return whether the permit is recent enough to be used."""
         age = self._clock.monotonic() - permit.granted_at
         return age <= maximum_age_seconds
 
@@ -117,15 +118,15 @@
         return tuple(configuration.upstreams_by_id.values())
 
     def on_load_report(self, report: policy_messages.LoadReported) -> None:
-        """Take in the load report of an upstream."""
+        """Process the load report of an upstream."""
         configuration = self._view.configuration
         if configuration is None:
             return
         upstream = configuration.upstreams_by_id.get(report.upstream)
         if upstream is not None:
-            self._handle(upstream.pool, report)
+            self._apply_event(upstream.pool, report)
 
-    def _handle(
+    def _apply_event(
         self, pool: types.PoolName, event: policy_messages.Event
     ) -> Sequence[policy_messages.Action]:
         scheduler = self._scheduler_of(pool)
--- a/packages/daemon/src/lagoonrun_daemon/permit_events.py
+++ b/packages/daemon/src/lagoonrun_daemon/permit_events.py
@@ -1,4 +1,4 @@
-"""Turn permit messages into scheduler events, and actions into messages."""
+"""Convert permit messages to scheduler events and actions to messages."""
 
 from lagoonrun_core import types
 from lagoonrun_policy import messages as policy_messages
@@ -14,7 +14,7 @@
 
 
 def key_of(message: KeyedMessage) -> policy_messages.PermitKey:
-    """Return the key of the permit that a message is about."""
+    """Return the key of the permit that a message refers to."""
     return policy_messages.PermitKey(
         request_id=message.request_id, attempt_id=message.attempt_id
     )
@@ -23,7 +23,7 @@
 def digest_event(
     sender: types.EntryVmId, message: messages.WorkDigest
 ) -> policy_messages.InFlightDigest:
-    """Return what an ingress says it has running and waiting."""
+    """Return the running and waiting requests that an ingress reports."""
     return policy_messages.InFlightDigest(
         ingress=sender,
         running=tuple(
@@ -44,7 +44,7 @@
 def progress_event(
     work: messages.RunningWork,
 ) -> policy_messages.WorkProgressed:
-    """Return what running work has produced, as a digest tells it."""
+    """Return the progress of a running request from a digest."""
     return policy_messages.WorkProgressed(
         key=key_of(work),
         tokens=work.tokens,
@@ -55,7 +55,7 @@
 def request_event(
     sender: types.EntryVmId, message: messages.PermitRequest
 ) -> policy_messages.PermitRequested:
-    """Return an ingress's request for a runner."""
+    """Return an ingress's permit request."""
     return policy_messages.PermitRequested(
         key=key_of(message),
         ingress=sender,
@@ -71,7 +71,7 @@
 
 
 def ended_event(message: messages.PermitEnd) -> policy_messages.PermitEnded:
-    """Return the end of granted work."""
+    """Return the end of a granted request."""
     return policy_messages.PermitEnded(
         key=key_of(message),
         upstream=message.upstream,
@@ -83,10 +83,10 @@
     )
 
 
-def answer_of(
+def reply_of(
     action: policy_messages.Action, *, shard: types.ShardId
 ) -> messages.Message:
-    """Return what an ingress is told of a scheduler's action."""
+    """Return the message that reports a scheduler's action to an ingress."""
     key = action.key
     match action:
         case policy_messages.Grant():
--- a/packages/daemon/tests/test_dispatcher.py
+++ b/packages/daemon/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher between ingresses and the scheduler of a shard."""
+"""Tests of the dispatcher: messages of ingresses and shard ownership."""
 
 import dataclasses
 
@@ -15,25 +15,25 @@
 
 
 class KeptMessages:
-    """Transport that keeps what was sent."""
+    """Transport that records the sent messages."""
 
     def __init__(self):
         self.sent = []
 
     def send(self, to, message):
-        """Keep a message."""
+        """Record a message."""
         self.sent.append((to, message))
         return True
 
     def take(self, kind):
-        """Return the kept messages of `kind` and forget all."""
+        """Return the recorded messages of `kind` and clear the record."""
         found = [m for _, m in self.sent if isinstance(m, kind)]
         self.sent.clear()
         return found
 
 
 class FixedView:
-    """Everything is owned by one entry VM; nothing leaves."""
+    """View in which one entry VM owns all shards and no upstream leaves."""
 
     def __init__(self, owner):
         self.owner = owner
@@ -106,7 +106,7 @@
 
 
 async def fill(subject, sent, count):
-    """Ask for `count` permits; return the keys of those that wait."""
+    """Request `count` permits; return the ids of the waiting requests."""
     for number in range(count):
         subject.on_message("vm-2", request(number))
     granted = {m.request_id for m in sent.take(messages.PermitGranted)}
@@ -117,10 +117,10 @@
 async def test_request_of_an_ingress_that_was_taken_for_dead_is_asked_again(
     subject, sent
 ):
-    """An ingress is suspected and its waiting requests are dropped.
+    """A live ingress is considered dead; its waiting requests are dropped.
 
-    It lives after all, and its digest names them. The dispatcher must say
-    that it does not know them, or they wait in vain until their limit.
+    Its next digest lists them. The dispatcher must report them as unknown, or
+    they would wait until their limit.
     """
     (waiting,) = await fill(subject, sent, 9)
     subject.on_ingress_gone("vm-2")
@@ -149,7 +149,7 @@
 async def test_class_of_a_newer_revision_is_not_refused(
     subject, sent, revision, kind
 ):
-    """A new profile is applied, and one ingress has it in force first.
+    """An ingress has a new profile in force before the dispatcher.
 
     Its callers were refused because the dispatcher did not know the class
     yet, although the change had been accepted.
@@ -173,8 +173,8 @@
     (waiting,) = await fill(subject, sent, 9)
     view.owner = "vm-3"
     subject.on_ranking_changed()
-    (told,) = sent.take(messages.PermitNotMine)
-    assert (told.request_id, told.owner) == (waiting, "vm-3")
+    (redirect,) = sent.take(messages.PermitNotMine)
+    assert (redirect.request_id, redirect.owner) == (waiting, "vm-3")
     assert subject.owned_shards == ()
 
 
@@ -188,12 +188,12 @@
     view.owner = "vm-3"
     subject.stop_owning()
     subject.on_message("vm-2", request(1, handover=True))
-    (told,) = sent.take(messages.PermitNotMine)
-    assert told.owner == "vm-3"
+    (redirect,) = sent.take(messages.PermitNotMine)
+    assert redirect.owner == "vm-3"
 
 
 async def test_only_what_waits_is_acknowledged(subject, sent):
-    """A grant says as much as an acknowledgement, and saves a message."""
+    """A grant implies the acknowledgement, which saves a message."""
     subject.on_message("vm-2", request(0))
     assert [type(m) for _, m in sent.sent] == [messages.PermitGranted]
     waiting = await fill(subject, sent, 20)
--- a/packages/daemon/tests/test_naive_permits.py
+++ b/packages/daemon/tests/test_naive_permits.py
@@ -1,4 +1,4 @@
-"""The order of service that an experiment puts in the dispatcher's place."""
+"""Tests of experiments: scheduling features and the naive policy."""
 
 import dataclasses
 import json
@@ -18,7 +18,7 @@
 
 
 def test_switches_are_changed_one_by_one():
-    """What is not named stays as it is in service."""
+    """Features that are not named keep their defaults."""
     found = experiment.switches_of(
         settings.Experiment(
             switched_off=("affinity",), switched_on=("cutting",)
@@ -31,7 +31,7 @@
 
 
 def test_an_unknown_switch_is_named():
-    """A misspelt switch would make two runs alike and go unnoticed."""
+    """A misspelt name must not go unnoticed, with no effect on the run."""
     with pytest.raises(experiment.UnknownSwitchError, match="afinity"):
         experiment.switches_of(settings.Experiment(switched_off=("afinity",)))
 
@@ -41,7 +41,7 @@
     [settings.Experiment(policy=settings.ExperimentPolicy.NAIVE)],
 )
 async def test_a_naive_entry_vm_serves_without_a_dispatcher(small_deployment):
-    """No shard is dispatched, and the answer is whole all the same."""
+    """No shard is dispatched, but the response is still complete."""
     answer = await small_deployment.ask(
         "/v1/chat/completions", body=json.dumps(CHAT).encode()
     )
