--- a/packages/daemon/src/lagoonrun_daemon/explanations.py
+++ b/packages/daemon/src/lagoonrun_daemon/explanations.py
@@ -1,4 +1,4 @@
-"""A bounded ring of what was decided about recent requests."""
+"""Bounded buffer of explanations of recent requests."""
 
 import collections
 import dataclasses
@@ -14,11 +14,11 @@
     Parameters
     ----------
     at_seconds
-        Since the request's arrival.
+        Time since the request's arrival.
     what
         Name of the step, such as `permit-requested` or `sent`.
     detail
-        Values for people; never prompts, answers or keys.
+        Human-readable details; never prompts, responses or keys.
     """
 
     at_seconds: float
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Explanation:
-    """Everything this entry VM knows of one request."""
+    """Decisions, steps and ending of one request, as known here."""
 
     request_id: types.RequestId
     organisation: types.OrganisationId | None = None
@@ -40,12 +40,13 @@
 
 
 class ExplanationRing:
-    """Keep the explanations of the latest requests.
+    """Store the explanations of the most recent requests.
 
     Parameters
     ----------
     capacity
-        Most requests that are kept; the oldest goes first. Bounds memory.
+        Maximum number of requests; the oldest is evicted first. Bounds
+        memory.
     """
 
     _MAXIMUM_ENTRIES_PER_REQUEST = 64
@@ -60,7 +61,7 @@
         return len(self._by_request_id)
 
     def find(self, request_id: types.RequestId) -> Explanation | None:
-        """Return what is known of a request, None where it is nothing."""
+        """Return the explanation of a request, or None if it is unknown."""
         return self._by_request_id.get(request_id)
 
     def add_decision(self, record: policy_messages.DecisionRecord) -> None:
--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -1,4 +1,4 @@
-"""The daemon's view of the fleet: who dispatches what, who is leaving."""
+"""The daemon's view of the fleet: shard owners and leaving upstreams."""
 
 import dataclasses
 import math
@@ -13,26 +13,28 @@
 from lagoonrun_policy import shard_ranking
 from lagoonrun_protocol import messages
 
-_OWN_SHARDS_ASKED = 2
-_ASSUMED_NEAR_SECONDS = 0.005
-_ASSUMED_FAR_SECONDS = 0.1
+_MAX_OWN_SHARDS = 2
+_ASSUMED_SAME_REGION_SECONDS = 0.005
+_ASSUMED_OTHER_REGION_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Place:
-    """Where a shard is, as seen from here."""
+class _ShardLocation:
+    """Location of a shard relative to this entry VM."""
 
-    own: bool
-    near: bool
+    same_domain: bool
+    same_region: bool
     distance_seconds: float
     reachable: bool
 
 
-_OWN_PLACE = _Place(own=True, near=True, distance_seconds=0.0, reachable=True)
+_OWN_LOCATION = _ShardLocation(
+    same_domain=True, same_region=True, distance_seconds=0.0, reachable=True
+)
 
 
 class FleetView:
-    """Join the configuration in force with the membership.
+    """Combine the configuration in force with the membership.
 
     Parameters
     ----------
@@ -53,7 +55,7 @@
         self._domain = domain
         self._members = members
         self._configuration: model.Configuration | None = None
-        self._known_domains: Sequence[types.FailureDomain] | None = None
+        self._cached_domains: Sequence[types.FailureDomain] | None = None
         self._shards_by_id: dict[types.ShardId, shards.Shard] = {}
         self._shards_by_pool: dict[types.PoolName, list[shards.Shard]] = {}
         self._ranked_by_shard: dict[
@@ -76,7 +78,7 @@
         return self._shards_by_id
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take over a new revision."""
+        """Apply a new configuration revision."""
         self._configuration = configuration
         self._shards_by_id = {
             shard.id: shard for shard in shards.shards_of(configuration)
@@ -87,17 +89,17 @@
         self._ranked_by_shard.clear()
 
     def on_members_changed(self) -> None:
-        """Forget rankings that older memberships gave."""
-        self._known_domains = None
+        """Invalidate the rankings computed from the previous membership."""
+        self._cached_domains = None
         self._ranked_by_shard.clear()
 
     def ranked_for(self, shard: types.ShardId) -> Sequence[types.EntryVmId]:
         """Return the live entry VMs that may dispatch `shard`, best first.
 
         Only entry VMs of the shard's own failure domain dispatch it, unless
-        none of them lives; then any live one of its region does. Empty where
-        a whole region other than the own one is dead: it is most likely cut
-        off, and grants for its runners would be in vain.
+        none of them is alive; then any live one of its region does. Empty if
+        all entry VMs of another region are dead: the region is probably cut
+        off, and grants for its runners would be useless.
         """
         ranked = self._ranked_by_shard.get(shard)
         if ranked is None:
@@ -111,7 +113,7 @@
         return ranked[0] if ranked else None
 
     def leaving_upstreams(self) -> frozenset[types.UpstreamId]:
-        """Return the upstreams that get no new work."""
+        """Return the upstreams that get no new requests."""
         if self._configuration is None:
             return frozenset()
         return frozenset(
@@ -121,9 +123,9 @@
         )
 
     def is_leaving(self, upstream: types.UpstreamId) -> bool:
-        """Return whether `upstream` gets no new work.
+        """Return whether `upstream` gets no new requests.
 
-        It is leaving by the word of the upstream or of the platform, or an
+        The upstream or the platform has reported that it is leaving, or an
         operator drains it by the configuration.
         """
         if self._members.upstream_is_leaving(upstream):
@@ -140,31 +142,31 @@
         return self._configuration.region_of(domain)
 
     def distance_to(self, domain: types.FailureDomain) -> float:
-        """Return the round trip to a domain in seconds.
+        """Return the round-trip time to a domain in seconds.
 
-        Measured on probes of the membership; assumed where none was answered
-        yet.
+        Measured by the membership's probes; a default before the first reply
+        to a probe.
         """
         if domain == self._domain:
             return 0.0
         measured = self._members.round_trip_to(domain)
         if measured is not None:
             return measured
-        if self._is_near(domain):
-            return _ASSUMED_NEAR_SECONDS
-        return _ASSUMED_FAR_SECONDS
+        if self._is_same_region(domain):
+            return _ASSUMED_SAME_REGION_SECONDS
+        return _ASSUMED_OTHER_REGION_SECONDS
 
     def own_shard_views(
         self, pool: types.PoolName, *, spread_by: int | str
     ) -> Sequence[shard_ranking.ShardView]:
-        """Return what is known of the shards of `pool` in the own domain.
+        """Return the views of the shards of `pool` in the own domain.
 
         Parameters
         ----------
         spread_by
-            Two shards are chosen by it where there are more: requests with
-            one prefix meet the same two, and no shard is asked by all at
-            once because its summary looked best.
+            Hash key that selects two shards if there are more: requests
+            with the same prefix get the same two, and requests do not all
+            ask the one shard whose summary looks best.
         """
         shards_here = [
             shard.id
@@ -172,40 +174,40 @@
             if shard.domain == self._domain
         ]
         return [
-            _view(shard, self._members.summary_of(shard), _OWN_PLACE)
+            _view(shard, self._members.summary_of(shard), _OWN_LOCATION)
             for shard in _spread(shards_here, spread_by)
         ]
 
     def other_shard_views(
         self, pool: types.PoolName
     ) -> Sequence[shard_ranking.ShardView]:
-        """Return what is known of the shards of `pool` in other domains."""
-        places_by_domain: dict[types.FailureDomain, _Place] = {}
+        """Return the views of the shards of `pool` in other domains."""
+        locations_by_domain: dict[types.FailureDomain, _ShardLocation] = {}
         views = []
         for shard in self._shards_by_pool.get(pool, ()):
             if shard.domain == self._domain:
                 continue
-            place = places_by_domain.get(shard.domain)
-            if place is None:
-                place = self._place_of(shard.domain)
-                places_by_domain[shard.domain] = place
+            location = locations_by_domain.get(shard.domain)
+            if location is None:
+                location = self._location_of(shard.domain)
+                locations_by_domain[shard.domain] = location
             views.append(
-                _view(shard.id, self._members.summary_of(shard.id), place)
+                _view(shard.id, self._members.summary_of(shard.id), location)
             )
         return views
 
-    def _place_of(self, domain: types.FailureDomain) -> _Place:
-        near = self._is_near(domain)
-        return _Place(
-            own=False,
-            near=near,
+    def _location_of(self, domain: types.FailureDomain) -> _ShardLocation:
+        same_region = self._is_same_region(domain)
+        return _ShardLocation(
+            same_domain=False,
+            same_region=same_region,
             distance_seconds=self.distance_to(domain),
-            # A far region without a living member is cut off: its runners
-            # would be asked in vain, whoever dispatched them.
-            reachable=near or bool(self._live_in_region_of(domain)),
+            # Another region without a live member is cut off: its runners
+            # cannot be reached, whichever entry VM dispatches them.
+            reachable=same_region or bool(self._live_in_region_of(domain)),
         )
 
-    def _is_near(self, domain: types.FailureDomain) -> bool:
+    def _is_same_region(self, domain: types.FailureDomain) -> bool:
         return self.region_of(domain) == self.region_of(self._domain)
 
     def _live_in_region_of(
@@ -224,38 +226,40 @@
         live = self._members.eligible_in(domain)
         if not live:
             live = self._live_in_region_of(domain)
-        if not live and self._is_near(domain):
-            # This entry VM runs, whatever the others believe of it: while
-            # it stops as the last one, or has just come back, it goes on
-            # dispatching for itself.
+        if not live and self._is_same_region(domain):
+            # This entry VM is running, whatever state the membership has
+            # for it: while it stops as the last one, or has just returned,
+            # it continues to dispatch for itself.
             live = (self._entry_vm,)
         return ranking.rank_entry_vms(shard, live)
 
     def _domains(self) -> Sequence[types.FailureDomain]:
-        if self._known_domains is None:
+        if self._cached_domains is None:
             members = self._members.members_by_id.values()
-            self._known_domains = sorted({m.domain for m in members})
-        return self._known_domains
+            self._cached_domains = sorted({m.domain for m in members})
+        return self._cached_domains
 
 
 def _view(
-    shard: types.ShardId, summary: messages.ShardSummary | None, place: _Place
+    shard: types.ShardId,
+    summary: messages.ShardSummary | None,
+    location: _ShardLocation,
 ) -> shard_ranking.ShardView:
     if summary is None:
         return shard_ranking.ShardView(
             shard=shard,
-            same_domain=place.own,
-            same_region=place.near,
-            distance_seconds=place.distance_seconds,
-            reachable=place.reachable,
+            same_domain=location.same_domain,
+            same_region=location.same_region,
+            distance_seconds=location.distance_seconds,
+            reachable=location.reachable,
             age_seconds=math.inf,
         )
     return shard_ranking.ShardView(
         shard=shard,
-        same_domain=place.own,
-        same_region=place.near,
-        distance_seconds=place.distance_seconds,
-        reachable=place.reachable,
+        same_domain=location.same_domain,
+        same_region=location.same_region,
+        distance_seconds=location.distance_seconds,
+        reachable=location.reachable,
         free=summary.free,
         lowest_waiting_tier=summary.lowest_waiting_tier,
         lowest_running_tier=summary.lowest_running_tier,
@@ -267,10 +271,10 @@
 def _spread(
     shards_here: Sequence[types.ShardId], spread_by: int | str
 ) -> Sequence[types.ShardId]:
-    if len(shards_here) <= _OWN_SHARDS_ASKED:
+    if len(shards_here) <= _MAX_OWN_SHARDS:
         return shards_here
     seed = xxhash.xxh3_64_intdigest(str(spread_by).encode())
     return sorted(
         shards_here,
         key=lambda shard: xxhash.xxh3_64_intdigest(shard.encode(), seed=seed),
-    )[:_OWN_SHARDS_ASKED]
+    )[:_MAX_OWN_SHARDS]
--- a/packages/daemon/src/lagoonrun_daemon/ingress.py
+++ b/packages/daemon/src/lagoonrun_daemon/ingress.py
@@ -1,4 +1,4 @@
-"""Take callers' requests in and see each to its final answer."""
+"""Accept callers' requests and execute each to its final response."""
 
 import asyncio
 import secrets
@@ -29,14 +29,14 @@
 
 
 class Ingress:
-    """Handle the exchanges of the caller address.
+    """Serve the HTTP exchanges of the caller address.
 
     Parameters
     ----------
     services
-        Shared parts of the daemon.
+        Shared components of the daemon.
     metrics
-        Counters that the ingress keeps.
+        Counters that the ingress updates.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         )
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Resolve the following requests by a new revision."""
+        """Resolve subsequent requests by a new revision."""
         self._resolver = resolution.Resolver(configuration=configuration)
 
     async def handle(self, exchange: http_server.Exchange) -> None:
-        """Answer one request; never raises for what a caller does."""
+        """Respond to one request; never raises for errors of a caller."""
         request_id = types.RequestId(secrets.token_hex(_REQUEST_ID_BYTES))
         arrived_at = self._services.clock.monotonic()
         resolver = self._resolver
@@ -84,13 +84,13 @@
         arrived_at: float,
         resolver: resolution.Resolver,
     ) -> calls.Call | None:
-        """Return the resolved call, or None after having rejected it."""
+        """Return the resolved call, or None if it has been responded to."""
         headers = exchange.head.headers
         organisation = resolver.authenticate(headers.get("Authorization"))
         if isinstance(organisation, resolution.Rejection):
             await self._reject(exchange, request_id, organisation)
             return None
-        if self._explanations.is_asked(exchange.head.target):
+        if self._explanations.matches(exchange.head.target):
             await self._explanations.answer(exchange, organisation.id)
             return None
         key = headers.get(calls.IDEMPOTENCY_KEY_HEADER)
--- a/packages/daemon/src/lagoonrun_daemon/own_explanations.py
+++ b/packages/daemon/src/lagoonrun_daemon/own_explanations.py
@@ -1,8 +1,8 @@
-"""Callers' explanations of their own requests, on the caller address.
+"""Explanations of an organisation's own requests, on the caller address.
 
-An organisation learns of its own requests only, and of those nothing that
-speaks of others: no queue, no candidates, no upstream. Whoever asks for
-another's request gets the answer of a request that never was.
+An organisation can only read explanations of its own requests, without details
+that reveal others: no queue, candidates or upstream. A query for a request of
+another organisation gets the same response as for an unknown request.
 """
 
 import json
@@ -18,19 +18,19 @@
 
 
 class OwnExplanations:
-    """Answers `GET /lagoonrun/explain/REQUEST_ID`.
+    """Serve `GET /lagoonrun/explain/REQUEST_ID`.
 
     Parameters
     ----------
     ring
-        What this entry VM knows of recent requests.
+        Explanations of recent requests at this entry VM.
     """
 
     def __init__(self, *, ring: explanations.ExplanationRing) -> None:
         self._ring = ring
 
-    def is_asked(self, target: str) -> bool:
-        """Return whether a request's target is an explanation."""
+    def matches(self, target: str) -> bool:
+        """Return whether a request's target is the explain endpoint."""
         return target.startswith(PATH)
 
     async def answer(
@@ -38,14 +38,14 @@
         exchange: http_server.Exchange,
         organisation: types.OrganisationId,
     ) -> None:
-        """Answer a request whose caller is known."""
+        """Respond to an authenticated caller."""
         await exchange.read_body()
         asked = exchange.head.target.removeprefix(PATH).partition("?")[0]
         found = self._ring.find(types.RequestId(asked))
         own = found is not None and found.organisation == organisation
         if not own:
-            # The same for another's request and for none at all: which ids
-            # exist must not show.
+            # Same response for foreign and unknown requests, so that it does
+            # not reveal which ids exist.
             await _respond(exchange, 404, _unknown_body(asked))
             return
         await _respond(exchange, 200, json.dumps(_shown(found)).encode())
--- a/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
+++ b/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
@@ -1,4 +1,4 @@
-"""Configurations that other entry VMs have in force, over the inner protocol."""
+"""Exchange configuration snapshots with peers over the inner protocol."""
 
 import asyncio
 import dataclasses
@@ -10,11 +10,11 @@
 from lagoonrun_daemon import transport
 from lagoonrun_protocol import messages
 
-_ANNOUNCEMENTS_WAITING = 256
+_MAX_QUEUED_ANNOUNCEMENTS = 256
 
 
 class Announcer(Protocol):
-    """Tells peers with each heartbeat what is in force here."""
+    """Announces the configuration in force to peers with each heartbeat."""
 
     def announce_configuration(
         self, revision: types.Revision, digest: str
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Awaited:
+class _PendingFetch:
     peer: types.EntryVmId
     revision: types.Revision
 
@@ -34,7 +34,7 @@
     Parameters
     ----------
     transport
-        Carries requests and replies.
+        Sends requests and replies.
     announcer
         The membership.
     """
@@ -45,31 +45,34 @@
         self._transport = transport
         self._announcer = announcer
         self._queue: asyncio.Queue[follower_interfaces.Announcement] = (
-            asyncio.Queue(maxsize=_ANNOUNCEMENTS_WAITING)
+            asyncio.Queue(maxsize=_MAX_QUEUED_ANNOUNCEMENTS)
         )
         self._replies: dict[
-            _Awaited, asyncio.Future[snapshot.Snapshot | None]
+            _PendingFetch, asyncio.Future[snapshot.Snapshot | None]
         ] = {}
         self._follower: followers.ConfigurationFollower | None = None
 
     def serve_from(self, follower: followers.ConfigurationFollower) -> None:
-        """Set whose snapshot is served to peers."""
+        """Set the follower whose snapshot is served to peers."""
         self._follower = follower
 
     def announcements(self) -> asyncio.Queue[follower_interfaces.Announcement]:
-        """Return the queue into which peers' announcements are put."""
+        """Return the queue of peers' announcements."""
         return self._queue
 
     def announce(
         self, *, revision: types.Revision, digest: snapshot.Digest
     ) -> None:
-        """Tell peers from now on what this entry VM has in force."""
+        """Announce the revision that this entry VM has in force to peers."""
         self._announcer.announce_configuration(revision, digest)
 
     def on_announced(
         self, peer: types.EntryVmId, revision: types.Revision, digest: str
     ) -> None:
-        """Take in a peer's announcement; one too many is heard again."""
+        """Queue a peer's announcement.
+
+        It is dropped if the queue is full, because peers repeat it.
+        """
         announcement = follower_interfaces.Announcement(
             peer=peer, revision=revision, digest=snapshot.Digest(digest)
         )
@@ -83,11 +86,11 @@
         revision: types.Revision,
         digest: snapshot.Digest,
     ) -> snapshot.Snapshot | None:
-        """Return a peer's snapshot; None when it can't be had.
+        """Return a peer's snapshot, or None if it is not available.
 
-        The caller bounds the time: a frozen peer does not answer.
+        The caller must set a timeout: a frozen peer does not reply.
         """
-        awaited = _Awaited(peer=peer, revision=revision)
+        awaited = _PendingFetch(peer=peer, revision=revision)
         reply = asyncio.get_running_loop().create_future()
         self._replies[awaited] = reply
         request = messages.SnapshotRequest(revision=revision)
@@ -104,12 +107,12 @@
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take in a peer's request or reply."""
+        """Process a peer's request or reply."""
         match message:
             case messages.SnapshotRequest():
                 self._serve(sender, message)
             case messages.SnapshotReply():
-                self._take_reply(sender, message)
+                self._receive_reply(sender, message)
             case _:
                 pass
 
@@ -128,10 +131,10 @@
             )
         self._transport.send(sender, reply)
 
-    def _take_reply(
+    def _receive_reply(
         self, sender: types.EntryVmId, reply: messages.SnapshotReply
     ) -> None:
-        awaited = _Awaited(peer=sender, revision=reply.revision)
+        awaited = _PendingFetch(peer=sender, revision=reply.revision)
         future = self._replies.get(awaited)
         if future is None or future.done():
             return
--- a/packages/daemon/src/lagoonrun_daemon/placement.py
+++ b/packages/daemon/src/lagoonrun_daemon/placement.py
@@ -1,4 +1,4 @@
-"""Assemble the orderer of this entry VM's failure domain."""
+"""Construct the orderer of this entry VM's failure domain."""
 
 import random
 
@@ -16,10 +16,10 @@
 from lagoonrun_platform import store as store_module
 
 _WEIGHT_BURST_SECONDS = 60.0
-"""Time of the weight store's rate that a round may spend at once."""
+"""Burst of the weight budget, as seconds of the weight store's rate."""
 
 _MARGIN_SHARE = 1 / 15
-"""Part of the lease that is kept as a margin on each side."""
+"""Fraction of the lease that is reserved as a margin on each side."""
 
 
 def make_orderer(
@@ -36,7 +36,7 @@
     Parameters
     ----------
     view
-        Says what is in force and which upstreams are leaving.
+        Provides the configuration in force and the leaving upstreams.
     rng
         Source of jitter and nonces; must differ between processes.
     """
--- a/packages/daemon/src/lagoonrun_daemon/resolution.py
+++ b/packages/daemon/src/lagoonrun_daemon/resolution.py
@@ -1,4 +1,4 @@
-"""Find out who calls, and which service and profile the request means."""
+"""Authenticate callers and resolve requests to services and profiles."""
 
 import dataclasses
 import hashlib
@@ -18,18 +18,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejection:
-    """A request that cannot be served as it stands.
+    """Why a request is invalid, as reported to its caller.
 
     Parameters
     ----------
     status
-        HTTP status for the caller.
+        HTTP status of the response.
     field
-        Header, path or body field that is at fault.
+        Invalid header, path or body field.
     message
-        What is wrong with it.
+        Why it is invalid.
     valid
-        What would be valid; never names what others own.
+        What would be valid; never names resources of other organisations.
     """
 
     status: int
@@ -41,13 +41,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Resolved:
-    """What a request means under one configuration.
+    """A request resolved by one configuration.
 
     Parameters
     ----------
     model
-        Model that the upstream must have loaded; empty where the placement
-        of the service's pool does not name it.
+        Model that the upstream must have loaded; empty if no placement of
+        the service's pool names it.
     """
 
     organisation: types.OrganisationId
@@ -59,12 +59,12 @@
 
 
 class Resolver:
-    """Index of one configuration for looking requests up.
+    """Resolve requests by an index of one configuration.
 
     Parameters
     ----------
     configuration
-        The revision in force; a new one gets a new resolver.
+        The revision in force; each revision has its own resolver.
     """
 
     def __init__(self, *, configuration: model.Configuration) -> None:
@@ -88,7 +88,7 @@
             for service in configuration.services_by_name.values()
             if service.path_prefix
         ]
-        # The longest prefix comes first, so that it wins.
+        # Longest prefix first, because the first match is used.
         self._plain_services = sorted(
             plain, key=lambda service: -len(service.path_prefix)
         )
@@ -96,7 +96,7 @@
     def authenticate(
         self, authorization: str | None
     ) -> model.Organisation | Rejection:
-        """Return the organisation that bears the key in `authorization`."""
+        """Return the organisation whose key is in `authorization`."""
         if authorization and authorization.lower().startswith(_BEARER):
             key = authorization[len(_BEARER) :].strip()
             digest = hashlib.sha256(key.encode()).hexdigest()
@@ -118,10 +118,10 @@
         target: str,
         body: bytes,
     ) -> Resolved | Rejection:
-        """Return what a request to `target` with `body` means."""
+        """Return the service and profile of a request."""
         path = target.partition("?")[0]
         if _has_dot_segment(path):
-            # An upstream might resolve `..` to a path of another service.
+            # An upstream might resolve `..` to the path of another service.
             return Rejection(
                 status=400,
                 step=errors.Step.RESOLVE_SERVICE,
@@ -202,9 +202,8 @@
 def _may_use(organisation: model.Organisation, service: model.Service) -> bool:
     """Return whether the service is declared for the organisation.
 
-    If not, the answer is that of a service that does not exist, word for
-    word: one organisation does not learn of another's services or their
-    names.
+    If not, the response is the same as for a service that does not exist, so
+    that an organisation cannot discover the services of others.
     """
     return not service.organisations or organisation.id in service.organisations
 
--- a/packages/daemon/src/lagoonrun_daemon/shards.py
+++ b/packages/daemon/src/lagoonrun_daemon/shards.py
@@ -23,8 +23,8 @@
 def shards_of(configuration: model.Configuration) -> Sequence[Shard]:
     """Return all shards of `configuration`, ordered by id.
 
-    Every entry VM reckons the same shards from the same revision, so that
-    they need not be agreed on by messages.
+    Every entry VM derives the same shards from the same revision, so that no
+    agreement by messages is needed.
     """
     groups: dict[
         tuple[types.PoolName, types.FailureDomain], list[model.Upstream]
@@ -62,12 +62,12 @@
     *,
     leaving: frozenset[types.UpstreamId] = frozenset(),
 ) -> policy_messages.ShardPolicy:
-    """Return what the scheduler of `shard` needs to know.
+    """Return the scheduling policy of `shard`.
 
     Parameters
     ----------
     leaving
-        Upstreams that are to get no new work.
+        Upstreams that get no new requests.
     """
     classes = {
         profile.name: _class_policy(profile)
@@ -100,7 +100,7 @@
 def class_policies(
     configuration: model.Configuration,
 ) -> dict[types.ProfileName, policy_messages.ClassPolicy]:
-    """Return every class of `configuration` as decisions see it."""
+    """Return the scheduling policies of all classes of `configuration`."""
     return {
         profile.name: _class_policy(profile)
         for profile in configuration.profiles_by_name.values()
--- a/packages/daemon/tests/test_configuration.py
+++ b/packages/daemon/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted configurations in running daemons: outages, races, lost replies."""
+"""Configuration changes in running daemons: outages, races, lost replies."""
 
 import asyncio
 import contextlib
@@ -127,8 +127,8 @@
 ):
     """A VM is replaced during an outage of the platform.
 
-    Its settings name a seed and the platform; only the seed answers. It
-    must serve what is in force, and follow again when the platform is back.
+    Its settings name a seed and the platform; only the seed replies. It must
+    apply the configuration in force, and follow changes after the outage.
     """
     store = make_store()
     await _apply(store, content, base=0, change_id="c1")
@@ -140,7 +140,7 @@
     assert not new.follower.platform_reachable
     platform.control({"outage": "none"})
     changed = _changed(content, "lookup", 0.4)
-    # The operator's own calls back off for a moment after the outage.
+    # The operator's own calls are backing off shortly after the outage.
     accepted = await _apply(store, changed, base=1, change_id="c2")
     assert accepted.revision == 2
     for daemon in (old, new):
@@ -162,10 +162,10 @@
 async def test_operators_race_and_every_daemon_agrees(
     make_store, start_daemon, content
 ):
-    """Two operators change two profiles at once, then one and the same.
+    """Two operators concurrently change two profiles, then the same one.
 
-    Changes to two profiles are both in force; of two to one profile, one
-    is in force and the other operator is told the profile.
+    Changes to different profiles are both applied. Of two changes to the same
+    profile, one is applied and the other is rejected with its name.
     """
     first, second = make_store(), make_store()
     await _apply(first, content, base=0, change_id="c1")
@@ -199,9 +199,9 @@
 async def test_lost_replies_accept_a_change_once(
     platform, make_store, start_daemon, content
 ):
-    """The replies of the snapshot's and of the head's write are lost.
+    """The replies to the writes of the snapshot and of the head are lost.
 
-    The operator must be told "accepted", and the daemon sees one revision.
+    The change must be reported as accepted, and the daemon sees one revision.
     """
     store = make_store()
     platform.control({"lose_replies": 2})
@@ -218,8 +218,8 @@
 ):
     """The platform hangs and the operator's calls time out.
 
-    Nothing was told of the change. After the outage it is settled, and
-    what the operator is told then agrees with the history.
+    The outcome of the change is unknown at first. After the outage it is
+    settled, and the reported outcome must agree with the history.
     """
     store = make_store(call_timeout_seconds=0.05)
     await _apply(store, content, base=0, change_id="c1")
--- a/packages/daemon/tests/test_placement.py
+++ b/packages/daemon/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Declared placements, carried out by a running entry VM."""
+"""Tests of declared placements in a running entry VM."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def place(small_deployment):
-    """Return a function that declares one more model on the engine."""
+    """Return a function that declares one model on the engine."""
 
     async def apply(**upstream_options):
         configuration = small_deployment.daemon.fleet.configuration
