--- a/packages/daemon/src/lagoonrun_daemon/admin.py
+++ b/packages/daemon/src/lagoonrun_daemon/admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: health, metrics, status and explanations."""
+"""Admin endpoint: health, metrics, status and explanations."""
 
 import hashlib
 import hmac
@@ -17,34 +17,35 @@
 
 
 class AdminSource(Protocol):
-    """What the admin address shows of a daemon."""
+    """Source of the daemon state that the admin endpoint serves."""
 
     def is_ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether this entry VM accepts callers' requests."""
 
     def render_metrics(self) -> bytes:
         """Return the metrics in the Prometheus text format."""
 
     def status(self) -> JsonObject:
-        """Return the state of this entry VM and what it knows of others."""
+        """Return the state of this entry VM and its view of the others."""
 
     def own_status(self) -> JsonObject:
-        """Return what concerns this entry VM alone."""
+        """Return the state of this entry VM only."""
 
     def explain(self, request_id: types.RequestId) -> JsonObject | None:
-        """Return what is known of a request, None where it is nothing."""
+        """Return the explanation of a request, or None if it is unknown."""
 
 
 class AdminHandler:
-    """Answer admin requests.
+    """Handle admin requests.
 
     Parameters
     ----------
     source
         The daemon.
     token_digest
-        SHA-256 (hexadecimal) of the bearer token; empty for none. Health
-        and readiness are open, since the platform's balancer asks them.
+        SHA-256 (hexadecimal) of the bearer token; empty if no token is
+        required. Health and readiness need no token, because the platform's
+        load balancer probes them.
     """
 
     def __init__(self, *, source: AdminSource, token_digest: str) -> None:
@@ -52,7 +53,7 @@
         self._token_digest = token_digest
 
     async def handle(self, exchange: http_server.Exchange) -> None:
-        """Answer one admin request."""
+        """Respond to one admin request."""
         await exchange.read_body()
         path, _, query = exchange.head.target.partition("?")
         if path not in _OPEN_PATHS and not self._is_allowed(exchange):
--- a/packages/daemon/src/lagoonrun_daemon/call_counts.py
+++ b/packages/daemon/src/lagoonrun_daemon/call_counts.py
@@ -1,4 +1,4 @@
-"""Counts of calls that another part keeps, as a Prometheus metric."""
+"""Prometheus counter over call counts that another component keeps."""
 
 from collections.abc import Callable, Iterator, Mapping
 
@@ -10,12 +10,12 @@
 
 
 class CallCounts(registry.Collector):
-    """A counter by kind of call, read whenever the metrics are asked for.
+    """Counter by kind of call, read at each scrape of the metrics.
 
     Parameters
     ----------
     name, text
-        Of the metric; the suffix `_total` is added.
+        Name and help text of the metric; `_total` is appended to the name.
     """
 
     label_names = (_KIND,)
@@ -26,15 +26,15 @@
         self._read: ReadCounts = dict
 
     def set_function(self, read: ReadCounts) -> None:
-        """Take the counts by kind from `read`."""
+        """Read the counts by kind from `read`."""
         self._read = read
 
     def describe(self) -> Iterator[core.CounterMetricFamily]:
-        """Yield the metric without values, so that it is not read yet."""
+        """Yield the metric without values, so that nothing is read."""
         yield self._family()
 
     def collect(self) -> Iterator[core.CounterMetricFamily]:
-        """Yield the metric with its values of now."""
+        """Yield the metric with its current values."""
         family = self._family()
         for kind, count in sorted(self._read().items()):
             family.add_metric([kind], count)
--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Assemble one `lagoonrund`: start all tasks, and stop them gracefully."""
+"""The `lagoonrund` daemon: construction, start and graceful stop."""
 
 import asyncio
 import random
@@ -48,27 +48,27 @@
 
 _HUB_FLUSH_SECONDS = 1.0
 
-_LONGEST_CALL_SECONDS = 3600.0
-"""Bound on calls that no profile's limit stops: non-idempotent ones."""
+_MAX_CALL_SECONDS = 3600.0
+"""Upper bound on non-idempotent calls, which no profile's limit stops."""
 
 _SETTLEMENT_TIMEOUT_SECONDS = 2.0
 
 _STALLED_BODY_SECONDS = 15.0
-"""Silence in the middle of an answer after which it counts as lost.
+"""Idle time within a response body after which the response counts as lost.
 
-An engine that has stopped keeps its connections open. Nothing else shows it
-once a stream has begun, since the limit of such profiles ends with the first
-token; the reader would look at half an answer.
+A stopped engine keeps its connections open. After the first token, the time
+limit of such profiles no longer applies, so nothing else would detect the
+stall and the caller would be left with a truncated response.
 """
 
 
 class Daemon:
-    """All of one entry VM.
+    """All components of one entry VM.
 
     Parameters
     ----------
     configured
-        Checked settings.
+        Validated settings.
     clock
         Source of time.
     rng
@@ -92,12 +92,12 @@
         self._build_network()
         self._build_decisions()
         self._build_edges()
-        gauges.watch(self)
+        gauges.connect(self)
 
     def _build_network(self) -> None:
         configured = self._settings
-        # Milliseconds since the epoch: higher at each start of the same
-        # entry VM, without anything kept on disk.
+        # Milliseconds since the Unix epoch: increases with each start of the
+        # same entry VM, without any state on disk.
         self._incarnation = types.Incarnation(int(self._clock.wall() * 1000))
         self.store = etcd_gateway.EtcdGateway(
             addresses=configured.platform,
@@ -209,7 +209,7 @@
         self.metrics = metrics.DaemonMetrics()
         self.client = http_upstream.UpstreamClient(
             limits=http_limits.ClientLimits(
-                head_seconds=_LONGEST_CALL_SECONDS,
+                head_seconds=_MAX_CALL_SECONDS,
                 body_idle_seconds=_STALLED_BODY_SECONDS,
             ),
             clock=self._clock,
@@ -296,7 +296,7 @@
 
     @property
     def settings(self) -> settings.Settings:
-        """Checked settings of this entry VM."""
+        """Validated settings of this entry VM."""
         return self._settings
 
     @property
@@ -306,19 +306,19 @@
 
     @property
     def in_force_seconds(self) -> float:
-        """Time since the revision came into force here; 0 before."""
+        """Time since the current revision came into force; 0 before any has."""
         if self._in_force_at is None:
             return 0.0
         return self._clock.monotonic() - self._in_force_at
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop is under way."""
+        """Whether a planned stop is in progress."""
         return self._stopping
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether this entry VM accepts callers' requests."""
         return self._configured_event.is_set() and not self._stopping
 
     async def start(self) -> None:
@@ -347,12 +347,15 @@
         await self._configured_event.wait()
 
     async def stop(self) -> int:
-        """Stop as planned: cut nothing, refuse nothing another could take.
+        """Stop gracefully: drain requests and hand shards over.
+
+        No request is cut before the drain timeout, and none is refused that
+        another entry VM could serve.
 
         Returns
         -------
         int
-            Requests that still ran when the drain timeout passed.
+            Requests that were still running after the drain timeout.
         """
         self._stopping = True
         logs.emit(
@@ -362,7 +365,8 @@
         self.members.announce_leaving()
         self.fleet.on_members_changed()
         self.dispatcher.stop_owning()
-        # Before the drain, which may be long: another orders meanwhile.
+        # Before the possibly long drain, so that another entry VM becomes
+        # the orderer meanwhile.
         await self.orderer.close()
         await asyncio.sleep(self._settings.readiness_grace_seconds)
         self.caller_server.stop_accepting()
@@ -377,7 +381,7 @@
         return left
 
     async def close(self) -> None:
-        """End all tasks at once."""
+        """Stop all tasks immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -420,16 +424,16 @@
                 events.LogEvent.PROCESS_READY, revision=configuration.revision
             )
 
-    # What the hub and the membership tell.
+    # Callbacks of the hub and the membership.
 
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take in a message of another entry VM."""
+        """Route a message of another entry VM to its receiver."""
         self._router.on_message(sender, message)
 
     def on_link_lost(self, peer: types.EntryVmId) -> None:
-        """Take in the loss of a connection with an entry VM."""
+        """Handle the loss of a connection with an entry VM."""
         self._router.on_link_lost(peer)
 
     def _on_link_lost(self, peer: types.EntryVmId) -> None:
@@ -437,11 +441,11 @@
         self.dispatcher.on_link_lost(peer)
 
     def on_member_changed(self, view: membership.MemberView) -> None:
-        """Take in a changed state of an entry VM."""
+        """Update rankings and drop the state of entry VMs that are dead."""
         self.fleet.on_members_changed()
         if view.state is messages.MemberState.DEAD:
-            # A frozen process keeps its connections; what waits in them must
-            # not reach it when it wakes.
+            # A frozen process keeps its connections. Messages queued in them
+            # must not reach it when it resumes.
             self.hub.drop(view.entry_vm)
             self.permits.on_member_gone(view.entry_vm)
             self.dispatcher.on_ingress_gone(view.entry_vm)
@@ -451,7 +455,7 @@
     def on_upstream_changed(
         self, upstream: types.UpstreamId, leaving: bool
     ) -> None:
-        """Take in that an upstream is leaving, or has come back."""
+        """Stop or resume the use of an upstream that leaves or returns."""
         if leaving:
             logs.emit(events.LogEvent.UPSTREAM_LEAVING, upstream=upstream)
         self.dispatcher.on_upstream_changed(upstream, leaving=leaving)
@@ -466,11 +470,11 @@
         revision: types.Revision,
         digest: str,
     ) -> None:
-        """Take in which revision a peer has in force."""
+        """Record which revision a peer has in force."""
         self.snapshots.on_announced(source, revision, digest)
 
     def on_shard_summary(self, summary: messages.ShardSummary) -> None:
-        """Take in the state of a shard of another domain."""
+        """Ignore the summary: it is read from the membership when needed."""
 
     def is_watcher(self) -> bool:
         """Return whether this entry VM watches the head for its domain."""
--- a/packages/daemon/src/lagoonrun_daemon/gauges.py
+++ b/packages/daemon/src/lagoonrun_daemon/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of the metrics that read a daemon's state when they are asked."""
+"""Connect gauges to the daemon's state, which they read at each scrape."""
 
 from typing import TYPE_CHECKING
 
@@ -8,8 +8,8 @@
     from lagoonrun_daemon import daemon as daemons
 
 
-def watch(daemon: "daemons.Daemon") -> None:
-    """Let the gauges of a daemon's metrics read its state."""
+def connect(daemon: "daemons.Daemon") -> None:
+    """Connect the gauges and call counters of a daemon to its state."""
     metrics = daemon.metrics
     observe = metrics.observe_with
     metrics.platform_calls.set_function(lambda: daemon.store.calls_by_kind)
--- a/packages/daemon/src/lagoonrun_daemon/loads.py
+++ b/packages/daemon/src/lagoonrun_daemon/loads.py
@@ -14,7 +14,7 @@
 
 REPORT_PERIOD_SECONDS = 0.5
 _REPORT_TIMEOUT_SECONDS = 2.0
-_LARGEST_REPORT_BYTES = 256 * 1024
+_MAX_REPORT_BYTES = 256 * 1024
 _METRICS_REQUEST_ID = types.RequestId("load-report")
 
 _RUNNING = "engine_requests_running"
@@ -27,19 +27,19 @@
 
 
 class LoadReader:
-    """Task that asks upstreams for their load in turn.
+    """Task that periodically reads the load reports of upstreams.
 
     Parameters
     ----------
     client
         Connections to upstreams.
     upstreams
-        Returns those whose shards this entry VM dispatches now.
+        Returns the upstreams whose reports are to be read.
     on_report
-        Takes in each report.
+        Called with each load report.
     on_leaving
-        Told of an upstream whose report says that it is leaving, or that it
-        has come back.
+        Called with an upstream, its incarnation, and whether its report
+        states that it is leaving.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._reads_by_id: dict[types.UpstreamId, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Begin to read reports."""
+        """Start reading reports."""
         self._task = asyncio.create_task(self._read_forever())
 
     async def close(self) -> None:
@@ -77,10 +77,10 @@
             await asyncio.sleep(REPORT_PERIOD_SECONDS)
 
     def _begin_read(self, upstream: model.Upstream) -> None:
-        """Read a report, unless the last reading still waits.
+        """Start reading a report, unless the previous read is pending.
 
-        No reading waits for another's: a frozen upstream would hold back
-        the word of the others that they are leaving, by its whole timeout.
+        Reads run concurrently: otherwise a frozen upstream would delay the
+        reports of other upstreams that they are leaving by its timeout.
         """
         if upstream.id in self._reads_by_id:
             return
@@ -91,7 +91,7 @@
         )
 
     async def read(self, upstream: model.Upstream) -> None:
-        """Read and take in one upstream's report, if it answers in time."""
+        """Read and apply one upstream's report if it responds in time."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
                 text = await self._fetch(upstream)
@@ -111,13 +111,16 @@
         )
         if isinstance(response, http_upstream.UpstreamFailure):
             return None
-        body = await response.read_all(_LARGEST_REPORT_BYTES)
+        body = await response.read_all(_MAX_REPORT_BYTES)
         if response.head.status != 200 or not isinstance(body, bytes):
             return None
         return body.decode(errors="replace")
 
     def apply_report(self, upstream: types.UpstreamId, text: str) -> None:
-        """Take in the text of one report; ignore one that is no report."""
+        """Parse the text of one report and notify the callbacks.
+
+        A text that cannot be parsed is ignored.
+        """
         values: dict[str, float] = {}
         models: list[str] = []
         try:
@@ -129,8 +132,8 @@
         except ValueError:
             return
         if _LEAVING in values:
-            # A restarted upstream has a higher start time, which is what
-            # lets it come back after it was leaving.
+            # A restarted upstream has a later start time, by which it returns
+            # to service after its previous process was leaving.
             milliseconds = int(values.get(_STARTED_AT, 0.0) * 1000)
             self._on_leaving(
                 upstream,
--- a/packages/daemon/src/lagoonrun_daemon/main.py
+++ b/packages/daemon/src/lagoonrun_daemon/main.py
@@ -1,4 +1,4 @@
-"""The program `lagoonrund`."""
+"""Command-line entry point of `lagoonrund`."""
 
 import asyncio
 import signal
@@ -32,7 +32,7 @@
 
 
 def _print_addresses(daemon: daemons.Daemon) -> None:
-    """Tell whoever started the process where it listens."""
+    """Print the listening addresses for the parent process."""
     configured = daemon.settings
     caller = f"{configured.caller.host}:{daemon.caller_server.port}"
     operators = f"{configured.admin.host}:{daemon.admin_server.port}"
@@ -59,7 +59,7 @@
 
 
 def run() -> None:
-    """Run the program; the entry point of the package."""
+    """Run `lagoonrund`; entry point of the console script."""
     app.run(_main)
 
 
--- a/packages/daemon/src/lagoonrun_daemon/message_router.py
+++ b/packages/daemon/src/lagoonrun_daemon/message_router.py
@@ -1,4 +1,4 @@
-"""Pass messages of other entry VMs on to the task that they concern."""
+"""Route messages of entry VMs to their receivers by type."""
 
 from collections.abc import Callable
 
@@ -24,14 +24,14 @@
 
 
 class MessageRouter:
-    """Receive all messages, remote and local, and pass them on by type.
+    """Route all remote and local messages to receivers by type.
 
     Parameters
     ----------
     dispatcher, permits, snapshots
-        Receivers of the messages of their concern.
+        Receivers of the messages for each component.
     on_link_lost
-        Told when a connection with an entry VM ended.
+        Called when the connection with an entry VM is lost.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Pass one message on; one of no known concern is dropped."""
+        """Route one message; a message without a receiver is dropped."""
         receiver = self._receivers_by_type.get(type(message))
         if receiver is not None:
             receiver.on_message(sender, message)
 
     def on_link_lost(self, peer: types.EntryVmId) -> None:
-        """Pass the loss of a connection on."""
+        """Forward the loss of a connection."""
         self._on_link_lost(peer)
--- a/packages/daemon/src/lagoonrun_daemon/metrics.py
+++ b/packages/daemon/src/lagoonrun_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one daemon; docs/runbook.md says what they mean."""
+"""Prometheus metrics of one daemon, explained in docs/runbook.md."""
 
 import dataclasses
 from collections.abc import Callable
@@ -33,10 +33,10 @@
     Parameters
     ----------
     first_token_seconds
-        Until the first part of a streamed answer went to the caller; 0 where
-        none did.
+        Until the first part of a streamed response was sent to the caller; 0
+        if none was.
     total_seconds
-        Until the end.
+        Until the end of the request.
     """
 
     first_token_seconds: float = 0.0
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ProfileTotals:
-    """Requests of one profile since the start of the process."""
+    """Request counts of one profile since the start of the process."""
 
     profile: types.ProfileName
     ended: int
@@ -55,7 +55,10 @@
 
 
 class DaemonMetrics:
-    """Counters and histograms; one registry a daemon, so tests stay apart."""
+    """Counters, gauges and histograms of one daemon.
+
+    Each daemon has its own registry, so that tests do not share counts.
+    """
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
@@ -185,7 +188,7 @@
     def observe_with(
         self, gauge: prometheus_client.Gauge, read: Callable[[], float]
     ) -> None:
-        """Read a gauge's value whenever the metrics are asked for."""
+        """Let a gauge call `read` at each scrape."""
         gauge.set_function(read)
 
     def count_ending(
@@ -195,7 +198,7 @@
         ending: outcomes.Ending,
         latencies: Latencies,
     ) -> None:
-        """Count one ended request."""
+        """Record one ended request."""
         met = _met_target(profile, ending, latencies)
         self.endings.labels(
             profile.name, ending.outcome.value, ending.reason.value
@@ -218,7 +221,7 @@
         seconds: float,
         tokens: int,
     ) -> None:
-        """Count one attempt at an upstream."""
+        """Record one attempt at an upstream."""
         self.upstream_seconds.labels(profile, outcome.value).inc(seconds)
         self.upstream_tokens.labels(profile, outcome.value).inc(tokens)
         if outcome is not outcomes.Outcome.COMPLETE:
@@ -241,7 +244,7 @@
         )
 
     def totals(self) -> tuple[ProfileTotals, ...]:
-        """Return the totals of each profile, by name."""
+        """Return the totals of all profiles, ordered by name."""
         names = sorted(self._totals_by_profile)
         return tuple(self._totals_by_profile[name] for name in names)
 
@@ -304,14 +307,15 @@
 def _met_target(
     profile: model.Profile, ending: outcomes.Ending, latencies: Latencies
 ) -> bool:
-    """Return whether the answer came in time, by the profile's target kind.
+    """Return whether the response met the target of the profile.
 
-    An answer that was not streamed has its first token at its end.
+    The first token of a response that was not streamed counts as sent at its
+    end.
     """
     if ending.outcome is not outcomes.Outcome.COMPLETE:
         return False
     if ending.reason is outcomes.Reason.CLAIM_TAKEN:
-        # A repeated arrival is told of another's end, and is no answer.
+        # A repeated request only gets the outcome of the earlier one.
         return False
     counted = latencies.total_seconds
     on_first = profile.target_kind is model.TargetKind.FIRST_TOKEN
--- a/packages/daemon/src/lagoonrun_daemon/relay.py
+++ b/packages/daemon/src/lagoonrun_daemon/relay.py
@@ -1,8 +1,9 @@
-"""Relay a streamed answer from upstreams to one caller.
+"""Relay a streamed response from upstreams to one caller.
 
-Only whole events are passed on: what follows the last event boundary is held
-back until its end arrives. So an error event never lands inside another
-event, and a resumed stream goes on exactly after the last delivered one.
+Only complete events are forwarded: bytes after the last event boundary are
+buffered until the event is complete. Thus an error event is never written
+inside another event, and a resumed stream continues exactly after the last
+delivered event.
 """
 
 import asyncio
@@ -18,13 +19,13 @@
 from lagoonrun_http import upstream as http_upstream
 
 RESUME_HEADER = "X-Resume-Offset"
-"""Tells a resuming engine how many events were delivered already."""
+"""Number of events that were delivered before a stream is resumed."""
 
-_LARGEST_EVENT_BYTES = 1024 * 1024
+_MAX_EVENT_BYTES = 1024 * 1024
 
 
 class StreamRelay:
-    """Deliver one stream, over several upstreams if it has to be resumed.
+    """Deliver one stream, from several upstreams if it is resumed.
 
     Parameters
     ----------
@@ -46,13 +47,13 @@
         permit: permit_types.Permit,
         scope: asyncio.Timeout,
     ) -> outcomes.Ending | attempt.Lost:
-        """Relay one upstream's answer to its end or loss.
+        """Relay one upstream's response until it ends or is lost.
 
         Parameters
         ----------
         scope
-            Ends the work at the profile's limit; lifted by the first token
-            where the limit is on that.
+            Cancels the request at the profile's limit; lifted by the first
+            token if the profile's target is the first token.
         """
         sent_at = permit.granted_at
         await self._start(response.head)
@@ -68,7 +69,7 @@
             held += chunk
             whole = scanner.boundary - passed
             if whole <= 0:
-                if len(held) > _LARGEST_EVENT_BYTES:
+                if len(held) > _MAX_EVENT_BYTES:
                     return self._oversized(permit)
                 continue
             if permit.first_token_seconds == 0.0:
@@ -91,7 +92,7 @@
     async def end_partial(
         self, reason: outcomes.Reason, upstream: types.UpstreamId | None
     ) -> outcomes.Ending:
-        """End a begun stream in an explicit error event."""
+        """End a started stream with an explicit error event."""
         ending = outcomes.Ending(
             outcome=outcomes.Outcome.PARTIAL,
             reason=reason,
@@ -139,7 +140,7 @@
         return attempt.Lost(
             ran=outcomes.Outcome.PARTIAL,
             reason=outcomes.Reason.UPSTREAM_PROTOCOL,
-            detail=f"an event is larger than {_LARGEST_EVENT_BYTES} bytes",
+            detail=f"an event is larger than {_MAX_EVENT_BYTES} bytes",
             upstream=permit.upstream,
         )
 
--- a/packages/daemon/src/lagoonrun_daemon/status.py
+++ b/packages/daemon/src/lagoonrun_daemon/status.py
@@ -1,4 +1,4 @@
-"""What the admin address shows of a daemon, as JSON values."""
+"""Status of a daemon as JSON values, for the admin endpoint."""
 
 import dataclasses
 import enum
@@ -14,19 +14,19 @@
 
 
 class DaemonStatus:
-    """Render the state of one daemon.
+    """Render the state of one daemon as JSON values.
 
     Parameters
     ----------
     daemon
-        The daemon to show.
+        The daemon to render.
     """
 
     def __init__(self, *, daemon: "daemons.Daemon") -> None:
         self._daemon = daemon
 
     def is_ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether this entry VM accepts callers' requests."""
         return self._daemon.ready
 
     def render_metrics(self) -> bytes:
@@ -34,9 +34,9 @@
         return self._daemon.metrics.render()
 
     def own_status(self) -> admin.JsonObject:
-        """Return what concerns this entry VM alone.
+        """Return the state of this entry VM only.
 
-        It stays small in a large fleet, where each entry VM is asked.
+        It stays small in a large fleet, where every entry VM is queried.
         """
         daemon = self._daemon
         configuration = daemon.fleet.configuration
@@ -63,7 +63,7 @@
         }
 
     def status(self) -> admin.JsonObject:
-        """Return the state of this entry VM and what it knows of others."""
+        """Return the state of this entry VM and its view of the others."""
         daemon = self._daemon
         return {
             **self.own_status(),
@@ -80,14 +80,14 @@
         }
 
     def explain(self, request_id: types.RequestId) -> admin.JsonObject | None:
-        """Return what is known of a request, None where it is nothing."""
+        """Return the explanation of a request, or None if it is unknown."""
         found = self._daemon.explanations.find(request_id)
         if found is None:
             return None
         return {"entry_vm": self._daemon.settings.entry_vm, **_to_json(found)}
 
     def _shard(self, shard: shards.Shard) -> dict[str, Any]:
-        """Return a shard; its queues and runners where it is dispatched."""
+        """Return a shard, with queues and runners if it is dispatched here."""
         fields: dict[str, Any] = {
             "shard": shard.id,
             "pool": shard.pool,
@@ -129,7 +129,7 @@
 
 
 def to_json(value: Any) -> Any:
-    """Return a dataclass, enum or collection as plain JSON values."""
+    """Convert dataclasses, enums and collections to JSON values."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {
             field.name: to_json(getattr(value, field.name))
--- a/packages/daemon/src/lagoonrun_daemon/summaries.py
+++ b/packages/daemon/src/lagoonrun_daemon/summaries.py
@@ -1,4 +1,4 @@
-"""Tell other failure domains of the shards that are dispatched here."""
+"""Announce summaries of the shards dispatched here to other domains."""
 
 import asyncio
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class SummaryCarrier(Protocol):
-    """Carries summaries to other domains."""
+    """Distributes summaries to other domains."""
 
     def announce_shards(
         self, summaries: Iterable[messages.ShardSummary]
@@ -22,14 +22,14 @@
 
 
 class SummaryAnnouncer:
-    """Task that hands fresh summaries to the membership.
+    """Task that periodically passes summaries to the membership.
 
     Parameters
     ----------
     dispatcher
-        Where the shards are.
+        Provides the summaries of its shards.
     members
-        Carries the summaries.
+        Distributes the summaries.
     entry_vm
         This entry VM.
     """
@@ -47,7 +47,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to announce."""
+        """Start announcing."""
         self._task = asyncio.create_task(self._announce_forever())
 
     async def close(self) -> None:
--- a/packages/daemon/src/lagoonrun_daemon/transport.py
+++ b/packages/daemon/src/lagoonrun_daemon/transport.py
@@ -1,4 +1,4 @@
-"""Ways for the daemon's tasks to send messages to entry VMs."""
+"""Transports by which the daemon's components send messages."""
 
 import asyncio
 from typing import Protocol
@@ -8,30 +8,30 @@
 
 
 class Transport(Protocol):
-    """Sends messages to entry VMs, this one included."""
+    """Sends messages to entry VMs, including this one."""
 
     def send(self, to: types.EntryVmId, message: messages.Message) -> bool:
         """Queue `message`; return False where it certainly will not go."""
 
 
 class Receiver(Protocol):
-    """Takes in messages of one concern."""
+    """Receives the messages for one component."""
 
     def on_message(
         self, sender: types.EntryVmId, message: messages.Message
     ) -> None:
-        """Take in one message; must not block."""
+        """Process one message; must not block."""
 
 
 class LoopbackTransport:
-    """Deliver messages to this entry VM in the process, others by the hub.
+    """Deliver messages to this entry VM locally, all others by the hub.
 
     Parameters
     ----------
     entry_vm
         This entry VM.
     remote
-        Carries everything that is for another one.
+        Sends messages to other entry VMs.
     """
 
     def __init__(self, *, entry_vm: types.EntryVmId, remote: Transport) -> None:
@@ -40,7 +40,7 @@
         self._receiver: Receiver | None = None
 
     def attach(self, receiver: Receiver) -> None:
-        """Set who takes in the messages for this entry VM."""
+        """Set the receiver of messages to this entry VM."""
         self._receiver = receiver
 
     def send(self, to: types.EntryVmId, message: messages.Message) -> bool:
@@ -49,8 +49,8 @@
             return self._remote.send(to, message)
         if self._receiver is None:
             return False
-        # A later turn of the loop, as for remote messages, so that a sender
-        # never finds its own state changed by its own call.
+        # Delivered in a later iteration of the event loop, like remote
+        # messages, so that sending never changes the sender's own state.
         loop = asyncio.get_running_loop()
         loop.call_soon(self._receiver.on_message, to, message)
         return True
--- a/packages/daemon/src/lagoonrun_daemon/upstream_reports.py
+++ b/packages/daemon/src/lagoonrun_daemon/upstream_reports.py
@@ -1,4 +1,4 @@
-"""Whose reports are read on this entry VM, and who is told of them."""
+"""Selection and distribution of the upstream reports read here."""
 
 from collections.abc import Sequence
 
@@ -11,20 +11,20 @@
 
 
 class UpstreamReports:
-    """Take upstreams' own reports to dispatchers and to the membership.
+    """Forward upstreams' reports to the dispatcher and the membership.
 
     Parameters
     ----------
     entry_vm
         This entry VM.
     view
-        Shards and who dispatches them.
+        Shards and their owners.
     dispatcher
-        Gets load reports.
+        Receives load reports.
     members
-        Hears who is leaving, and tells others.
+        Receives and gossips which upstreams are leaving.
     naive
-        Gets load reports instead, where the naive policy is measured.
+        Receives load reports instead, if the naive policy is measured.
     """
 
     def __init__(
@@ -45,9 +45,9 @@
     def upstreams(self) -> Sequence[model.Upstream]:
         """Return the upstreams whose reports are read here.
 
-        Also those of shards that nobody has asked for yet: the first request
-        after a quiet time must not be granted an upstream that has said
-        meanwhile that it is leaving.
+        Includes the upstreams of owned shards without any request yet: the
+        first request after an idle period must not be granted an upstream
+        that has reported meanwhile that it is leaving.
         """
         if self._naive is not None:
             return self._naive.upstreams()
@@ -61,7 +61,7 @@
         ]
 
     def on_load_report(self, report: policy_messages.LoadReported) -> None:
-        """Take in an engine's load report."""
+        """Forward an engine's load report to the scheduler of its shard."""
         if self._naive is not None:
             self._naive.on_load_report(report)
             return
@@ -76,6 +76,6 @@
         incarnation: types.Incarnation,
         leaving: bool,
     ) -> None:
-        """Take in that an upstream says it is leaving, or is back."""
+        """Announce a change of whether an upstream is leaving."""
         if leaving != self._members.upstream_is_leaving(upstream):
             self._members.report_upstream(upstream, incarnation, leaving)
--- a/packages/daemon/src/lagoonrun_daemon/vm_watch.py
+++ b/packages/daemon/src/lagoonrun_daemon/vm_watch.py
@@ -1,4 +1,4 @@
-"""Read the platform's lagging list of VMs on behalf of the failure domain."""
+"""Poll the platform's list of VMs on behalf of the failure domain."""
 
 import asyncio
 import random
@@ -13,12 +13,12 @@
 from lagoonrun_protocol import hub
 
 _PERIOD_SECONDS = 1.0
-_LONGEST_PERIOD_SECONDS = 30.0
+_MAX_PERIOD_SECONDS = 30.0
 _JITTER = 0.2
 
 
 class VmListener(Protocol):
-    """Takes in what the list says."""
+    """Receives the contents of the list."""
 
     def report_upstream(
         self,
@@ -26,29 +26,29 @@
         incarnation: types.Incarnation,
         leaving: bool,
     ) -> None:
-        """Take in that an upstream is leaving."""
+        """Report whether an upstream is leaving."""
 
     def add_seeds(self, addresses: list[hub.PeerAddress]) -> None:
-        """Join through further entry VMs."""
+        """Add entry VMs through which to join."""
 
 
 class VmWatch:
-    """Task that reads the list; only the domain's two watchers do.
+    """Task that polls the list; only the domain's two watchers do.
 
-    What the list says of a leaving upstream is passed on to all by the
-    membership. That it lists an upstream as live says nothing: the list
-    lags, and an upstream's own word that it leaves is newer.
+    Upstreams listed as leaving are announced by the membership. Upstreams
+    listed as live are ignored: the list lags, so an upstream's own report that
+    it is leaving is newer.
 
     Parameters
     ----------
     vms
         The platform's list.
     members
-        Takes in what the list says.
+        Receives the contents of the list.
     watchers
-        Says whether this entry VM reads the list.
+        Decides whether this entry VM polls the list.
     clock
-        Dates what the list says.
+        Source of the time at which an upstream was first listed as leaving.
     rng
         Source of jitter.
     """
@@ -74,11 +74,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to read."""
+        """Start polling."""
         self._task = asyncio.create_task(self._read_forever())
 
     async def close(self) -> None:
-        """Stop reading."""
+        """Stop polling."""
         if self._task:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -90,13 +90,13 @@
             await asyncio.sleep(self._pause_seconds())
 
     def _pause_seconds(self) -> float:
-        """Return the pause; it grows while the platform does not answer.
+        """Return the pause, which grows while the platform is unreachable.
 
-        The jitter keeps the watchers of all domains from coming back at one
-        time when an outage ends.
+        The jitter prevents the watchers of all domains from polling at the
+        same time when an outage ends.
         """
         pause = _PERIOD_SECONDS * 2.0 ** min(self._failures, 5)
-        pause = min(pause, _LONGEST_PERIOD_SECONDS)
+        pause = min(pause, _MAX_PERIOD_SECONDS)
         return pause * self._random.uniform(1.0 - _JITTER, 1.0 + _JITTER)
 
     async def _read(self) -> None:
@@ -122,12 +122,12 @@
         )
 
     def _report_leaving(self, leaving: Sequence[types.UpstreamId]) -> None:
-        """Report upstreams under the time when they were first listed.
+        """Report upstreams with the time at which they were first listed.
 
-        An upstream's own incarnation is the time when its process started.
-        So the list's word holds against the report of the process that is
-        to leave, which may not know of it, and ends with a process that
-        started later, although the list lags and still shows the old one.
+        An upstream's own incarnation is the start time of its process. Thus
+        the list overrides the reports of the process that is leaving, which
+        may not know it, but not those of a process that started later, even
+        though the list lags and still shows the old one.
         """
         now = types.Incarnation(int(self._clock.wall() * 1000))
         self._leaving_since_by_id = {
--- a/packages/daemon/tests/conftest.py
+++ b/packages/daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a whole small deployment within the test's process."""
+"""Shared fixtures: a small deployment within the test process."""
 
 import dataclasses
 import hashlib
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class SmallDeployment:
-    """One entry VM before one engine and one plain service."""
+    """One entry VM that serves one engine and one plain service."""
 
     platform: platform_store.PlatformStore
     writer: engine.Engine
@@ -124,7 +124,7 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> http_client.Answer:
-        """Make one caller's request."""
+        """Send a request as a caller."""
         key = deployment.organisation_key(types.OrganisationId(organisation))
         return await http_client.fetch(
             _LOOPBACK,
@@ -136,7 +136,7 @@
         )
 
     async def ask_admin(self, path: str) -> http_client.Answer:
-        """Make one operator's request."""
+        """Send a request as an operator."""
         port = self.daemon.admin_server.port
         return await http_client.fetch(_LOOPBACK, port, "GET", path)
 
@@ -176,7 +176,7 @@
 
 @pytest.fixture
 def experiment_settings():
-    """Return what an entry VM does in service; tests may override it."""
+    """Return the production defaults; tests may override them."""
     return settings.Experiment()
 
 
--- a/packages/daemon/tests/test_daemon.py
+++ b/packages/daemon/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The whole path of one entry VM, from the caller to the upstream."""
+"""End-to-end tests of one entry VM, from the caller to the upstream."""
 
 import asyncio
 import dataclasses
@@ -78,7 +78,7 @@
     first = await small_deployment.ask("/warnings/spill", headers=headers)
     second = await small_deployment.ask("/warnings/spill", headers=headers)
     assert (first.status, second.status) == (200, 409)
-    # The end of the first may not be recorded yet; it is never "not-run".
+    # The first outcome may not be recorded yet, but is never "not-run".
     assert outcome_of(second) in ("complete", "unknown")
     assert small_deployment.portal.runs.by_idempotency_key["spill-3"] == 1
 
@@ -110,10 +110,10 @@
 
 
 async def test_services_of_others_look_like_none(small_deployment):
-    """One house guesses the path of another's services.
+    """An organisation guesses the path of another's service.
 
-    A different answer than for what does not exist, or the service's name in
-    it, would tell the house what its rival runs.
+    The response must be the same as for a service that does not exist, so that
+    it does not reveal which services others have.
     """
     private = await small_deployment.ask("/private/page")
     absent = await small_deployment.ask("/absent/page")
@@ -123,10 +123,10 @@
 
 
 async def test_caller_explains_only_its_own_requests(small_deployment):
-    """A rival asks why another house's request was routed.
+    """An organisation queries the explanation of another's request.
 
-    It must get the answer of an id that never was; the house itself gets
-    the decision without queues, candidates and upstreams.
+    It must get the same response as for an unknown id. The owner of the request
+    gets the decision without queues, candidates and upstreams.
     """
     answer = await small_deployment.ask("/lookups/page/7", method="GET")
     request_id = answer.head.headers["lagoonrun-request-id"]
@@ -151,10 +151,10 @@
 async def test_an_upstream_that_leaves_while_connecting_gets_nothing(
     small_deployment, monkeypatch
 ):
-    """A server that is about to stop is sent one more spill warning.
+    """A leaving upstream must not get a request whose permit was valid.
 
-    It began to leave after its permit was checked, while the connection to
-    it was being made.
+    It starts to leave after the permit was checked, while the connection to it
+    is being opened.
     """
     daemon = small_deployment.daemon
     open_connection = daemon.client._open
@@ -175,10 +175,11 @@
 
 
 async def test_stalled_stream_does_not_stay_open(small_deployment, monkeypatch):
-    """An engine stops in the middle of a stream; its connection stays.
+    """An engine stalls in the middle of a stream with an open connection.
 
-    The reader would look at half an answer until the connection breaks. It
-    counts as lost after a while: another engine goes on, or an event tells.
+    The caller would wait with a truncated response until the connection
+    breaks. After an idle timeout the stream must count as lost: another engine
+    resumes it, or it ends with an error event.
     """
     client = small_deployment.daemon.client
     limits = dataclasses.replace(client._limits, body_idle_seconds=0.3)
@@ -187,12 +188,12 @@
     begun = asyncio.Event()
     emit = engine_reply.Reply.emit
 
-    def note(reply, index):
+    def emit_and_signal(reply, index):
         emit(reply, index)
         if index == 5:
             begun.set()
 
-    monkeypatch.setattr(engine_reply.Reply, "emit", note)
+    monkeypatch.setattr(engine_reply.Reply, "emit", emit_and_signal)
     asked = asyncio.create_task(
         small_deployment.ask(
             "/v1/chat/completions", body=chat(stream=True, max_tokens=4000)
--- a/packages/daemon/tests/test_loads.py
+++ b/packages/daemon/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Reading the load reports of upstreams."""
+"""Tests of reading the load reports of upstreams."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 async def client():
-    """Give a client of upstreams."""
+    """Provide a client of upstreams."""
     made = upstream.UpstreamClient(
         limits=limits.ClientLimits(), clock=clock.SystemClock()
     )
@@ -50,20 +50,20 @@
 async def test_frozen_upstream_does_not_hide_anothers_leaving(
     services, client, monkeypatch
 ):
-    """One upstream hangs while another begins to leave.
+    """One upstream hangs while another starts to leave.
 
-    Requests went on to the leaving one, since the reader waited for the
-    frozen one's report before it asked anybody again.
+    Requests were still sent to the leaving one, because the reader waited for
+    the frozen one's report before it read any other again.
     """
     monkeypatch.setattr(loads, "_REPORT_TIMEOUT_SECONDS", 60.0)
     frozen, leaving = services
     frozen.control({"frozen": True})
-    told: asyncio.Queue[types.UpstreamId] = asyncio.Queue()
-    read: asyncio.Queue[types.UpstreamId] = asyncio.Queue()
+    reported_leaving: asyncio.Queue[types.UpstreamId] = asyncio.Queue()
+    reported_serving: asyncio.Queue[types.UpstreamId] = asyncio.Queue()
 
     def on_leaving(name, incarnation, is_leaving):
         assert incarnation > 0
-        (told if is_leaving else read).put_nowait(name)
+        (reported_leaving if is_leaving else reported_serving).put_nowait(name)
 
     reader = loads.LoadReader(
         client=client,
@@ -76,7 +76,7 @@
     )
     await reader.start()
     async with asyncio.timeout(_WAIT_SECONDS):
-        assert await read.get() == "leaving"
+        assert await reported_serving.get() == "leaving"
         leaving.control({"leaving": True})
-        assert await told.get() == "leaving"
+        assert await reported_leaving.get() == "leaving"
     await reader.close()
--- a/packages/daemon/tests/test_metrics.py
+++ b/packages/daemon/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the metrics count, against the profiles' words."""
+"""Tests of the metrics against the targets of profiles."""
 
 import asyncio
 
@@ -34,12 +34,12 @@
         ("total", 0.1, 1.1, Outcome.COMPLETE, Reason.NONE, 0),
         ("first-token", 0.9, 8.0, Outcome.COMPLETE, Reason.NONE, 1),
         ("first-token", 1.1, 8.0, Outcome.COMPLETE, Reason.NONE, 0),
-        # An answer that was not streamed has its first token at its end.
+        # A response that was not streamed has its first token at its end.
         ("first-token", 0.0, 0.9, Outcome.COMPLETE, Reason.NONE, 1),
         ("first-token", 0.0, 8.0, Outcome.COMPLETE, Reason.NONE, 0),
         ("first-token", 0.1, 0.5, Outcome.PARTIAL, Reason.UPSTREAM_CLOSED, 0),
         ("total", 0.0, 0.0, Outcome.NOT_RUN, Reason.DEADLINE, 0),
-        # A repeated arrival is told of another's end, and is no answer.
+        # A repeated request only gets the outcome of the earlier one.
         ("total", 0.0, 0.1, Outcome.COMPLETE, Reason.CLAIM_TAKEN, 0),
     ],
 )
