--- a/packages/daemon/tests/failures/conftest.py
+++ b/packages/daemon/tests/failures/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a small deployment of processes that tests may break."""
+"""Shared fixtures: a deployment of processes with injectable faults."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 WARNING = "/warnings/spill"
 LOOKUP = "/lookups/page"
 WAIT_SECONDS = 15.0
-"""Bound of every wait; one that passes it fails the test."""
+"""Timeout of every wait; a test that exceeds it fails."""
 
 _POLL_SECONDS = 0.02
 _PROFILE = """
@@ -71,7 +71,7 @@
     ("portal", "portal-2", "south", False),
     ("writers", "writer-1", "north", True),
     ("writers", "writer-2", "south", True),
-    # The only one of its domain that can't go on with another's stream.
+    # The only engine of its domain that cannot resume another's stream.
     ("writers", "writer-3", "north", False),
 )
 
@@ -107,7 +107,7 @@
 
 
 def parse(text: str):
-    """Return the draft of declarations that are known to be valid."""
+    """Parse valid declarations into a draft."""
     draft = declarations.parse_declarations(
         [declarations.DeclarationFile(name="test", text=text)]
     )
@@ -116,7 +116,7 @@
 
 
 def chat(*, tokens: int, streamed: bool = True, content: str = "Which?"):
-    """Return the body of a chat completion of that length."""
+    """Return the body of a chat completion request."""
     return json.dumps(
         {
             "model": "catalogue-1",
@@ -128,7 +128,7 @@
 
 
 def callers() -> list[traffic.Caller]:
-    """Return the two organisations as callers."""
+    """Return callers of the two organisations."""
     return [
         traffic.Caller(organisation=name, key=deployment.organisation_key(name))
         for name in (HOUSE, RIVAL)
@@ -138,7 +138,7 @@
 def chat_class(
     name: str, *, rate: float, streams: bool, tokens: float = 20.0
 ) -> traffic.TrafficClass:
-    """Return chat completions as a class of a load."""
+    """Return a traffic class of chat completions."""
     return traffic.TrafficClass(
         name=name,
         target="catalogue-1",
@@ -152,17 +152,17 @@
 
 
 def entry_addresses(trial: "Trial"):
-    """Return the callers' addresses of all entry VMs."""
+    """Return the caller addresses of all entry VMs."""
     return [trial.process(vm.id).address("caller") for vm in ENTRY_VMS]
 
 
-def told(answer: http_client.Answer) -> tuple[int, str | None]:
-    """Return the status and the outcome that a caller is told."""
+def reported(answer: http_client.Answer) -> tuple[int, str | None]:
+    """Return the status and the outcome header of a response."""
     return answer.status, answer.head.headers.get("lagoonrun-outcome")
 
 
 async def until(condition, *, seconds: float = WAIT_SECONDS):
-    """Poll `condition` until it is true, and return its value."""
+    """Poll `condition` until it is truthy, and return its value."""
     give_up_at = time.monotonic() + seconds
     while True:
         value = await condition()
@@ -174,7 +174,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Trial:
-    """A deployment with short ways to break and to look at it."""
+    """A deployment with helpers to inject faults and inspect its state."""
 
     deployment: deployment.Deployment
 
@@ -183,7 +183,7 @@
         return self.deployment.process(name)
 
     async def ask(self, entry_vm, path, *, organisation=HOUSE, **options):
-        """Make one caller's request."""
+        """Send a request as a caller."""
         return await self.deployment.ask(
             entry_vm, path, organisation=organisation, **options
         )
@@ -203,7 +203,7 @@
         )
 
     async def clear(self, name: str, **fields):
-        """Set faults back at a stand-in that may drop the control call."""
+        """Reset faults of a stand-in that may drop the control call."""
         while True:
             with contextlib.suppress(ConnectionError):
                 return await self.control(name, **fields)
@@ -233,16 +233,16 @@
         return counts
 
     async def runs_of_key(self, key: str) -> int:
-        """Return how often a key was run by any upstream."""
+        """Return how often upstreams ran requests with a key."""
         return (await self.runs("by_idempotency_key")).get(key, 0)
 
     async def status(self, entry_vm):
-        """Return what an entry VM shows its operators."""
+        """Return the admin status of an entry VM."""
         answer = await self.deployment.ask_admin(entry_vm, "/status")
         return answer.json()
 
     async def held(self) -> dict[str, int]:
-        """Return what schedulers of running entry VMs hold, by their names."""
+        """Return the running and waiting counts above zero of all shards."""
         held = {}
         for vm in ENTRY_VMS:
             for shard in (await self.status(vm.id))["shards"]:
@@ -260,12 +260,12 @@
         await until(nothing_held)
 
     async def platform_calls(self, kind: str) -> int:
-        """Return how many calls of a kind the platform has taken."""
+        """Return how many calls of a kind the platform has received."""
         counters = await self.counters("platform")
         return counters["calls_by_kind"].get(kind, 0)
 
     async def wait_calls(self, kind: str, above: int) -> None:
-        """Wait until the platform has taken more calls of a kind."""
+        """Wait until the platform has received more calls of a kind."""
 
         async def more():
             return await self.platform_calls(kind) > above
@@ -273,13 +273,13 @@
         await until(more)
 
     async def dispatcher_of(self, pool: str, domain: str = "north") -> str:
-        """Return who dispatches the only shard of a pool's domain."""
+        """Return the dispatcher of the only shard of a pool in a domain."""
         shard = f"{pool}@{domain}/0"
         shards = (await self.status(NORTH_1))["shards"]
         return next(s["dispatcher"] for s in shards if s["shard"] == shard)
 
     async def restart_lost(self) -> None:
-        """Put a new VM in the place of each that was lost."""
+        """Replace each lost entry VM by a new process."""
         lost = [vm for vm in ENTRY_VMS if not self.process(vm.id).is_running]
         async with asyncio.timeout(WAIT_SECONDS):
             for vm in lost:
@@ -290,10 +290,10 @@
 
 
 class Balancer:
-    """Sends each request to an entry VM that says it is ready.
+    """Load balancer that sends each request to a ready entry VM.
 
-    It asks for readiness from time to time, so that it notices with a lag.
-    A VM that refuses the connection was sent nothing; the next one is tried.
+    It polls readiness periodically, so it detects changes with a delay. If an
+    entry VM refuses the connection, the next one is tried.
     """
 
     def __init__(self, *, trial: Trial) -> None:
@@ -303,23 +303,23 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to ask for readiness."""
+        """Start polling readiness."""
         self._task = asyncio.create_task(self._probe_forever())
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         if self._task:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def ask(self, path: str, **options) -> http_client.Answer:
-        """Make one caller's request of the next ready entry VM."""
+        """Send a request as a caller to the next ready entry VM."""
         for _ in range(len(ENTRY_VMS) * 2):
             self._turn += 1
             vm = self._ready[self._turn % len(self._ready)]
             with contextlib.suppress(ConnectionRefusedError):
                 return await self._trial.ask(vm, path, **options)
-        raise AssertionError("no entry VM takes connections")
+        raise AssertionError("no entry VM accepts connections")
 
     async def _probe_forever(self) -> None:
         while True:
@@ -336,7 +336,7 @@
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
-async def whole():
+async def shared_trial():
     """Start a deployment that the tests of a module share."""
     processes = fleet.Fleet(stop_timeout_seconds=3.0)
     await processes.start()
@@ -354,15 +354,15 @@
 
 
 @pytest_asyncio.fixture(loop_scope="module")
-async def trial(whole):
-    """Give the deployment to a test, and mend it afterwards."""
-    yield whole
-    await whole.control(
+async def trial(shared_trial):
+    """Provide the deployment to a test and clear its faults afterwards."""
+    yield shared_trial
+    await shared_trial.control(
         "platform", outage="none", delay_seconds=0.0, lose_replies=0
     )
     for name in PORTALS:
-        await whole.control(name, service_seconds=0.0, frozen=False)
+        await shared_trial.control(name, service_seconds=0.0, frozen=False)
     for vm in ENTRY_VMS:
         with contextlib.suppress(Exception):
-            whole.process(vm.id).resume()
-    await whole.restart_lost()
+            shared_trial.process(vm.id).resume()
+    await shared_trial.restart_lost()
--- a/packages/daemon/tests/failures/test_answers.py
+++ b/packages/daemon/tests/failures/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets its own answer, and "not run" is true."""
+"""Callers get only their own responses, and "not-run" is truthful."""
 
 import collections
 import dataclasses
@@ -57,7 +57,7 @@
 
 
 async def _load(trial, *, seed: int):
-    """Send the load of two organisations by all entry VMs."""
+    """Send the load of two organisations through all entry VMs."""
     arrivals = traffic.arrivals(
         _classes(), callers(), duration_seconds=_DURATION_SECONDS, seed=seed
     )
@@ -91,11 +91,11 @@
 
 @pytest.mark.parametrize("fault", _ENGINE_FAULTS)
 async def test_faulty_engine_answers_reach_no_wrong_caller(trial, fault):
-    """Engines confuse, repeat, delay and break off answers under load.
+    """Engines mix up, repeat, delay and truncate responses under load.
 
-    Two rival organisations share the entry VMs' connections to the engines.
-    A caller gets its own whole answer, an error event, or is told that none
-    came; never another's words and never a silent cut.
+    Two organisations share the entry VMs' connections to the engines. A caller
+    must get its own complete response, an error event or an error status;
+    never another caller's response and never an undetected truncation.
     """
     for name in WRITERS:
         await trial.control(name, **_ENGINE_FAULTS[fault])
@@ -108,10 +108,10 @@
 
 @pytest.mark.parametrize("fault", _SERVICE_FAULTS)
 async def test_refusals_of_plain_services_are_told_truthfully(trial, fault):
-    """A plain service refuses, confuses or drops calls under load.
+    """A plain service refuses, mixes up or drops calls under load.
 
-    What callers are told was not run was run by no upstream, by the
-    upstreams' own counts, and no warning was run twice.
+    According to the upstreams' own counts, no request reported as "not-run"
+    was run, and no warning was run twice.
     """
     for name in PORTALS:
         await trial.control(name, **_SERVICE_FAULTS[fault])
@@ -123,10 +123,10 @@
 
 
 async def test_overload_refuses_truthfully(trial):
-    """More requests come than upstreams can serve within their limits.
+    """The load exceeds what upstreams can serve within the limits.
 
-    The refused ones come back as not run, and none of them was run by any
-    upstream. Lookups, of a higher tier, are all answered meanwhile.
+    Refused requests are reported as "not-run", and no upstream ran any of
+    them. All lookups, which have a higher tier, are complete.
     """
     for name in PORTALS:
         await trial.control(name, service_seconds=0.2)
--- a/packages/daemon/tests/failures/test_at_most_once.py
+++ b/packages/daemon/tests/failures/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""At most once: a warning is never run twice, counted at the upstreams."""
+"""At-most-once execution of warnings, as counted by the upstreams."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
     NORTH_2,
     PORTALS,
     SOUTH_1,
-    told,
+    reported,
     until,
 )
 
@@ -20,7 +20,7 @@
 
 
 async def _begin_claim(trial, key):
-    """Send a warning whose claim is written but not yet confirmed."""
+    """Start a warning whose claim is written but not yet confirmed."""
     await trial.control("platform", delay_seconds=_CLAIM_DELAY_SECONDS)
     before = await trial.platform_calls("txn")
     caller = asyncio.create_task(trial.warn(NORTH_1, key))
@@ -29,7 +29,7 @@
 
 
 async def _begin_run(trial, key):
-    """Send a warning that has begun to run and is not answered yet."""
+    """Start a warning that is running at an upstream."""
     for name in PORTALS:
         await trial.control(name, service_seconds=1.0)
     before = await trial.total("runs")
@@ -46,9 +46,9 @@
 async def test_killed_ingress_leaves_no_second_run(trial, begin, request):
     """A caller's entry VM dies and the caller retries at another one.
 
-    The first VM is killed after its claim was written, or while the
-    upstream works. The caller sees its connection cut and sends the same
-    key elsewhere. The claim stays, so the retry is told that it is unknown.
+    The first VM is killed after its claim was written, or while the upstream
+    runs the request. The caller's connection breaks and it sends the same key
+    to another VM. The claim remains, so the retry gets the outcome "unknown".
     """
     key = request.node.name
     caller = await begin(trial, key)
@@ -57,16 +57,16 @@
         await caller
     await trial.control("platform", delay_seconds=0.0)
     retry = await trial.warn(NORTH_2, key)
-    assert told(retry) == (409, "unknown")
+    assert reported(retry) == (409, "unknown")
     assert await trial.runs_of_key(key) <= 1
 
 
 @pytest.mark.parametrize("begin", [_begin_claim, _begin_run])
 async def test_frozen_ingress_runs_once_on_waking(trial, begin, request):
-    """An entry VM pauses, its caller retries elsewhere, and it wakes.
+    """An entry VM freezes, its caller retries elsewhere, and it resumes.
 
-    It is stopped after its claim was written, or while the upstream works.
-    On waking it goes on with the request that its claim allows; the retry
+    It freezes after its claim was written, or while the upstream runs the
+    request. When it resumes, its claim still allows the request; the retry
     must not have run meanwhile.
     """
     key = request.node.name
@@ -74,29 +74,29 @@
     trial.process(NORTH_1).freeze()
     await trial.control("platform", delay_seconds=0.0)
     retry = await trial.warn(SOUTH_1, key)
-    assert told(retry) == (409, "unknown")
+    assert reported(retry) == (409, "unknown")
     trial.process(NORTH_1).resume()
     first = await caller
-    assert told(first) == (200, "complete")
+    assert reported(first) == (200, "complete")
     assert await trial.runs_of_key(key) == 1
 
 
 async def test_lost_reply_of_the_claim_is_read_back(trial):
-    """The platform takes the claim, but its answer is lost.
+    """The platform writes the claim, but its reply is lost.
 
-    Taking the silence for a failure would refuse a key that is claimed for
-    ever; claiming anew would take two claims for one request.
+    Treating the missing reply as a failure would refuse a key that stays
+    claimed; claiming again would create two claims for one request.
     """
     await trial.control("platform", lose_replies=1)
     answer = await trial.warn(NORTH_1, "lost-reply")
-    assert told(answer) == (200, "complete")
+    assert reported(answer) == (200, "complete")
     assert await trial.runs_of_key("lost-reply") == 1
 
 
 async def test_two_entry_vms_at_once_run_one(trial):
-    """An impatient caller sends one warning to all entry VMs at once.
+    """A caller sends one warning to all entry VMs concurrently.
 
-    Each grants a permit and claims; the platform lets one claim through.
+    Each obtains a permit and claims; the platform accepts one claim.
     """
     answers = await asyncio.gather(
         *(
@@ -112,15 +112,15 @@
 
 
 async def test_later_caller_is_told_how_the_first_ended(trial):
-    """A caller lost the answer to a warning and asks again with its key.
+    """A caller lost the response to a warning and retries with its key.
 
-    It must not be told that its request was not run: it was. It is told
-    the first attempt's end as soon as that is known.
+    The retry must not be reported as "not-run", because the request was run.
+    It gets the first attempt's outcome as soon as that is recorded.
     """
-    assert told(await trial.warn(NORTH_1, "ended")) == (200, "complete")
+    assert reported(await trial.warn(NORTH_1, "ended")) == (200, "complete")
 
     async def known():
-        return told(await trial.warn(SOUTH_1, "ended")) == (409, "complete")
+        return reported(await trial.warn(SOUTH_1, "ended")) == (409, "complete")
 
     await until(known)
     assert await trial.runs_of_key("ended") == 1
@@ -134,37 +134,38 @@
 async def test_closed_connection_is_not_tried_again(
     trial, key, fault, most_runs
 ):
-    """An upstream closes the connection when bytes of a warning arrived.
+    """An upstream closes the connection after receiving part of a warning.
 
-    Whether it ran can't be known, so the caller is told so and nothing is
-    sent again, neither by the router nor for a retry with the key.
+    Whether it ran is unknown, so the outcome is "unknown" and nothing is sent
+    again, neither by the router nor for a retry with the key.
     """
     key = f"{key}-{fault}" if key else None
     before = await trial.total("runs")
     for name in PORTALS:
-        # Load reads and controls use the fault up too.
+        # Load reports and control calls also consume the fault.
         await trial.control(name, **{fault: 4})
     answer = await trial.warn(NORTH_1, key)
     for name in PORTALS:
         await trial.clear(name, **{fault: 0})
-    assert told(answer) == (502, "unknown")
+    assert reported(answer) == (502, "unknown")
     if key:
-        assert told(await trial.warn(SOUTH_1, key)) == (409, "unknown")
+        assert reported(await trial.warn(SOUTH_1, key)) == (409, "unknown")
     assert await trial.total("runs") - before == most_runs
 
 
 @pytest.mark.parametrize("outage", ["close", "hang"])
 async def test_platform_outage_refuses_keys_only(trial, outage):
-    """The platform is down while warnings come in.
+    """The platform is down while warnings arrive.
 
-    Without the claim a keyed warning might run twice, so that it is refused
-    at once and truthfully; a warning without a key needs no platform.
+    Without a claim, a warning with a key might run twice, so it is refused
+    immediately as "not-run"; a warning without a key does not need the
+    platform.
     """
     await trial.control("platform", outage=outage)
     refused = await trial.warn(NORTH_1, f"outage-{outage}")
-    assert told(refused) == (503, "not-run")
+    assert reported(refused) == (503, "not-run")
     assert int(refused.head.headers["retry-after"]) >= 1
     assert await trial.runs_of_key(f"outage-{outage}") == 0
-    assert told(await trial.warn(NORTH_1)) == (200, "complete")
+    assert reported(await trial.warn(NORTH_1)) == (200, "complete")
     lookup = await trial.ask(NORTH_1, LOOKUP, method="GET")
-    assert told(lookup) == (200, "complete")
+    assert reported(lookup) == (200, "complete")
--- a/packages/daemon/tests/failures/test_cut_domains.py
+++ b/packages/daemon/tests/failures/test_cut_domains.py
@@ -1,8 +1,8 @@
-"""Failure domains that are cut off from each other and from the platform.
+"""Network partitions between failure domains and from the platform.
 
-The machines of the tests have no network to cut. Entry VMs are daemons of one
-process here; what one sends to another is dropped where it leaves, and the
-platform is reached through a relay that can be closed.
+The test machines have no network to partition. Therefore all entry VMs are
+daemons in one process: messages between them are dropped at the sender, and
+the platform is reached through a TCP relay that can be closed.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
     platform_store,
 )
 
-from .conftest import HOUSE, parse, told, until
+from .conftest import HOUSE, parse, reported, until
 
 _LOOPBACK = "127.0.0.1"
 _DOMAIN_BY_VM = {
@@ -91,7 +91,7 @@
 
 
 class _Relay:
-    """Passes connections on to the platform, until it is cut."""
+    """TCP relay to the platform that can be cut."""
 
     def __init__(self, *, port: int) -> None:
         self._target_port = port
@@ -150,7 +150,7 @@
 
 
 class _Domains:
-    """Two failure domains whose connections can be cut."""
+    """Two failure domains that can be partitioned."""
 
     def __init__(self) -> None:
         self.daemons_by_vm: dict[types.EntryVmId, daemons.Daemon] = {}
@@ -215,7 +215,7 @@
         )
 
     def cut(self, *ways: tuple[str, str]) -> None:
-        """Drop what domains send to others, from the first to the second."""
+        """Drop messages in the given (sender, receiver) directions."""
         self._cut_ways = set(ways)
 
     def heal(self) -> None:
@@ -232,13 +232,13 @@
         )
 
     async def serves(self, entry_vm, path) -> bool:
-        """Return whether a request was served; else it was refused."""
+        """Return whether a request was served rather than refused."""
         answer = await self.ask(entry_vm, path)
-        assert told(answer) in ((200, "complete"), (503, "not-run"))
+        assert reported(answer) in ((200, "complete"), (503, "not-run"))
         return answer.status == 200
 
     async def is_joined(self) -> bool:
-        """Return whether all know all, and agree on who dispatches."""
+        """Return whether all daemons see all others and agree on the owner."""
         for daemon in self.daemons_by_vm.values():
             live = [
                 vm
@@ -254,7 +254,7 @@
         return len(owners) == 1
 
     async def is_idle(self) -> bool:
-        """Return whether no scheduler holds anything."""
+        """Return whether no scheduler has running or waiting requests."""
         return not any(
             scheduler.running_count + scheduler.waiting_count
             for daemon in self.daemons_by_vm.values()
@@ -316,12 +316,12 @@
     ],
 )
 async def test_cut_domains_serve_and_converge(domains, ways):
-    """The two domains can't reach each other, or one can't reach the other.
+    """The two domains are partitioned in one or both directions.
 
-    Each serves what has upstreams of its own at all times. What is
-    dispatched in the other domain is refused truthfully, until the cut is
-    known and it is dispatched here. After the cut all agree again, no slot
-    is held, and no one was restarted.
+    Each domain must always serve requests that its own upstreams can serve.
+    Requests for shards of the other domain are refused truthfully until the
+    partition is detected and the shards are dispatched here. After it heals,
+    all daemons agree again without a restart and no slot is leaked.
     """
     assert await domains.serves("north-1", "/archives/page")
     domains.cut(*ways)
@@ -350,10 +350,10 @@
 
 
 async def test_domain_cut_from_all_keeps_its_configuration(domains):
-    """One domain is cut off from the other and from the platform.
+    """One domain is cut off from the other domain and from the platform.
 
-    It goes on with the configuration in force and refuses what it can't be
-    sure of. A change that is made meanwhile reaches it after the cut.
+    It continues with the configuration in force and refuses requests that need
+    a claim. A change made meanwhile reaches it after the partition heals.
     """
     domains.cut(_NORTH_TO_SOUTH, _SOUTH_TO_NORTH)
     domains.relays_by_domain["north"].cut()
@@ -368,7 +368,7 @@
         refused = await domains.ask(
             vm, "/warnings/spill", [("Idempotency-Key", "alone")]
         )
-        assert told(refused) == (503, "not-run")
+        assert reported(refused) == (503, "not-run")
     assert domains.revisions() == {1, changed}
     domains.heal()
     domains.relays_by_domain["north"].heal()
--- a/packages/daemon/tests/failures/test_dispatchers.py
+++ b/packages/daemon/tests/failures/test_dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatchers and ingresses that die, pause and come back under load."""
+"""Dispatchers and ingresses that die, freeze and return under load."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
     NORTH_2,
     PORTALS,
     SOUTH_1,
-    told,
+    reported,
     until,
 )
 
@@ -22,7 +22,7 @@
 
 
 async def _roles(trial):
-    """Return the dispatcher of the north's portal and the other north VM."""
+    """Return the dispatcher of the portal in north, and the other VM there."""
     dispatcher = await trial.dispatcher_of("portal")
     other = NORTH_1 if dispatcher == NORTH_2 else NORTH_2
     return dispatcher, other
@@ -34,7 +34,7 @@
 
 
 async def _fill(trial, ingress, dispatcher, *, requests: int, ask):
-    """Send so many requests that all slots are held and the rest wait."""
+    """Send `requests` requests and wait until all are running or queued."""
     await _wait_asked(trial, ingress, dispatcher)
     for name in PORTALS:
         await trial.control(name, service_seconds=0.7)
@@ -52,7 +52,7 @@
 
 
 async def _wait_asked(trial, ingress, dispatcher):
-    """Wait until the ingress asks that dispatcher, which it may pass over."""
+    """Wait until the ingress asks the dispatcher rather than skipping it."""
 
     async def asked():
         answer = await trial.ask(ingress, LOOKUP, method="GET")
@@ -85,11 +85,11 @@
 
 @pytest.mark.parametrize("loss", ["kill", "freeze"])
 async def test_waiting_requests_move_to_the_next_dispatcher(trial, loss):
-    """The dispatcher of a shard dies or pauses with requests in its queue.
+    """The dispatcher of a shard dies or freezes with requests in its queue.
 
-    They were acknowledged, so that nothing but its silence shows the loss.
-    The ingress asks the next-ranked entry VM and registers what runs. A
-    paused one that wakes must not hold the slots of requests long ended.
+    They were acknowledged, so only missing replies reveal the loss. The ingress
+    asks the next-ranked entry VM and registers its running requests there. A
+    dispatcher that resumes must not hold slots of requests that have ended.
     """
     dispatcher, ingress = await _roles(trial)
 
@@ -104,7 +104,7 @@
     else:
         trial.process(dispatcher).freeze()
     answers = await asyncio.gather(*callers)
-    assert {told(answer) for answer in answers} == {(200, "complete")}
+    assert {reported(answer) for answer in answers} == {(200, "complete")}
     assert await _most_runs(trial, answers) == 1
     if loss == "freeze":
         await _wait_state(trial, ingress, dispatcher, {"dead"})
@@ -115,10 +115,10 @@
 
 
 async def test_slots_of_a_paused_ingress_are_freed(trial):
-    """An entry VM pauses while its warnings hold all slots of a runner.
+    """An entry VM freezes while its warnings occupy all slots of a runner.
 
-    Once its death is known its slots serve others. On waking it finishes
-    what it had sent and sends nothing twice.
+    Once it is considered dead, its slots serve others. When it resumes, it
+    finishes the requests that it had sent and sends none twice.
     """
     dispatcher, ingress = await _roles(trial)
 
@@ -138,20 +138,20 @@
 
     await until(freed)
     served = await trial.ask(dispatcher, LOOKUP, method="GET")
-    assert told(served) == (200, "complete")
+    assert reported(served) == (200, "complete")
     trial.process(ingress).resume()
     answers = await asyncio.gather(*callers)
-    assert {told(answer) for answer in answers} == {(200, "complete")}
+    assert {reported(answer) for answer in answers} == {(200, "complete")}
     runs = await trial.runs("by_idempotency_key")
     assert [runs[f"paused-{n}"] for n in range(_SLOTS)] == [1] * _SLOTS
     await trial.wait_nothing_held()
 
 
 async def test_quickly_replaced_ingress_leaves_no_slots_held(trial):
-    """An entry VM dies with permits, and a new one takes its name at once.
+    """An entry VM dies with permits and is replaced under its name at once.
 
-    The others may never see it dead, and the new one knows nothing of the
-    old one's permits; without traffic nothing else would free them.
+    The others may never consider it dead, and the new process does not know
+    the old permits; without traffic nothing else would free their slots.
     """
     dispatcher, ingress = await _roles(trial)
 
@@ -166,9 +166,9 @@
 
 
 async def test_callers_that_leave_while_waiting_hold_nothing(trial):
-    """Callers give up while their requests wait for a slot.
+    """Callers disconnect while their requests wait for a slot.
 
-    Their grants may be under way when they leave, and are given back.
+    Grants that are in transit meanwhile must be returned.
     """
     dispatcher, ingress = await _roles(trial)
 
@@ -185,9 +185,9 @@
 
 
 async def test_every_entry_vm_pauses_in_turn_under_load(trial):
-    """Each entry VM is paused for a moment while lookups go on at the rest.
+    """Each entry VM freezes briefly while lookups continue at the others.
 
-    Nothing is lost that another VM could serve, nothing runs twice, and all
+    No request that another VM could serve is lost, none runs twice, and all
     slots are free at the end.
     """
     stop = asyncio.Event()
@@ -217,7 +217,7 @@
         awake_by_vm[vm].set()
     stop.set()
     await asyncio.gather(*senders)
-    assert {told(answer) for answer in answers} == {(200, "complete")}
+    assert {reported(answer) for answer in answers} == {(200, "complete")}
     assert await _most_runs(trial, answers) == 1
     await trial.wait_nothing_held()
 
--- a/packages/daemon/tests/failures/test_leaving_upstreams.py
+++ b/packages/daemon/tests/failures/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""A leaving upstream gets no new work after a few seconds."""
+"""A leaving upstream gets no new requests after a few seconds."""
 
 import asyncio
 import contextlib
@@ -14,24 +14,24 @@
     PORTALS,
     SOUTH_1,
     chat,
-    told,
+    reported,
     until,
 )
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
 
-_LONGEST_SECONDS = 3.0
+_MAX_SECONDS = 3.0
 _LEAVING = "portal-1"
 
 
 @contextlib.asynccontextmanager
 async def _lookups(trial):
-    """Send lookups by all entry VMs, one after the other, until the end."""
+    """Send lookups through each entry VM sequentially until the end."""
 
     async def send_forever(entry_vm):
         while True:
             answer = await trial.ask(entry_vm, LOOKUP, method="GET")
-            assert told(answer) == (200, "complete")
+            assert reported(answer) == (200, "complete")
 
     tasks = [asyncio.create_task(send_forever(vm.id)) for vm in ENTRY_VMS]
     try:
@@ -78,7 +78,7 @@
 
 
 async def _restart(trial):
-    """Put a new process in the place of the one that left."""
+    """Replace the process of the leaving upstream."""
     process = trial.process(_LEAVING)
     port = process.port
     await process.kill()
@@ -86,8 +86,8 @@
 
 
 @pytest_asyncio.fixture(loop_scope="module")
-async def leaver(trial):
-    """Give the trial; the upstream is replaced at the end, if it left."""
+async def leaving_trial(trial):
+    """Provide the deployment; afterwards replace the leaving upstream."""
     yield trial
     await trial.control("platform", outage="none")
     await _list(trial, "live")
@@ -96,66 +96,67 @@
 
 
 @pytest.mark.parametrize("outage", ["none", "close"])
-async def test_own_report_ends_new_work(leaver, outage):
-    """An upstream tells in its load report that it is leaving.
+async def test_own_report_ends_new_work(leaving_trial, outage):
+    """An upstream reports in its load report that it is leaving.
 
-    It would lose what is sent to it when it goes. Entry VMs that don't read
-    its report hear of it from their peers, also with the platform down.
+    Requests sent to it would be lost when it exits. Entry VMs that do not read
+    its report are informed by their peers, even while the platform is down.
     """
-    await leaver.control("platform", outage=outage)
-    async with _lookups(leaver):
-        await _wait_more_runs(leaver, _LEAVING, 20)
-        await leaver.control(_LEAVING, leaving=True)
-        await _wait_known(leaver, leaving=True)
-        await _wait_more_runs(leaver, "portal-2", 50)
-    counters = await leaver.counters(_LEAVING)
-    assert counters["last_run_while_leaving_seconds"] < _LONGEST_SECONDS
-
-
-async def test_first_request_after_a_quiet_time_avoids_the_leaving(leaver):
-    """An upstream says that it is leaving while no requests come.
-
-    Were reports read only for shards that are in use, the first request
-    long after would still be sent to it. The entry VMs are new, so that no
-    shard has been in use.
+    await leaving_trial.control("platform", outage=outage)
+    async with _lookups(leaving_trial):
+        await _wait_more_runs(leaving_trial, _LEAVING, 20)
+        await leaving_trial.control(_LEAVING, leaving=True)
+        await _wait_known(leaving_trial, leaving=True)
+        await _wait_more_runs(leaving_trial, "portal-2", 50)
+    counters = await leaving_trial.counters(_LEAVING)
+    assert counters["last_run_while_leaving_seconds"] < _MAX_SECONDS
+
+
+async def test_first_request_after_a_quiet_time_avoids_the_leaving(
+    leaving_trial,
+):
+    """An upstream reports that it is leaving while there are no requests.
+
+    If reports were read only for shards in use, the first later request would
+    still be sent to it. The entry VMs are new, so no shard has been in use.
     """
     for vm in ENTRY_VMS:
-        await leaver.process(vm.id).kill()
-    await leaver.restart_lost()
-    await leaver.control(_LEAVING, leaving=True)
-    await _wait_known(leaver, leaving=True)
+        await leaving_trial.process(vm.id).kill()
+    await leaving_trial.restart_lost()
+    await leaving_trial.control(_LEAVING, leaving=True)
+    await _wait_known(leaving_trial, leaving=True)
     for vm in ENTRY_VMS:
-        answer = await leaver.ask(vm.id, LOOKUP, method="GET")
-        assert told(answer) == (200, "complete")
-    assert (await leaver.counters(_LEAVING))["runs_while_leaving"] == 0
+        answer = await leaving_trial.ask(vm.id, LOOKUP, method="GET")
+        assert reported(answer) == (200, "complete")
+    assert (await leaving_trial.counters(_LEAVING))["runs_while_leaving"] == 0
 
 
-async def test_platform_list_ends_new_work_for_that_process(leaver):
-    """The platform lists an upstream as leaving; its report says nothing.
+async def test_platform_list_ends_new_work_for_that_process(leaving_trial):
+    """The platform lists an upstream as leaving, but its report does not.
 
-    The list wins over the report of the process that is to go. The process
-    that takes its place gets work, although the list lags.
+    The list overrides the report of the leaving process. The process that
+    replaces it gets requests, although the list lags.
     """
-    reads = await leaver.platform_calls("vms")
-    await _list(leaver, "leaving")
-    await _wait_known(leaver, leaving=True)
-    before = await _runs(leaver, _LEAVING)
-    async with _lookups(leaver):
-        await _wait_more_runs(leaver, "portal-2", 50)
-    assert await _runs(leaver, _LEAVING) == before
-    # Each of the three watchers has seen the list.
-    await leaver.wait_calls("vms", reads + 6)
-    await _restart(leaver)
-    await _wait_known(leaver, leaving=False)
-    async with _lookups(leaver):
-        await _wait_more_runs(leaver, _LEAVING, 10)
+    reads = await leaving_trial.platform_calls("vms")
+    await _list(leaving_trial, "leaving")
+    await _wait_known(leaving_trial, leaving=True)
+    before = await _runs(leaving_trial, _LEAVING)
+    async with _lookups(leaving_trial):
+        await _wait_more_runs(leaving_trial, "portal-2", 50)
+    assert await _runs(leaving_trial, _LEAVING) == before
+    # Each of the three watchers has read the list.
+    await leaving_trial.wait_calls("vms", reads + 6)
+    await _restart(leaving_trial)
+    await _wait_known(leaving_trial, leaving=False)
+    async with _lookups(leaving_trial):
+        await _wait_more_runs(leaving_trial, _LEAVING, 10)
 
 
 async def test_streams_of_a_leaving_engine_go_on(trial):
-    """An engine begins to leave with a stream half way.
+    """An engine starts to leave in the middle of a stream.
 
-    Connections to it are forgotten so that nothing new goes there; the one
-    that carries the stream must not be among them.
+    Connections to it are dropped so that no new request is sent there; the one
+    that carries the stream must not be closed.
     """
     tokens = 700
     asked = asyncio.create_task(
@@ -183,7 +184,7 @@
 
 @pytest.mark.parametrize("upstream", PORTALS)
 async def test_each_upstream_tells_its_start(trial, upstream):
-    """A restarted upstream is told from the one that left by its start."""
+    """A restarted upstream is distinguished from the old one by start time."""
     process = trial.process(upstream)
     answer = await http_client.fetch(
         process.host, process.port, "GET", "/metrics"
--- a/packages/daemon/tests/failures/test_orderers.py
+++ b/packages/daemon/tests/failures/test_orderers.py
@@ -1,6 +1,6 @@
-"""Entry VMs that order upstreams, frozen past their lease or stopped.
+"""Orderers that freeze beyond their lease or stop.
 
-The tests share a deployment; the one that stops an entry VM comes last.
+The tests share a deployment; the test that stops an entry VM must be last.
 """
 
 import dataclasses
@@ -68,7 +68,7 @@
 
 
 class _Orders:
-    """The deployment, its placement and its orderer."""
+    """A deployment with helpers to change and inspect its placement."""
 
     def __init__(self, running):
         self.running = running
@@ -98,7 +98,7 @@
         await until(loaded)
 
     async def holder(self):
-        """Return the entry VM that holds the domain."""
+        """Return the entry VM that is the domain's orderer."""
         key = tenure.holder_key(tenure.duty_of_domain(NORTH))
         found = (await self._store.get(key)).found
         return tenure.decode(found.value).entry_vm if found else None
@@ -114,7 +114,7 @@
         return await http_client.fetch_json(process.host, process.port, path)
 
     async def check_fencing_numbers(self):
-        """No older tenure's order came after a newer one's, anywhere."""
+        """Assert that fencing numbers increased at every engine."""
         for name in ENGINES:
             counters = await self.ask(name, "/control/counters")
             applied = counters["fencing_applied"]
@@ -148,10 +148,11 @@
 
 
 async def test_a_frozen_orderer_does_not_order_on_waking(orders):
-    """A model that was replaced is loaded again by an entry VM that woke.
+    """An orderer resumes after a freeze and must not repeat old orders.
 
-    The orderer is frozen in the middle of a change, its lease lapses, and
-    the other one carries the change out. Then the first one wakes.
+    It freezes in the middle of a change, its lease expires, and the other one
+    completes the change. When the first one resumes, it must not load a model
+    that has been replaced.
     """
     first = await orders.holder()
     await orders.want("m2")
@@ -172,7 +173,10 @@
 
 
 async def test_a_stopping_orderer_hands_over_at_once(orders):
-    """A rolling replacement leaves a domain without orders for its lease."""
+    """A stop must not leave a domain without an orderer until its lease ends.
+
+    A rolling replacement would repeat that gap for each orderer.
+    """
     first = await orders.holder()
     orders.running.process(first).request_stop()
     await orders.wait_holder_other_than(first)
--- a/packages/daemon/tests/failures/test_planned_stops.py
+++ b/packages/daemon/tests/failures/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts nothing and refuses nothing that others could take."""
+"""A planned stop cuts no request and refuses none that others can serve."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     SOUTH_1,
     Balancer,
     chat,
-    told,
+    reported,
     until,
 )
 
@@ -25,7 +25,7 @@
 
 
 def _is_whole(answer) -> bool:
-    """Return whether a stream came to its end with every token."""
+    """Return whether a stream is complete with every token."""
     tokens = answer.body.count(b'"content"')
     ended = answer.body.rstrip().endswith(b"data: [DONE]")
     return answer.status == 200 and ended and tokens == _STREAM_TOKENS
@@ -59,11 +59,11 @@
 
 @pytest.mark.parametrize("entry_vm", [NORTH_1, NORTH_2, SOUTH_1])
 async def test_stop_finishes_streams_and_waiting_requests(trial, entry_vm):
-    """An entry VM is stopped with long streams and with a queue.
+    """An entry VM is stopped while it has long streams and a queue exists.
 
-    It may be the dispatcher of the queue or not, and is the last one of its
-    failure domain or not. The streams would be cut and the queue refused by
-    an exit at once; the requests that wait go to the next dispatcher.
+    It may or may not be the dispatcher of the queue, and the last entry VM of
+    its failure domain. An immediate exit would cut the streams and refuse the
+    queue; instead, waiting requests must move to the next dispatcher.
     """
     for name in PORTALS:
         await trial.control(name, service_seconds=0.3)
@@ -77,7 +77,7 @@
     process = trial.process(entry_vm)
     assert await process.terminate(timeout_seconds=_STOP_SECONDS) == 0
     answers = await asyncio.gather(*lookups)
-    assert {told(answer) for answer in answers} == {(200, "complete")}
+    assert {reported(answer) for answer in answers} == {(200, "complete")}
     assert all(_is_whole(answer) for answer in await asyncio.gather(*streams))
     await trial.restart_lost()
     await trial.wait_nothing_held()
@@ -87,8 +87,9 @@
 async def test_stop_in_an_outage_ends(trial, outage):
     """An entry VM is stopped while the platform is down.
 
-    The end of a warning that it has just run can't be recorded. It still
-    answers its caller and exits; the claim stays, so nothing runs twice.
+    The outcome of a warning that it has just run cannot be recorded. It still
+    responds to the caller and exits; the claim remains, so that nothing runs
+    twice.
     """
     key = f"stop-{outage}"
     for name in PORTALS:
@@ -103,12 +104,12 @@
     await trial.control("platform", outage=outage)
     process = trial.process(NORTH_1)
     assert await process.terminate(timeout_seconds=_STOP_SECONDS) == 0
-    assert told(await asked) == (200, "complete")
+    assert reported(await asked) == (200, "complete")
     await trial.control("platform", outage="none")
     await trial.restart_lost()
 
     async def retried():
-        # Refused while the others find that the platform is back.
+        # Refused until the others detect that the platform is available.
         return (await trial.warn(NORTH_2, key)).status == 409
 
     await until(retried)
@@ -116,11 +117,11 @@
 
 
 async def test_rolling_replacement_cuts_nothing(trial):
-    """All entry VMs are replaced one after the other under load.
+    """All entry VMs are replaced one after another under load.
 
-    Callers come through a balancer that sends new connections only to VMs
-    that say they are ready, and notices with a lag. No caller is cut,
-    refused or left without an answer.
+    Callers use a load balancer that sends new connections only to ready VMs
+    but detects changes with a delay. No request may be cut, refused or left
+    without a response.
     """
     for name in PORTALS:
         await trial.control(name, service_seconds=0.02)
@@ -151,7 +152,7 @@
         stop.set()
         await asyncio.gather(*senders)
         await balancer.close()
-    assert {told(answer) for answer in answers} == {(200, "complete")}
+    assert {reported(answer) for answer in answers} == {(200, "complete")}
     assert all(_is_whole(answer) for answer in streams)
     assert len(answers) > 100
     await trial.wait_nothing_held()
--- a/packages/daemon/tests/failures/test_platform.py
+++ b/packages/daemon/tests/failures/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform is down, slow or lagging, and configuration changes."""
+"""Platform outages, delays and lagging reads, and configuration changes."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
     NORTH_1,
     NORTH_2,
     SOUTH_1,
-    told,
+    reported,
     until,
 )
 
@@ -26,11 +26,11 @@
 
 
 async def _look_up(trial, count: int):
-    """Send lookups by all entry VMs; each has to be served."""
+    """Send lookups through all entry VMs; each must be served."""
     for number in range(count):
         vm = ENTRY_VMS[number % len(ENTRY_VMS)]
         answer = await trial.ask(vm.id, LOOKUP, method="GET")
-        assert told(answer) == (200, "complete")
+        assert reported(answer) == (200, "complete")
 
 
 async def _wait_reachable(trial, expected: bool):
@@ -45,7 +45,7 @@
 
 
 async def _change(trial, weight: float) -> types.Revision:
-    """Bring a changed weight of an organisation into force."""
+    """Apply a changed weight of an organisation."""
     running = trial.deployment
     organisations = dict(running.declared.organisations_by_id)
     name = types.OrganisationId("house")
@@ -76,22 +76,22 @@
 async def test_new_entry_vm_starts_from_its_peers_in_an_outage(trial, outage):
     """An entry VM is replaced while the platform is down.
 
-    The new one keeps nothing and can't read the store; it takes over the
-    configuration that its peers have in force, and serves.
+    The new one has no state on disk and cannot read the store; it must serve
+    with the configuration that its peers have in force.
     """
     await trial.control("platform", outage=outage)
     await trial.process(SOUTH_1).kill()
     await trial.restart_lost()
     answer = await trial.ask(SOUTH_1, LOOKUP, method="GET")
-    assert told(answer) == (200, "complete")
+    assert reported(answer) == (200, "complete")
     assert (await trial.status(SOUTH_1))["revision"] >= 1
 
 
 async def test_entry_vm_alone_in_an_outage_says_that_it_is_not_ready(trial):
-    """An entry VM starts with no peer in reach and the platform down.
+    """An entry VM starts without peers while the platform is down.
 
-    It has no configuration at all: it must not take callers, and those that
-    come all the same are told the truth. It needs no restart afterwards.
+    It has no configuration: it must not be ready, and must report requests
+    that still arrive as "not-run". It needs no restart after the outage.
     """
     await trial.control("platform", outage="close")
     any_port = settings.Address(host="127.0.0.1", port=0)
@@ -111,7 +111,7 @@
     assert ready.status == 503
     assert (await trial.status(_ALONE))["revision"] == 0
     refused = await trial.ask(_ALONE, LOOKUP, method="GET")
-    assert told(refused) == (503, "not-run")
+    assert reported(refused) == (503, "not-run")
     assert refused.head.headers["lagoonrun-reason"] == "unconfigured"
     await trial.control("platform", outage="none")
     async with asyncio.timeout(30):
@@ -120,10 +120,10 @@
 
 
 async def test_traffic_in_an_outage_calls_no_platform(trial):
-    """The platform is down for long while requests go on, and comes back.
+    """Requests continue during and after a long outage of the platform.
 
-    Calls that follow the traffic, or all entry VMs at once when it returns,
-    would keep it down. They are counted at the platform in both phases.
+    Calls in proportion to the traffic, or from all entry VMs at the end of the
+    outage, would overload the platform. It counts the calls in both phases.
     """
     await trial.control("platform", outage="close")
     await _wait_reachable(trial, False)
@@ -137,9 +137,9 @@
 
 
 async def test_keyed_requests_in_an_outage_are_bounded_at_the_platform(trial):
-    """Callers send hundreds of keyed warnings while the platform is down.
+    """Callers send hundreds of warnings with keys during an outage.
 
-    Each is refused truthfully, but not each may cost a call.
+    Each must be refused truthfully, but without one platform call for each.
     """
     await trial.control("platform", outage="close", reset_counters=True)
     warned = [
@@ -147,7 +147,7 @@
         for n in range(300)
     ]
     answers = await asyncio.gather(*warned)
-    assert {told(answer) for answer in answers} == {(503, "not-run")}
+    assert {reported(answer) for answer in answers} == {(503, "not-run")}
     assert (await trial.counters("platform"))["calls_in_outage"] <= 60
     assert not any(
         key.startswith("outage-")
@@ -156,17 +156,17 @@
 
 
 async def test_slow_platform_slows_no_requests(trial):
-    """The platform takes seconds for each answer.
+    """The platform takes seconds for each reply.
 
-    Requests that need it not are served as always; a keyed one waits for
-    its claim within bounds, and what is told of it is true.
+    Requests that do not need it are served as usual. A request with a key
+    waits a bounded time for its claim, and its reported outcome is correct.
     """
     await trial.control("platform", delay_seconds=2.0)
     warned = asyncio.create_task(trial.warn(NORTH_1, "slow"))
     await _look_up(trial, 300)
     answer = await warned
     ran = await trial.runs_of_key("slow")
-    assert (told(answer), ran) in (
+    assert (reported(answer), ran) in (
         ((200, "complete"), 1),
         ((503, "not-run"), 0),
     )
@@ -174,10 +174,10 @@
 
 @pytest.mark.parametrize("lost", [NORTH_1, NORTH_2, SOUTH_1])
 async def test_change_reaches_all_though_a_watcher_dies(trial, lost):
-    """An operator's change is accepted as an entry VM dies.
+    """An operator's change is accepted while an entry VM dies.
 
-    It may be one of those that watch the platform for its failure domain.
-    The others, and the one that takes its place, still get the change.
+    It may be a watcher of the platform for its failure domain. The others, and
+    its replacement, must still get the change.
     """
     await trial.process(lost).kill()
     rest = [vm.id for vm in ENTRY_VMS if vm.id != lost]
@@ -190,10 +190,10 @@
 
 
 async def test_lagging_reads_never_revert_the_configuration(trial):
-    """The platform answers reads with old revisions while changes come.
+    """The platform returns old revisions to reads while changes are made.
 
-    An entry VM that believed an old read would go back to a configuration
-    that was replaced. The revisions that each shows never sink.
+    An entry VM that applied an old read would revert to a replaced
+    configuration. The revisions that each reports must never decrease.
     """
     await trial.control("platform", read_lag_revisions=5)
     shown: dict[str, list[int]] = {vm.id: [] for vm in ENTRY_VMS}
@@ -205,7 +205,7 @@
             shown[entry_vm].append(status["revision"])
 
     async def write():
-        # The lag is counted in writes; without any it would never end.
+        # The lag is counted in writes: without writes it would not end.
         while not stop.is_set():
             await trial.warn(NORTH_1, f"lag-{time.monotonic_ns()}")
 
--- a/packages/daemon/tests/failures/test_streams.py
+++ b/packages/daemon/tests/failures/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams whose engine crashes or whose caller leaves."""
+"""Streams whose engine crashes or whose caller disconnects."""
 
 import asyncio
 import collections
@@ -33,7 +33,7 @@
 
 
 async def _stream(trial, *, rate: float, tokens: float, during):
-    """Send streams, do `during` while they run, and return the results."""
+    """Send streams, call `during` meanwhile, and return the results."""
     stream = chat_class("stream", rate=rate, streams=True, tokens=tokens)
     arrivals = traffic.arrivals(
         [stream], callers(), duration_seconds=0.5, seed=3
@@ -61,7 +61,7 @@
 
 
 async def _begin_stream(trial) -> http_client.ClientConnection:
-    """Ask for a long stream; return once its answer has begun."""
+    """Request a long stream; return once its response has started."""
     address = trial.process(NORTH_1).address("caller")
     connection = http_client.ClientConnection(
         host=address.host, port=address.port
@@ -81,10 +81,11 @@
 
 @pytest.mark.parametrize("engine", WRITERS)
 async def test_crashed_engines_streams_go_on_elsewhere(trial, engine):
-    """An engine crashes with streams half way.
+    """An engine crashes in the middle of streams.
 
-    Their callers would see a silent cut, or words left out or said twice.
-    Another engine that resumes goes on at the next token, exactly.
+    Their callers must not get an undetected truncation, or missing or repeated
+    tokens. Another engine that can resume must continue exactly at the next
+    token.
     """
 
     async def crash():
@@ -95,7 +96,7 @@
     begun = [r for r in results if not math.isnan(r.first_token_seconds)]
     kinds = collections.Counter(result.verdict.kind for result in begun)
     assert set(kinds) == {_KIND.COMPLETE}, [r.verdict for r in results]
-    # What was lost before its first token is tried again within a budget.
+    # Requests lost before their first token have a limited retry budget.
     kinds = collections.Counter(result.verdict.kind for result in results)
     assert set(kinds) <= {_KIND.COMPLETE, _KIND.UNKNOWN}
     assert (await trial.counters(engine))["tokens_crashed"] > 0
@@ -103,10 +104,10 @@
 
 
 async def test_stream_that_nobody_resumes_ends_in_an_error_event(trial):
-    """All engines that resume are gone when the last engine crashes.
+    """An engine crashes and no engine that can resume is left.
 
-    The caller must not take the part that it has for the whole answer: it
-    gets an error event and no [DONE].
+    The caller must not mistake the partial response for a complete one: it
+    must get an error event and no [DONE].
     """
     ports = {}
     for name in ("writer-1", "writer-2"):
@@ -129,10 +130,10 @@
 
 @pytest.mark.parametrize("streamed", [True, False])
 async def test_callers_leaving_ends_the_engines_work(trial, streamed):
-    """A caller closes its connection while an engine writes for it.
+    """A caller closes its connection while an engine generates its response.
 
-    The engine would go on for thousands of tokens that nobody reads, in a
-    slot that others wait for.
+    Otherwise the engine would generate thousands of unused tokens in a slot
+    for which others wait.
     """
     wasted = await trial.total("tokens_wasted", WRITERS)
     cancelled = await trial.total("requests_cancelled", WRITERS)
