--- a/packages/standins/src/lagoonrun_standins/answer_check.py
+++ b/packages/standins/src/lagoonrun_standins/answer_check.py
@@ -51,12 +51,12 @@
     """Return whether a well-formed HTTP answer is the arrival's own."""
     if head.status != 200:
         reason = head.headers.get("lagoonrun-reason", f"status {head.status}")
-        return Verdict(kind=_told_kind(head), reason=reason)
+        return Verdict(kind=_reported_kind(head), reason=reason)
     if arrival.traffic_class.is_plain:
         return _check_plain(arrival, head, body)
     if arrival.traffic_class.streams:
         return _check_stream(arrival, head, body)
-    return _check_whole(arrival, head, body)
+    return _check_completion(arrival, head, body)
 
 
 def request_id_of(head: http_client.Head) -> str:
@@ -67,12 +67,12 @@
     return ""
 
 
-def _told_kind(head: http_client.Head) -> ResultKind:
+def _reported_kind(head: http_client.Head) -> ResultKind:
     if head.headers.get("x-not-run") == "true":
         return ResultKind.NOT_RUN
     outcome = head.headers.get("lagoonrun-outcome", "")
-    told = (ResultKind.NOT_RUN, ResultKind.UNKNOWN, ResultKind.PARTIAL)
-    by_value = {kind.value: kind for kind in told}
+    reportable = (ResultKind.NOT_RUN, ResultKind.UNKNOWN, ResultKind.PARTIAL)
+    by_value = {kind.value: kind for kind in reportable}
     return by_value.get(outcome, ResultKind.FAILED)
 
 
@@ -80,7 +80,7 @@
     arrival: traffic.Arrival, head: http_client.Head, body: bytes
 ) -> Verdict:
     try:
-        seen = json.loads(body)
+        echoed = json.loads(body)
     except ValueError:
         return _mismatch("the body is not JSON")
     expected = {
@@ -88,7 +88,7 @@
         "request_id": request_id_of(head),
         "body_digest": plain_service.body_digest(arrival.body),
     }
-    wrong = [name for name in expected if seen.get(name) != expected[name]]
+    wrong = [name for name in expected if echoed.get(name) != expected[name]]
     if wrong:
         return _mismatch(f"{wrong} are of another request")
     return Verdict(kind=ResultKind.COMPLETE)
@@ -114,7 +114,7 @@
     return _check_length(arrival, verdict)
 
 
-def _check_whole(
+def _check_completion(
     arrival: traffic.Arrival, head: http_client.Head, body: bytes
 ) -> Verdict:
     verdict = _check_text(arrival, head, body)
@@ -133,7 +133,7 @@
     text = b"".join(_CONTENT.findall(body)).decode()
     digest = answers.digest(request_id, arrival.messages)
     try:
-        tokens = answers.whole_tokens(text, digest)
+        tokens = answers.count_tokens(text, digest)
     except ValueError as error:
         return _mismatch(str(error))
     return Verdict(kind=ResultKind.COMPLETE, tokens=tokens)
--- a/packages/standins/src/lagoonrun_standins/answers.py
+++ b/packages/standins/src/lagoonrun_standins/answers.py
@@ -14,7 +14,7 @@
 _COMPLETION_PREFIX = "chatcmpl-"
 _MEDIAN_TOKENS = 60
 _LENGTH_SIGMA = 0.8
-_LONGEST_TOKENS = 600
+_MAX_TOKENS = 600
 _TOKEN = re.compile(r"([0-9a-f]{8})-(\d+) ")
 
 
@@ -57,7 +57,7 @@
         return max(1, int(limit))
     if natural is None:
         draw = random.Random(seed).lognormvariate(0.0, _LENGTH_SIGMA)
-        natural = min(_LONGEST_TOKENS, round(_MEDIAN_TOKENS * draw))
+        natural = min(_MAX_TOKENS, round(_MEDIAN_TOKENS * draw))
     count = max(1, int(natural))
     return count if limit is None else min(count, max(1, int(limit)))
 
@@ -72,7 +72,7 @@
     return completion.removeprefix(_COMPLETION_PREFIX)
 
 
-def whole_tokens(answer: str, answer_digest: str) -> int:
+def count_tokens(answer: str, answer_digest: str) -> int:
     """Return the number of tokens of an answer that starts at token 0.
 
     Raises
@@ -83,9 +83,9 @@
     count = answer.count(" ")
     if answer != text(answer_digest, 0, count):
         found = _TOKEN.match(answer)
-        begins = found.group(0) if found else answer[:20]
+        beginning = found.group(0) if found else answer[:20]
         raise ValueError(
-            f"answer begins with {begins!r}; valid: tokens 0 to"
+            f"answer begins with {beginning!r}; valid: tokens 0 to"
             f" {count - 1} of {answer_digest}"
         )
     return count
--- a/packages/standins/src/lagoonrun_standins/controls.py
+++ b/packages/standins/src/lagoonrun_standins/controls.py
@@ -10,7 +10,7 @@
 Control = TypeVar("Control")
 
 
-def changed(control: Control, body: Mapping[str, Any]) -> Control:
+def with_fields(control: Control, body: Mapping[str, Any]) -> Control:
     """Return `control` with the fields that `body` names replaced.
 
     Parameters
@@ -32,7 +32,7 @@
     return dataclasses.replace(control, **values)
 
 
-def without(body: Any, action: str) -> tuple[dict[str, Any], bool]:
+def split_action(body: Any, action: str) -> tuple[dict[str, Any], bool]:
     """Split an action, such as a crash, off the fields to change.
 
     Returns
@@ -79,7 +79,7 @@
     return value.value if isinstance(value, enum.Enum) else value
 
 
-def counted_off(control: Control, name: str) -> tuple[Control, bool]:
+def consume_count(control: Control, name: str) -> tuple[Control, bool]:
     """Lower the count in field `name` by one, where it is above zero.
 
     Returns
--- a/packages/standins/src/lagoonrun_standins/engine.py
+++ b/packages/standins/src/lagoonrun_standins/engine.py
@@ -28,7 +28,7 @@
 from lagoonrun_standins import http_server as http_lib
 
 _CHAT_PATH = "/v1/chat/completions"
-_LATEST_SECONDS = 0.1
+_MAX_SCHEDULE_LAG_SECONDS = 0.1
 _HELP = "As the parameter of the same name."
 
 
@@ -115,7 +115,7 @@
         )
         self._thawed = asyncio.Event()
         self._thawed.set()
-        self._stepping: asyncio.Task[None] | None = None
+        self._step_task: asyncio.Task[None] | None = None
 
     @property
     def faults(self) -> engine_faults.Faults:
@@ -130,13 +130,13 @@
     async def start(self) -> None:
         """Listen and start to step."""
         await self._server.start()
-        self._stepping = asyncio.create_task(self._step_forever())
+        self._step_task = asyncio.create_task(self._run_steps())
 
     async def close(self) -> None:
         """Stop stepping and drop every connection."""
-        if self._stepping:
-            self._stepping.cancel()
-            await asyncio.gather(self._stepping, return_exceptions=True)
+        if self._step_task:
+            self._step_task.cancel()
+            await asyncio.gather(self._step_task, return_exceptions=True)
         await self._server.close()
 
     def crash(self, *, exchange: http_lib.Exchange | None = None) -> None:
@@ -162,8 +162,8 @@
         ValueError
             If a field does not exist or its value is not valid.
         """
-        fields, crashes = controls.without(body, "crash")
-        faults = controls.changed(self.faults, fields)
+        fields, crashes = controls.split_action(body, "crash")
+        faults = controls.with_fields(self.faults, fields)
         self._reply_faults.faults = faults
         self._report.lag_seconds = faults.metrics_lag_seconds
         self.runs.set_leaving(faults.leaving)
@@ -193,7 +193,7 @@
             "fencing_applied": [one.fencing for one in self.orders.applied],
         }
 
-    async def _step_forever(self) -> None:
+    async def _run_steps(self) -> None:
         due = self._clock.monotonic()
         while True:
             if self.batch.is_idle:
@@ -205,7 +205,7 @@
             duration = self.batch.begin_step() * self.faults.slow_factor
             self._record_load()
             now = self._clock.monotonic()
-            due = max(due + duration, now - _LATEST_SECONDS)
+            due = max(due + duration, now - _MAX_SCHEDULE_LAG_SECONDS)
             await asyncio.sleep(max(0.0, due - now))
             await self._thawed.wait()
             self.batch.end_step()
@@ -230,7 +230,7 @@
         if controls.is_control(request):
             controls.answer(request, exchange, target=self)
             return
-        await exchange.unless_gone(self._thawed.wait())
+        await exchange.wait_unless_gone(self._thawed.wait())
         try:
             await self._answer(request, exchange)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
@@ -243,7 +243,7 @@
         if route == ("POST", _CHAT_PATH):
             await self._chat.answer(request, exchange)
         elif route == ("POST", "/orders"):
-            await self._obey(request, exchange)
+            await self._apply_order(request, exchange)
         elif route == ("GET", "/metrics") and self.faults.omits_metrics:
             upstream_protocol.refuse(request, exchange, 503, "no report")
         elif route == ("GET", "/metrics"):
@@ -273,12 +273,12 @@
             "waiting": self.batch.waiting_count,
         }
 
-    async def _obey(
+    async def _apply_order(
         self, request: http_lib.Request, exchange: http_lib.Exchange
     ) -> None:
         order = engine_orders.Order.from_json(request.json())
         try:
-            await self.orders.obey(order)
+            await self.orders.apply(order)
         except engine_orders.OldFencingNumberError as error:
             seen = self.orders.fencing_seen
             body = {"error": str(error), "fencing": seen}
--- a/packages/standins/src/lagoonrun_standins/engine_batch.py
+++ b/packages/standins/src/lagoonrun_standins/engine_batch.py
@@ -184,11 +184,11 @@
         self.peak_batch = max(self.peak_batch, len(self.running))
 
     def _prefill(self) -> int:
-        room = self.cost.prefill_tokens_per_step
+        budget = self.cost.prefill_tokens_per_step
         for run in sorted(self.running, key=lambda run: run.priority):
-            share = min(room, run.prefill_left)
+            share = min(budget, run.prefill_left)
             run.prefill_left -= share
-            room -= share
-        prefilled = self.cost.prefill_tokens_per_step - room
+            budget -= share
+        prefilled = self.cost.prefill_tokens_per_step - budget
         self.tokens_prefilled += prefilled
         return prefilled
--- a/packages/standins/src/lagoonrun_standins/engine_chat.py
+++ b/packages/standins/src/lagoonrun_standins/engine_chat.py
@@ -85,10 +85,10 @@
             upstream_protocol.refuse(request, exchange, 503, refusal)
             return
         self._runs.add(request.headers)
-        fault = self._faults.take()
+        fault = self._faults.pop_next()
         if fault.late_seconds:
-            await exchange.unless_gone(asyncio.sleep(fault.late_seconds))
-        identity = await self._faults.crossed(identity, exchange)
+            await exchange.wait_unless_gone(asyncio.sleep(fault.late_seconds))
+        identity = await self._faults.exchange_identity(identity, exchange)
         reply = engine_reply.Reply(
             exchange=exchange,
             identity=identity,
--- a/packages/standins/src/lagoonrun_standins/engine_faults.py
+++ b/packages/standins/src/lagoonrun_standins/engine_faults.py
@@ -68,31 +68,31 @@
         self._first: engine_reply.Identity | None = None
         self._second: asyncio.Future[engine_reply.Identity] | None = None
 
-    def take(self) -> engine_reply.Fault:
+    def pop_next(self) -> engine_reply.Fault:
         """Return the faults of the coming answer, and count them off."""
-        late = self._takes("late_answers")
+        late = self._consume("late_answers")
         return engine_reply.Fault(
-            omits_echo=self._takes("omit_echoes"),
-            truncates=self._takes("truncate_answers"),
-            omits_done=self._takes("omit_done_answers"),
-            duplicates=self._takes("duplicate_answers"),
+            omits_echo=self._consume("omit_echoes"),
+            truncates=self._consume("truncate_answers"),
+            omits_done=self._consume("omit_done_answers"),
+            duplicates=self._consume("duplicate_answers"),
             late_seconds=self.faults.late_seconds if late else 0.0,
         )
 
-    async def crossed(
+    async def exchange_identity(
         self, identity: engine_reply.Identity, exchange: http_lib.Exchange
     ) -> engine_reply.Identity:
         """Return whose answer is given to the request of `identity`.
 
         The first request of a pair waits here for the second.
         """
-        if self._second is None and not self._takes("cross_answers"):
+        if self._second is None and not self._consume("cross_answers"):
             return identity
         if self._second is None:
             self._first = identity
             second = asyncio.get_running_loop().create_future()
             self._second = second
-            met = await exchange.unless_gone(second)
+            met = await exchange.wait_unless_gone(second)
             return second.result() if met else identity
         first = self._first
         assert first is not None
@@ -101,6 +101,6 @@
         self._second = None
         return first
 
-    def _takes(self, name: str) -> bool:
-        self.faults, taken = controls.counted_off(self.faults, name)
+    def _consume(self, name: str) -> bool:
+        self.faults, taken = controls.consume_count(self.faults, name)
         return taken
--- a/packages/standins/src/lagoonrun_standins/engine_orders.py
+++ b/packages/standins/src/lagoonrun_standins/engine_orders.py
@@ -97,7 +97,7 @@
         """Return whether requests for `model` are taken."""
         return self._serves_any or model in self.version_by_model
 
-    async def obey(self, order: Order) -> None:
+    async def apply(self, order: Order) -> None:
         """Apply an order.
 
         Raises
--- a/packages/standins/src/lagoonrun_standins/engine_reply.py
+++ b/packages/standins/src/lagoonrun_standins/engine_reply.py
@@ -93,7 +93,7 @@
         self._streams = streams
         self._includes_usage = includes_usage
         self._fault = fault
-        self._half = (identity.first + identity.end) // 2
+        self._break_index = (identity.first + identity.end) // 2
         self._is_cut = False
         base = self._chunk(delta={"content": "@"}, finish_reason=None)
         self._before, _, self._after = base.decode().rpartition("@")
@@ -107,8 +107,8 @@
         """Send one token of a stream."""
         if self._is_cut:
             return
-        if self._faulty_half() and index >= self._half:
-            self._cut()
+        if self._breaks_off() and index >= self._break_index:
+            self._break_off()
         elif self._streams:
             self._start_stream()
             token = answers.token(self._identity.digest, index)
@@ -130,10 +130,10 @@
         """Give up the answer."""
         self.done.set()
 
-    def _faulty_half(self) -> bool:
+    def _breaks_off(self) -> bool:
         return self._fault.truncates or self._fault.omits_done
 
-    def _cut(self) -> None:
+    def _break_off(self) -> None:
         self._is_cut = True
         if self._fault.truncates or not self._streams:
             self._exchange.drop()
@@ -155,9 +155,9 @@
         self._exchange.finish()
 
     def _respond(self) -> None:
-        self._exchange.respond_json(200, self._whole(), self._echo())
+        self._exchange.respond_json(200, self._completion(), self._echo())
 
-    def _whole(self) -> dict[str, Any]:
+    def _completion(self) -> dict[str, Any]:
         identity = self._identity
         content = answers.text(identity.digest, identity.first, identity.end)
         message = {"role": "assistant", "content": content}
@@ -168,7 +168,7 @@
         }
 
     def _duplicate(self) -> None:
-        body = json.dumps(self._whole())
+        body = json.dumps(self._completion())
         lines = [
             "HTTP/1.1 200 ",
             f"X-Request-Id: {self._identity.request_id}",
@@ -176,7 +176,7 @@
             f"Content-Length: {len(body)}",
         ]
         head = "\r\n".join(lines)
-        self._exchange.write_unasked(f"{head}\r\n\r\n{body}".encode())
+        self._exchange.write_unsolicited(f"{head}\r\n\r\n{body}".encode())
 
     def _echo(self) -> list[http_lib.Header]:
         if self._fault.omits_echo:
--- a/packages/standins/src/lagoonrun_standins/fleet.py
+++ b/packages/standins/src/lagoonrun_standins/fleet.py
@@ -53,7 +53,7 @@
             prefix = "lagoonrun-fleet-"
             self.directory = pathlib.Path(tempfile.mkdtemp(prefix=prefix))
         # A test run that ends without `close` must leave no process behind.
-        atexit.register(self._kill_rest)
+        atexit.register(self._kill_running)
 
     async def close(self) -> None:
         """End every process: by SIGTERM, and by SIGKILL where it is late."""
@@ -61,8 +61,8 @@
         for process in running:
             process.request_stop()
             process.resume()
-        await asyncio.gather(*(self._end(process) for process in running))
-        atexit.unregister(self._kill_rest)
+        await asyncio.gather(*(self._stop(process) for process in running))
+        atexit.unregister(self._kill_running)
 
     async def start_module(
         self, name: str, module: str, arguments: Sequence[str] = ()
@@ -78,8 +78,8 @@
             If the name is in use, or the process is not ready in time.
         """
         assert self.directory is not None
-        former = self.processes_by_name.get(name)
-        if former and former.is_running:
+        previous = self.processes_by_name.get(name)
+        if previous and previous.is_running:
             raise managed_process.ProcessError(f"{name} runs already")
         process = managed_process.ManagedProcess(
             name=name,
@@ -138,13 +138,13 @@
             name, f"{_STAND_IN_PACKAGE}.{module}", arguments
         )
 
-    async def _end(self, process: managed_process.ManagedProcess) -> None:
+    async def _stop(self, process: managed_process.ManagedProcess) -> None:
         try:
             await process.wait(timeout_seconds=self._stop_timeout_seconds)
         except managed_process.ProcessError:
             await process.kill()
 
-    def _kill_rest(self) -> None:
+    def _kill_running(self) -> None:
         for process in self.processes_by_name.values():
             if process.is_running:
                 os.kill(process.pid, signal.SIGKILL)
--- a/packages/standins/src/lagoonrun_standins/gateway_calls.py
+++ b/packages/standins/src/lagoonrun_standins/gateway_calls.py
@@ -57,13 +57,13 @@
     def _range(self, fields: gateway_json.Fields) -> dict[str, Any]:
         revision = fields.integer("revision")
         if revision or not self.read_lag_revisions:
-            return self._found(fields, revision=revision)
+            return self._range_response(fields, revision=revision)
         oldest = max(self._state.compact_revision, 1)
         revision = max(oldest, self._state.revision - self.read_lag_revisions)
-        answer = self._found(fields, revision=revision)
+        answer = self._range_response(fields, revision=revision)
         return answer | {"header": gateway_json.header(revision)}
 
-    def _found(
+    def _range_response(
         self, fields: gateway_json.Fields, *, revision: int
     ) -> dict[str, Any]:
         found = self._state.get(fields.key_range(), revision=revision)
@@ -79,7 +79,7 @@
             answer["more"] = True
         if found and not fields.flag("count_only"):
             keys_only = fields.flag("keys_only")
-            answer["kvs"] = [_shown(item, keys_only) for item in found]
+            answer["kvs"] = [_key_value_json(item, keys_only) for item in found]
         return answer
 
     def _put(self, fields: gateway_json.Fields) -> dict[str, Any]:
@@ -111,11 +111,13 @@
 
     def _transact(self, fields: gateway_json.Fields) -> dict[str, Any]:
         conditions = [f.comparison() for f in fields.objects("compare")]
-        succeeded = all(self._state.holds(c) for c in conditions)
+        succeeded = all(self._state.satisfies(c) for c in conditions)
         operations = fields.objects("success" if succeeded else "failure")
         for operation in operations:
             self._check_operation(operation)
-        responses = [self._operate(operation) for operation in operations]
+        responses = [
+            self._apply_operation(operation) for operation in operations
+        ]
         self._state.commit()
         answer: dict[str, Any] = {"header": self._header()}
         if succeeded:
@@ -147,14 +149,16 @@
                 body.octets("value"), lease=body.integer("lease")
             )
 
-    def _operate(self, operation: gateway_json.Fields) -> dict[str, Any]:
+    def _apply_operation(
+        self, operation: gateway_json.Fields
+    ) -> dict[str, Any]:
         if body := operation.object("request_put"):
             return {"response_put": self._apply_put(body)}
         if body := operation.object("request_delete_range"):
             return {"response_delete_range": self._apply_delete(body)}
         body = operation.object("request_range")
         assert body is not None
-        return {"response_range": self._found(body, revision=0)}
+        return {"response_range": self._range_response(body, revision=0)}
 
     def _compact(self, fields: gateway_json.Fields) -> dict[str, Any]:
         self._state.compact(fields.integer("revision"))
@@ -199,7 +203,9 @@
         return answer
 
 
-def _shown(item: state_lib.KeyValue, keys_only: bool) -> dict[str, str]:
+def _key_value_json(
+    item: state_lib.KeyValue, keys_only: bool
+) -> dict[str, str]:
     shown = gateway_json.key_value(item)
     if keys_only:
         shown.pop("value", None)
--- a/packages/standins/src/lagoonrun_standins/gateway_watches.py
+++ b/packages/standins/src/lagoonrun_standins/gateway_watches.py
@@ -23,10 +23,10 @@
     filters: tuple[str, ...]
     lines: asyncio.Queue[dict[str, Any]]
 
-    def wants(self, change: state_lib.Change) -> bool:
+    def matches(self, change: state_lib.Change) -> bool:
         """Return whether the watch is to be told of a change."""
         kind = "NODELETE" if change.is_deletion else "NOPUT"
-        in_range = self.keys.holds(change.present.key)
+        in_range = self.keys.contains(change.present.key)
         return in_range and kind not in self.filters
 
 
@@ -36,7 +36,7 @@
     Parameters
     ----------
     state
-        What is watched; calls `tell` after each of its revisions.
+        What is watched; calls `publish` after each of its revisions.
     progress_seconds
         Period of the lines without events that a watch may ask for.
     """
@@ -45,8 +45,8 @@
         self, *, state: state_lib.KeyValueState, progress_seconds: float
     ) -> None:
         self._state = state
-        self._flowing = asyncio.Event()
-        self._flowing.set()
+        self._not_paused = asyncio.Event()
+        self._not_paused.set()
         self._progress_seconds = progress_seconds
         self._watches: set[_Watch] = set()
 
@@ -54,14 +54,14 @@
         """Return the number of waiting watches."""
         return len(self._watches)
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Hold every line back, or let what has gathered go."""
-        if held:
-            self._flowing.clear()
+        if paused:
+            self._not_paused.clear()
         else:
-            self._flowing.set()
+            self._not_paused.set()
 
-    def tell(self, changes: Sequence[state_lib.Change]) -> None:
+    def publish(self, changes: Sequence[state_lib.Change]) -> None:
         """Queue the changes of one revision for the watches they concern."""
         for watch in self._watches:
             self._queue(watch, changes)
@@ -105,18 +105,18 @@
         gone = asyncio.create_task(exchange.gone.wait())
         try:
             while not gone.done():
-                taking = asyncio.create_task(watch.lines.get())
+                next_line = asyncio.create_task(watch.lines.get())
                 await asyncio.wait(
-                    {taking, gone},
+                    {next_line, gone},
                     timeout=timeout,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                await exchange.unless_gone(self._flowing.wait())
-                if taking.done():
-                    _send(exchange, taking.result())
+                await exchange.wait_unless_gone(self._not_paused.wait())
+                if next_line.done():
+                    _send(exchange, next_line.result())
                     await exchange.flush()
                     continue
-                taking.cancel()
+                next_line.cancel()
                 # A progress line promises that every event up to its
                 # revision was sent, so none may be waiting.
                 if watch.lines.empty() and not gone.done():
@@ -130,7 +130,7 @@
         events = [
             gateway_json.event(change, previous=watch.previous)
             for change in changes
-            if watch.wants(change)
+            if watch.matches(change)
         ]
         if events:
             watch.lines.put_nowait(self._line(events=events))
--- a/packages/standins/src/lagoonrun_standins/http_server.py
+++ b/packages/standins/src/lagoonrun_standins/http_server.py
@@ -109,7 +109,7 @@
         body = json.dumps(value).encode()
         self.respond(status, body, [*headers, content_type])
 
-    def write_unasked(self, data: bytes) -> None:
+    def write_unsolicited(self, data: bytes) -> None:
         """Write bytes past the protocol, to play a faulty server."""
         if not self._transport.is_closing():
             self._transport.write(data)
@@ -118,7 +118,7 @@
         """Wait until the transport's buffer has room."""
         await self._writable.wait()
 
-    async def unless_gone(self, waiting: Awaitable[Any]) -> bool:
+    async def wait_unless_gone(self, waiting: Awaitable[Any]) -> bool:
         """Await `waiting` until the client goes; return whether it ended."""
         task = asyncio.ensure_future(waiting)
         gone = asyncio.create_task(self.gone.wait())
@@ -169,7 +169,7 @@
         self.handler = handler
         self.host = host
         self.port = port
-        self.drops_at_first_byte = 0
+        self.aborts_left = 0
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
 
@@ -202,9 +202,9 @@
             if sparing is None or connection.exchange is not sparing:
                 connection.abort()
 
-    def drop_next_at_first_byte(self, count: int) -> None:
+    def abort_next_at_first_byte(self, count: int) -> None:
         """Abort the next `count` requests when their first byte arrives."""
-        self.drops_at_first_byte = count
+        self.aborts_left = count
 
     def add(self, connection: "_Connection") -> None:
         """Remember an open connection."""
@@ -236,10 +236,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server.discard(self)
-        self._client_gone()
+        self._on_client_gone()
 
     def eof_received(self) -> bool:
-        self._client_gone()
+        self._on_client_gone()
         return False
 
     def pause_writing(self) -> None:
@@ -251,47 +251,47 @@
             self.exchange.set_writable(True)
 
     def data_received(self, data: bytes) -> None:
-        if not self._request_begun and self._server.drops_at_first_byte:
-            self._server.drops_at_first_byte -= 1
+        if not self._request_begun and self._server.aborts_left:
+            self._server.aborts_left -= 1
             self.abort()
             return
         self._request_begun = True
         self._h11.receive_data(data)
-        self._advance()
+        self._read_events()
 
     def abort(self) -> None:
         """Close at once; what is unsent is lost."""
         self._transport.abort()
 
-    def _client_gone(self) -> None:
+    def _on_client_gone(self) -> None:
         if self.exchange:
             self.exchange.gone.set()
             self.exchange.set_writable(True)
 
-    def _advance(self) -> None:
+    def _read_events(self) -> None:
         try:
-            while self._take(self._h11.next_event()):
+            while self._on_event(self._h11.next_event()):
                 pass
         except h11.RemoteProtocolError:
             self.abort()
 
-    def _take(self, event: Any) -> bool:
+    def _on_event(self, event: Any) -> bool:
         if isinstance(event, h11.Request):
             self._head = event
             if self._h11.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self._transport.write(self._h11.send(go_on))
+                interim = h11.InformationalResponse(status_code=100, headers=[])
+                self._transport.write(self._h11.send(interim))
             return True
         if isinstance(event, h11.Data):
             self._body.append(bytes(event.data))
             return True
         if isinstance(event, h11.EndOfMessage):
-            self._begin()
+            self._start_handler()
         elif isinstance(event, h11.ConnectionClosed):
             self._transport.close()
         return False
 
-    def _begin(self) -> None:
+    def _start_handler(self) -> None:
         assert self._head is not None
         path, _, query = self._head.target.decode("latin-1").partition("?")
         request = Request(
@@ -334,4 +334,4 @@
             self._transport.close()
             return
         self._h11.start_next_cycle()
-        self._advance()
+        self._read_events()
--- a/packages/standins/src/lagoonrun_standins/key_value_state.py
+++ b/packages/standins/src/lagoonrun_standins/key_value_state.py
@@ -64,7 +64,7 @@
     key: bytes
     end: bytes = b""
 
-    def holds(self, key: bytes) -> bool:
+    def contains(self, key: bytes) -> bool:
         """Return whether `key` is within the range."""
         if not self.end:
             return key == self.key
@@ -106,7 +106,7 @@
 
     id: int
     ttl_seconds: int
-    lapses_at: float
+    expires_at: float
     keys: set[bytes] = dataclasses.field(default_factory=set)
 
 
@@ -146,7 +146,7 @@
         if not keys.end:
             found = current.get(keys.key)
             return [found] if found else []
-        return [current[key] for key in sorted(current) if keys.holds(key)]
+        return [current[key] for key in sorted(current) if keys.contains(key)]
 
     def put(self, key: bytes, value: bytes, *, lease: int = 0) -> None:
         """Set `key` within the revision that `commit` ends."""
@@ -200,7 +200,7 @@
             self.on_change(changes)
         return True
 
-    def holds(self, comparison: Comparison) -> bool:
+    def satisfies(self, comparison: Comparison) -> bool:
         """Return whether a condition is met by every key of its range."""
         found = self.get(comparison.keys)
         if not found and not comparison.keys.end:
@@ -257,7 +257,7 @@
         lease = Lease(
             id=lease_id,
             ttl_seconds=ttl_seconds,
-            lapses_at=self._clock.monotonic() + ttl_seconds,
+            expires_at=self._clock.monotonic() + ttl_seconds,
         )
         self.lease_by_id[lease_id] = lease
         return lease
@@ -267,12 +267,12 @@
         lease = self.lease_by_id.get(lease_id)
         if lease is None:
             return 0
-        lease.lapses_at = self._clock.monotonic() + lease.ttl_seconds
+        lease.expires_at = self._clock.monotonic() + lease.ttl_seconds
         return lease.ttl_seconds
 
     def remaining_seconds(self, lease: Lease) -> int:
         """Return the whole seconds until a lease lapses."""
-        return max(0, math.ceil(lease.lapses_at - self._clock.monotonic()))
+        return max(0, math.ceil(lease.expires_at - self._clock.monotonic()))
 
     def revoke(self, lease_id: int) -> None:
         """End a lease and delete its keys, in one revision.
@@ -293,12 +293,12 @@
     def expire(self) -> None:
         """Revoke the leases whose time is over."""
         now = self._clock.monotonic()
-        lapsed = [
+        expired = [
             lease.id
             for lease in self.lease_by_id.values()
-            if lease.lapses_at <= now
+            if lease.expires_at <= now
         ]
-        for lease_id in lapsed:
+        for lease_id in expired:
             self.revoke(lease_id)
 
     def _at(self, revision: int) -> dict[bytes, KeyValue]:
--- a/packages/standins/src/lagoonrun_standins/load.py
+++ b/packages/standins/src/lagoonrun_standins/load.py
@@ -107,12 +107,12 @@
         lag = self._clock.monotonic() - due
         attempt = _Attempt()
         attempts = 1
-        verdict = await self._attempt_patiently(arrival, due, attempt)
-        if self._comes_back(verdict, attempt):
+        verdict = await self._attempt_with_timeout(arrival, due, attempt)
+        if self._should_retry(verdict, attempt):
             await asyncio.sleep(attempt.retry_after_seconds)
             attempt = _Attempt()
             attempts = 2
-            verdict = await self._attempt_patiently(arrival, due, attempt)
+            verdict = await self._attempt_with_timeout(arrival, due, attempt)
         self.results.append(
             load_summary.Result(
                 arrival=arrival,
@@ -125,14 +125,14 @@
             )
         )
 
-    def _comes_back(
+    def _should_retry(
         self, verdict: answer_check.Verdict, attempt: _Attempt
     ) -> bool:
         refused = verdict.kind is answer_check.ResultKind.NOT_RUN
-        may = self._retry_mode is RetryMode.ONCE
-        return may and refused and attempt.retry_after_seconds > 0
+        allowed = self._retry_mode is RetryMode.ONCE
+        return allowed and refused and attempt.retry_after_seconds > 0
 
-    async def _attempt_patiently(
+    async def _attempt_with_timeout(
         self, arrival: traffic.Arrival, due: float, attempt: _Attempt
     ) -> answer_check.Verdict:
         left = due + arrival.traffic_class.patience - self._clock.monotonic()
@@ -183,7 +183,7 @@
     async def _connect(self) -> http_client.ClientConnection | None:
         """Return a connection to the next entry VM that can be reached.
 
-        Nothing was sent before, so that another one may be tried.
+        Nothing was sent before, so that another one allowed be tried.
         """
         for _ in self._addresses:
             address = next(self._turns)
--- a/packages/standins/src/lagoonrun_standins/load_report.py
+++ b/packages/standins/src/lagoonrun_standins/load_report.py
@@ -53,7 +53,7 @@
         if not self._samples or self._samples[-1][1] != load:
             self._samples.append((self._clock.monotonic(), load))
 
-    def seen(self) -> Load:
+    def delayed_sample(self) -> Load:
         """Return the newest sample that is at least as old as the lag."""
         limit = self._clock.monotonic() - self.lag_seconds
         for recorded_at, load in reversed(self._samples):
@@ -63,7 +63,7 @@
 
     def text(self) -> bytes:
         """Return the load in the Prometheus text format."""
-        load = self.seen()
+        load = self.delayed_sample()
         registry = prometheus_client.CollectorRegistry()
         values = {
             "engine_requests_running": load.running,
--- a/packages/standins/src/lagoonrun_standins/managed_process.py
+++ b/packages/standins/src/lagoonrun_standins/managed_process.py
@@ -82,7 +82,7 @@
         self.ready: Ready | None = None
         self._command = (sys.executable, "-m", module, *arguments)
         self._process: asyncio.subprocess.Process | None = None
-        self._copying: asyncio.Task[None] | None = None
+        self._copy_task: asyncio.Task[None] | None = None
 
     @property
     def pid(self) -> int:
@@ -148,7 +148,7 @@
             await self._process.wait()
             raise self._error(f"ended with {self._process.returncode}")
         self.ready = Ready.parse(line)
-        self._copying = asyncio.create_task(self._copy_output())
+        self._copy_task = asyncio.create_task(self._copy_output())
 
     async def close(self) -> None:
         """End it, if it still runs."""
@@ -168,7 +168,7 @@
             self._send(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
-        await self._end_copying()
+        await self._stop_copying()
 
     def request_stop(self) -> None:
         """Ask for a planned stop, without waiting for its end."""
@@ -188,7 +188,7 @@
                 code = await self._process.wait()
         except TimeoutError:
             raise self._error("did not end in time") from None
-        await self._end_copying()
+        await self._stop_copying()
         return code
 
     async def terminate(self, *, timeout_seconds: float) -> int:
@@ -238,13 +238,13 @@
         with self.log_path.open("ab") as log:
             log.write(raw)
 
-    async def _end_copying(self) -> None:
-        if self._copying is None:
+    async def _stop_copying(self) -> None:
+        if self._copy_task is None:
             return
-        self._copying.cancel()
+        self._copy_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await self._copying
-        self._copying = None
+            await self._copy_task
+        self._copy_task = None
 
     def _error(self, what: str) -> ProcessError:
         return ProcessError(f"{self.name} {what}; its log:\n{self.log_tail()}")
--- a/packages/standins/src/lagoonrun_standins/plain_service.py
+++ b/packages/standins/src/lagoonrun_standins/plain_service.py
@@ -104,7 +104,7 @@
         self.running = 0
         self.waiting = 0
         self.refused = 0
-        self.cut = 0
+        self.cut_before_answer = 0
         self._server = http_lib.HttpServer(
             handler=self._handle, host=host, port=port
         )
@@ -143,14 +143,14 @@
         ValueError
             If a field does not exist or its value is not valid.
         """
-        fields, crashes = controls.without(body, "crash")
-        self.faults = controls.changed(self.faults, fields)
+        fields, crashes = controls.split_action(body, "crash")
+        self.faults = controls.with_fields(self.faults, fields)
         self.runs.set_leaving(self.faults.leaving)
         self._report.lag_seconds = self.faults.metrics_lag_seconds
         self._record_load()
         if "close_at_first_byte" in fields:
             count = self.faults.close_at_first_byte
-            self._server.drop_next_at_first_byte(count)
+            self._server.abort_next_at_first_byte(count)
         if self.faults.frozen:
             self._thawed.clear()
         else:
@@ -163,7 +163,7 @@
         return self.runs.totals() | {
             "completed": self.completed,
             "refused": self.refused,
-            "cut_before_answer": self.cut,
+            "cut_before_answer": self.cut_before_answer,
             "running": self.running,
             "waiting": self.waiting,
         }
@@ -177,7 +177,7 @@
         if controls.is_control(request):
             controls.answer(request, exchange, target=self)
             return
-        await exchange.unless_gone(self._thawed.wait())
+        await exchange.wait_unless_gone(self._thawed.wait())
         if (request.method, request.path) == ("GET", "/state"):
             exchange.respond_json(200, self._state(), self._echo(request))
         elif (request.method, request.path) == ("GET", "/metrics"):
@@ -207,7 +207,7 @@
     def _refuses(self) -> bool:
         if self.faults.leaving and self.faults.refuses_when_leaving:
             return True
-        return self._takes("refuse")
+        return self._consume("refuse")
 
     def _refuse(
         self, request: http_lib.Request, exchange: http_lib.Exchange
@@ -251,23 +251,25 @@
             self.running -= 1
             self._record_load()
         self.completed += 1
-        if self._takes("close_before_answer"):
-            self.cut += 1
+        if self._consume("close_before_answer"):
+            self.cut_before_answer += 1
             exchange.drop()
             return
-        exchange.respond_json(200, seen(request), self._echo(request))
+        exchange.respond_json(
+            200, request_summary(request), self._echo(request)
+        )
 
     def _echo(self, request: http_lib.Request) -> list[http_lib.Header]:
-        if self._takes("omit_echoes"):
+        if self._consume("omit_echoes"):
             return []
         return [upstream_protocol.echo(request)]
 
-    def _takes(self, name: str) -> bool:
-        self.faults, taken = controls.counted_off(self.faults, name)
+    def _consume(self, name: str) -> bool:
+        self.faults, taken = controls.consume_count(self.faults, name)
         return taken
 
 
-def seen(request: http_lib.Request) -> dict[str, str]:
+def request_summary(request: http_lib.Request) -> dict[str, str]:
     """Return what an answer says of its request."""
     return {
         "method": request.method,
--- a/packages/standins/src/lagoonrun_standins/platform_store.py
+++ b/packages/standins/src/lagoonrun_standins/platform_store.py
@@ -102,7 +102,7 @@
         self._watches = gateway_watches.GatewayWatches(
             state=self.state, progress_seconds=progress_seconds
         )
-        self.state.on_change = self._watches.tell
+        self.state.on_change = self._watches.publish
         self._server = http_lib.HttpServer(
             handler=self._handle, host=host, port=port
         )
@@ -117,7 +117,7 @@
     async def start(self) -> None:
         """Listen, and let leases lapse from now on."""
         await self._server.start()
-        self._expiry = asyncio.create_task(self._expire_forever())
+        self._expiry = asyncio.create_task(self._run_expiry())
 
     async def close(self) -> None:
         """Stop listening and drop every connection."""
@@ -143,11 +143,11 @@
         ValueError
             If a field does not exist or its value is not valid.
         """
-        fields, resets_counters = controls.without(body, "reset_counters")
+        fields, resets_counters = controls.split_action(body, "reset_counters")
         before = self.faults.outage
-        self.faults = controls.changed(self.faults, fields)
+        self.faults = controls.with_fields(self.faults, fields)
         self._calls.read_lag_revisions = self.faults.read_lag_revisions
-        self._watches.hold(self.faults.outage is Outage.HANG)
+        self._watches.set_paused(self.faults.outage is Outage.HANG)
         if resets_counters:
             self.calls_by_kind.clear()
             self.calls_in_outage = 0
@@ -171,7 +171,7 @@
             "watches": len(self._watches),
         }
 
-    async def _expire_forever(self) -> None:
+    async def _run_expiry(self) -> None:
         while True:
             self.state.expire()
             await asyncio.sleep(_EXPIRY_PERIOD_SECONDS)
@@ -194,7 +194,7 @@
 
     async def _fail(self, exchange: http_lib.Exchange) -> None:
         if self.faults.outage is Outage.HANG:
-            await exchange.unless_gone(self._outage_ended.wait())
+            await exchange.wait_unless_gone(self._outage_ended.wait())
         exchange.drop()
 
     async def _answer(
@@ -213,7 +213,7 @@
         elif path == "/vms" and request.method == "GET":
             self.calls_by_kind["vms"] += 1
             delay = self.faults.vm_list_delay_seconds
-            answer = self.vms.seen(delay_seconds=delay)
+            answer = self.vms.listing(delay_seconds=delay)
             await self._reply(exchange, answer, changed=False)
         elif path.startswith("/vms/") and request.method == "POST":
             self.vms.set(path.removeprefix("/vms/"), request.json())
@@ -228,7 +228,7 @@
         *,
         changed: bool,
     ) -> None:
-        if changed and self._takes_lost_reply():
+        if changed and self._consume_lost_reply():
             exchange.drop()
             return
         if self.faults.delay_seconds:
@@ -238,8 +238,8 @@
         else:
             await self._fail(exchange)
 
-    def _takes_lost_reply(self) -> bool:
-        self.faults, taken = controls.counted_off(self.faults, "lose_replies")
+    def _consume_lost_reply(self) -> bool:
+        self.faults, taken = controls.consume_count(self.faults, "lose_replies")
         return taken
 
 
--- a/packages/standins/src/lagoonrun_standins/prefix_cache.py
+++ b/packages/standins/src/lagoonrun_standins/prefix_cache.py
@@ -21,7 +21,7 @@
         self.misses = 0
         self._prefix_bytes = prefix_bytes
         self._capacity = capacity
-        self._seen: collections.OrderedDict[int, None] = (
+        self._entries: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
 
@@ -29,11 +29,11 @@
         """Return how much of `prompt` need not be prefilled, and keep it."""
         prefix = prompt[: self._prefix_bytes]
         key = xxhash.xxh64_intdigest(prefix)
-        hit = key in self._seen
-        self._seen[key] = None
-        self._seen.move_to_end(key)
-        while len(self._seen) > self._capacity:
-            self._seen.popitem(last=False)
+        hit = key in self._entries
+        self._entries[key] = None
+        self._entries.move_to_end(key)
+        while len(self._entries) > self._capacity:
+            self._entries.popitem(last=False)
         if hit:
             self.hits += 1
             return len(prefix)
@@ -42,4 +42,4 @@
 
     def clear(self) -> None:
         """Forget every prefix, as a restart does."""
-        self._seen.clear()
+        self._entries.clear()
--- a/packages/standins/src/lagoonrun_standins/reserved_ports.py
+++ b/packages/standins/src/lagoonrun_standins/reserved_ports.py
@@ -9,9 +9,9 @@
 import random
 import socket
 
-_FIRST = 10_000
-_LAST = 29_999
-_TRIES = 200
+_FIRST_PORT = 10_000
+_LAST_PORT = 29_999
+_MAX_TRIES = 200
 
 _kept_sockets: list[socket.socket] = []
 
@@ -27,8 +27,8 @@
     OSError
         If no such port is found.
     """
-    for _ in range(_TRIES):
-        port = random.randint(_FIRST, _LAST)
+    for _ in range(_MAX_TRIES):
+        port = random.randint(_FIRST_PORT, _LAST_PORT)
         if not _is_free(host, port):
             continue
         kept = socket.socket(type=socket.SOCK_STREAM)
@@ -36,7 +36,7 @@
         kept.bind((host, port))
         _kept_sockets.append(kept)
         return port
-    raise OSError(f"no port free for TCP and UDP in {_TRIES} tries")
+    raise OSError(f"no port free for TCP and UDP in {_MAX_TRIES} tries")
 
 
 def _is_free(host: str, port: int) -> bool:
--- a/packages/standins/src/lagoonrun_standins/vm_list.py
+++ b/packages/standins/src/lagoonrun_standins/vm_list.py
@@ -61,17 +61,17 @@
         )
         self._entries_by_id.setdefault(vm, []).append(entry)
 
-    def seen(self, *, delay_seconds: float) -> dict[str, Any]:
+    def listing(self, *, delay_seconds: float) -> dict[str, Any]:
         """Return the list as it was `delay_seconds` ago, as JSON.
 
         VMs that were gone by then are left out.
         """
         limit = self._clock.monotonic() - delay_seconds
-        listed = []
+        vms = []
         for vm, entries in sorted(self._entries_by_id.items()):
-            known = [e for e in entries if e.set_at <= limit]
-            if known and known[-1].state is not VmState.GONE:
-                last = known[-1]
+            visible = [e for e in entries if e.set_at <= limit]
+            if visible and visible[-1].state is not VmState.GONE:
+                last = visible[-1]
                 state = {"id": vm, "state": last.state.value}
-                listed.append(state | last.fields)
-        return {"vms": listed}
+                vms.append(state | last.fields)
+        return {"vms": vms}
--- a/packages/standins/tests/test_engine.py
+++ b/packages/standins/tests/test_engine.py
@@ -56,7 +56,7 @@
 
     digest = answers.digest("r1", body["messages"])
     content = answer.json()["choices"][0]["message"]["content"]
-    assert answers.whole_tokens(content, digest) == 7
+    assert answers.count_tokens(content, digest) == 7
     assert answer.json()["usage"]["completion_tokens"] == 7
     assert answer.head.headers["x-request-id"] == "r1"
 
--- a/packages/standins/tests/test_key_value_state.py
+++ b/packages/standins/tests/test_key_value_state.py
@@ -17,21 +17,21 @@
     def __init__(self):
         super().__init__()
         self.clock = clock_lib.ManualClock()
-        self.told = []
+        self.reported = []
         self.state = state_lib.KeyValueState(clock=self.clock)
-        self.state.on_change = self.told.extend
+        self.state.on_change = self.reported.extend
         self.values_by_revision = {1: {}}
         self.lease_of_key = {}
-        self.lapses_by_lease = {}
+        self.expiry_by_lease = {}
 
     @stateful.rule(key=KEYS, value=st.binary(max_size=2), leased=st.booleans())
     def put(self, key, value, leased):
         """Put a key, on a live lease or on none."""
-        lease = min(self.lapses_by_lease, default=0) if leased else 0
+        lease = min(self.expiry_by_lease, default=0) if leased else 0
         self.state.put(key, value, lease=lease)
         assert self.state.commit()
         self.lease_of_key[key] = lease
-        self.remember(self.latest() | {key: value})
+        self.record(self.latest() | {key: value})
 
     @stateful.rule(key=KEYS)
     def delete(self, key):
@@ -40,14 +40,14 @@
         self.state.delete(state_lib.KeyRange(key=key))
         assert self.state.commit() is was_there
         if was_there:
-            self.remember({k: v for k, v in self.latest().items() if k != key})
+            self.record({k: v for k, v in self.latest().items() if k != key})
 
     @stateful.rule(ttl_seconds=st.integers(1, 3))
     def grant(self, ttl_seconds):
         """Grant a lease."""
         lease = self.state.grant(ttl_seconds)
-        lapses_at = self.clock.monotonic() + ttl_seconds
-        self.lapses_by_lease[lease.id] = lapses_at
+        expires_at = self.clock.monotonic() + ttl_seconds
+        self.expiry_by_lease[lease.id] = expires_at
 
     @stateful.rule(seconds=st.integers(1, 2))
     def advance(self, seconds):
@@ -55,15 +55,15 @@
         self.clock.advance(seconds)
         self.state.expire()
         now = self.clock.monotonic()
-        lapsed = [i for i, at in self.lapses_by_lease.items() if at <= now]
-        for lease in lapsed:
-            del self.lapses_by_lease[lease]
+        expired = [i for i, at in self.expiry_by_lease.items() if at <= now]
+        for lease in expired:
+            del self.expiry_by_lease[lease]
             latest = self.latest()
             kept = {
                 k: v for k, v in latest.items() if self.lease_of_key[k] != lease
             }
             if kept != latest:
-                self.remember(kept)
+                self.record(kept)
 
     @stateful.rule(behind=st.integers(0, 3))
     def compact(self, behind):
@@ -73,7 +73,7 @@
             self.state.compact(revision)
 
     @stateful.invariant()
-    def every_kept_revision_reads_as_it_was(self):
+    def uncompacted_revisions_match(self):
         """Compare all revisions that were not compacted."""
         assert self.state.revision == max(self.values_by_revision)
         oldest = max(1, self.state.compact_revision)
@@ -83,10 +83,10 @@
             assert values == self.values_by_revision[revision]
 
     @stateful.invariant()
-    def watchers_were_told_of_every_change_once(self):
+    def every_change_is_reported_once(self):
         """Replay what was told, in order."""
         values = {}
-        for change in self.told:
+        for change in self.reported:
             if change.is_deletion:
                 del values[change.present.key]
             else:
@@ -97,7 +97,7 @@
         """Return the values now."""
         return self.values_by_revision[max(self.values_by_revision)]
 
-    def remember(self, values):
+    def record(self, values):
         """Keep the values of the next revision."""
         self.values_by_revision[max(self.values_by_revision) + 1] = values
 
