--- a/packages/standins/src/lagoonrun_standins/__init__.py
+++ b/packages/standins/src/lagoonrun_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines, plain services and the platform; load tools. Not shipped."""
+"""Simulated engines, plain services and platform; load tools. Not shipped."""
--- a/packages/standins/src/lagoonrun_standins/answer_check.py
+++ b/packages/standins/src/lagoonrun_standins/answer_check.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole and belongs to its own request."""
+"""Checks that a response is complete and belongs to its own request."""
 
 import dataclasses
 import enum
@@ -15,7 +15,7 @@
 
 
 class ResultKind(enum.Enum):
-    """How a request ended, as its caller saw it."""
+    """How a request ended from its caller's point of view."""
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Verdict:
-    """What a check found.
+    """Result of checking one response.
 
     Parameters
     ----------
     reason
-        The router's reason, or what is wrong with the answer.
+        Reason that the router gave, or what is wrong with the response.
     tokens
-        Number of tokens that arrived.
+        Number of tokens received.
     """
 
     kind: ResultKind
@@ -48,7 +48,7 @@
 def check(
     arrival: traffic.Arrival, head: http_client.Head, body: bytes
 ) -> Verdict:
-    """Return whether a well-formed HTTP answer is the arrival's own."""
+    """Return how a well-formed HTTP response relates to its request."""
     if head.status != 200:
         reason = head.headers.get("lagoonrun-reason", f"status {head.status}")
         return Verdict(kind=_reported_kind(head), reason=reason)
@@ -60,7 +60,7 @@
 
 
 def request_id_of(head: http_client.Head) -> str:
-    """Return the request id that an answer names; empty for none."""
+    """Return the request id in a response's headers; empty for none."""
     for name in _ID_HEADERS:
         if name in head.headers:
             return head.headers[name]
@@ -90,7 +90,7 @@
     }
     wrong = [name for name in expected if echoed.get(name) != expected[name]]
     if wrong:
-        return _mismatch(f"{wrong} are of another request")
+        return _mismatch(f"{wrong} belong to another request")
     return Verdict(kind=ResultKind.COMPLETE)
 
 
@@ -109,7 +109,9 @@
         )
     if _DONE_EVENT not in body:
         return dataclasses.replace(
-            verdict, kind=ResultKind.CUT, reason="no [DONE] and no error event"
+            verdict,
+            kind=ResultKind.CUT,
+            reason="stream ended without [DONE] or an error event",
         )
     return _check_length(arrival, verdict)
 
@@ -129,7 +131,9 @@
     request_id = request_id_of(head)
     named = {found.decode() for found in _ID.findall(body)}
     if not named <= {answers.completion_id(request_id)}:
-        return _mismatch(f"answer of {sorted(named)} for {request_id}")
+        return _mismatch(
+            f"answer has ids {sorted(named)}; valid: that of {request_id}"
+        )
     text = b"".join(_CONTENT.findall(body)).decode()
     digest = answers.digest(request_id, arrival.messages)
     try:
--- a/packages/standins/src/lagoonrun_standins/answers.py
+++ b/packages/standins/src/lagoonrun_standins/answers.py
@@ -1,7 +1,7 @@
-"""The text of an answer, derived from its request so that it can be checked.
+"""The text of an answer, computed from its request so that it is verifiable.
 
-Token `i` of an answer is `DIGEST-i `, where the digest is of the request's id
-and its messages: an answer that reaches another caller shows.
+Token `i` of an answer is `DIGEST-i `, where the digest covers the request's id
+and its messages. An answer delivered to the wrong caller is thus detected.
 """
 
 import hashlib
@@ -24,14 +24,14 @@
 
 
 def digest(request_id: str, messages: Any) -> str:
-    """Return the digest in each token of the answer to a request."""
+    """Return the digest that each token of a request's answer contains."""
     hashed = hashlib.sha256(request_id.encode() + b"\0")
     hashed.update(prompt_bytes(messages))
     return hashed.hexdigest()[:_DIGEST_LENGTH]
 
 
 def token(answer_digest: str, index: int) -> str:
-    """Return one token."""
+    """Return the token at `index`."""
     return f"{answer_digest}-{index} "
 
 
@@ -47,9 +47,9 @@
     ----------
     body
         The request. `metadata.answer_tokens` sets the natural length, which
-        a router cannot know; `max_tokens` cuts it, or sets it on its own.
+        a router cannot know; `max_tokens` limits it, or sets it if alone.
     seed
-        Of the draw where the request says nothing.
+        Seed of the random length if the request sets none.
     """
     limit = body.get("max_completion_tokens") or body.get("max_tokens")
     natural = (body.get("metadata") or {}).get("answer_tokens")
@@ -63,12 +63,12 @@
 
 
 def completion_id(request_id: str) -> str:
-    """Return the `id` field of an answer to that request."""
+    """Return the `id` field of the answer to a request."""
     return _COMPLETION_PREFIX + request_id
 
 
 def request_id_of(completion: str) -> str:
-    """Return the request id within a completion's `id` field."""
+    """Return the request id contained in a completion's `id` field."""
     return completion.removeprefix(_COMPLETION_PREFIX)
 
 
--- a/packages/standins/src/lagoonrun_standins/command_line.py
+++ b/packages/standins/src/lagoonrun_standins/command_line.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process: flags, the READY line and SIGTERM."""
+"""Runs one stand-in as a process: flags, READY line and signals."""
 
 import asyncio
 import os
@@ -15,26 +15,26 @@
 
 
 class StandIn(Protocol):
-    """What this module can run."""
+    """A server that `run` can start and stop."""
 
     host: str
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
 
     async def close(self) -> None:
-        """Stop listening and end every task."""
+        """Stop listening and cancel every task."""
 
 
 def address_flags() -> flags.FlagValues:
-    """Return a set of flags of its own that holds `host` and `port`."""
+    """Return a new set of flags, which every stand-in has."""
     values = flags.FlagValues()
     flags.DEFINE_string(
-        "host", "127.0.0.1", "IP number to listen on.", flag_values=values
+        "host", "127.0.0.1", "IP address to listen on.", flag_values=values
     )
     flags.DEFINE_integer(
         "port",
@@ -45,7 +45,7 @@
     flags.DEFINE_bool(
         STOP_WITH_INPUT,
         False,
-        "Stop when standard input ends, as it does when the parent dies.",
+        "Stop at the end of standard input: the parent process has exited.",
         flag_values=values,
     )
     return values
@@ -57,9 +57,9 @@
     Parameters
     ----------
     build
-        Called within the event loop.
+        Creates the stand-in; called within the event loop.
     values
-        Flags that began as `address_flags`.
+        Parsed flags, created by `address_flags`.
     """
     asyncio.run(_run(build, values))
 
--- a/packages/standins/src/lagoonrun_standins/controls.py
+++ b/packages/standins/src/lagoonrun_standins/controls.py
@@ -1,4 +1,4 @@
-"""Fault controls: frozen dataclasses that are changed by JSON objects."""
+"""Fault controls: frozen dataclasses whose fields JSON objects replace."""
 
 import dataclasses
 import enum
@@ -11,15 +11,15 @@
 
 
 def with_fields(control: Control, body: Mapping[str, Any]) -> Control:
-    """Return `control` with the fields that `body` names replaced.
+    """Return a copy of `control` with the fields in `body` replaced.
 
     Parameters
     ----------
     control
         Frozen dataclass whose fields are numbers, strings, booleans or
-        enumerations by value.
+        enumerations, which JSON gives by value.
     body
-        New values by the names of fields.
+        New values by field name.
 
     Raises
     ------
@@ -33,12 +33,12 @@
 
 
 def split_action(body: Any, action: str) -> tuple[dict[str, Any], bool]:
-    """Split an action, such as a crash, off the fields to change.
+    """Separate an action, such as a crash, from the fields to change.
 
     Returns
     -------
     tuple
-        The other fields, and whether the action is asked for.
+        The other fields, and whether the action is requested.
 
     Raises
     ------
@@ -48,8 +48,8 @@
     if not isinstance(body, Mapping):
         raise ValueError(f"{body!r} is not a JSON object")
     fields = dict(body)
-    asked = fields.pop(action, False)
-    return fields, asked is True
+    requested = fields.pop(action, False)
+    return fields, requested is True
 
 
 def as_json(control: Any) -> dict[str, Any]:
@@ -64,13 +64,13 @@
     valid = [field.name for field in dataclasses.fields(control)]
     if name not in valid:
         raise ValueError(f"unknown field {name!r}; valid: {valid}")
-    present = getattr(control, name)
-    if isinstance(present, enum.Enum):
-        return type(present)(value)
-    if isinstance(present, float) and type(value) is int:
+    current = getattr(control, name)
+    if isinstance(current, enum.Enum):
+        return type(current)(value)
+    if isinstance(current, float) and type(value) is int:
         return float(value)
-    if type(value) is not type(present):
-        kind = type(present).__name__
+    if type(value) is not type(current):
+        kind = type(current).__name__
         raise ValueError(f"{name}: {value!r} is not of type {kind}")
     return value
 
@@ -80,12 +80,12 @@
 
 
 def consume_count(control: Control, name: str) -> tuple[Control, bool]:
-    """Lower the count in field `name` by one, where it is above zero.
+    """Decrement the count in field `name` if it is above zero.
 
     Returns
     -------
     tuple
-        The control as it is now, and whether the count was above zero.
+        The updated control, and whether the count was above zero.
     """
     left = getattr(control, name)
     if left <= 0:
@@ -94,11 +94,11 @@
 
 
 class Controllable(Protocol):
-    """A stand-in whose faults are set at `/control`."""
+    """A stand-in whose faults are set through `/control`."""
 
     @property
     def faults(self) -> Any:
-        """Return what goes wrong at present."""
+        """Return the faults in effect."""
 
     def control(
         self, body: Any, *, exchange: http_lib.Exchange | None = None
@@ -106,11 +106,11 @@
         """Apply the JSON object of a control call."""
 
     def counters(self) -> dict[str, Any]:
-        """Return the totals."""
+        """Return the totals since the start."""
 
 
 def is_control(request: http_lib.Request) -> bool:
-    """Return whether a request is for `answer`."""
+    """Return whether a request is a control call; see `answer`."""
     return request.path.startswith("/control")
 
 
@@ -122,8 +122,8 @@
 ) -> None:
     """Answer a control call.
 
-    `POST /control` changes the faults, `GET /control` shows them and
-    `GET /control/counters` the totals.
+    `POST /control` changes the faults, `GET /control` returns them and
+    `GET /control/counters` returns the totals.
     """
     if request.path == "/control/counters":
         exchange.respond_json(200, target.counters())
--- a/packages/standins/src/lagoonrun_standins/deployment.py
+++ b/packages/standins/src/lagoonrun_standins/deployment.py
@@ -1,4 +1,4 @@
-"""Start a whole small deployment from declarations, on loopback."""
+"""Starts a small deployment on loopback from its declarations."""
 
 import asyncio
 import dataclasses
@@ -33,34 +33,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryVm:
-    """An entry VM that is to be started."""
+    """Id and failure domain of an entry VM to start."""
 
     id: types.EntryVmId
     domain: types.FailureDomain
 
 
 class Deployment:
-    """A platform, upstreams and entry VMs as processes.
+    """A platform, upstreams and entry VMs, each a child process.
 
     Parameters
     ----------
     fleet
-        Starts and ends the processes.
+        Starts and stops the processes.
     declared
-        Declarations; each upstream gets a stand-in, and its address is
-        replaced by the stand-in's.
+        Declarations. A stand-in is started for each upstream, and replaces
+        the declared address by its own.
     entry_vms
         Entry VMs to start.
     engine_flags
-        Flags of every model engine.
+        Command-line flags of every model engine.
     engine_flags_by_id
-        Further flags of single engines.
+        Additional flags of individual engines.
     start_engine
-        Starts something else in place of a model engine.
+        Starts an upstream other than the model engine stand-in.
     experiment
-        Deviations of the entry VMs from the order of service.
+        Experiment settings of the entry VMs: policy and features.
     adjust_settings
-        Changes the settings of each entry VM.
+        Called with the settings of each entry VM; returns those to use.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
         *,
         base: types.Revision = _NO_REVISION,
     ) -> types.Revision:
-        """Bring `draft` into force as the next revision after `base`."""
+        """Apply `draft` as the next revision after `base`."""
         assert self.platform is not None
         return await apply_declarations(
             draft, platform=self.platform.address(), base=base
@@ -118,7 +118,7 @@
     async def start_entry_vm(
         self, entry_vm: EntryVm
     ) -> managed_process.ManagedProcess:
-        """Start one entry VM, also in place of a lost one."""
+        """Start one entry VM, or the replacement of a lost one."""
         configured = settings.Settings(
             entry_vm=entry_vm.id,
             domain=entry_vm.domain,
@@ -142,7 +142,7 @@
         return self.fleet.processes_by_name[name]
 
     async def wait_ready(self, entry_vm: types.EntryVmId) -> None:
-        """Wait until an entry VM has a configuration in force."""
+        """Wait until an entry VM is ready: it has applied a configuration."""
         while True:
             answer = await self.ask_admin(entry_vm, "/readyz")
             if answer.status == 200:
@@ -150,7 +150,7 @@
             await asyncio.sleep(_POLL_SECONDS)
 
     async def wait_members(self, count: int) -> None:
-        """Wait until every entry VM knows `count` live ones, itself too."""
+        """Wait until each entry VM lists `count` live ones, itself included."""
         for entry_vm in self._entry_vms:
             while True:
                 if await self._count_live(entry_vm.id) >= count:
@@ -160,7 +160,7 @@
     async def ask_admin(
         self, entry_vm: types.EntryVmId, path: str
     ) -> http_client.Answer:
-        """Make one admin request of an entry VM."""
+        """Send one request to an entry VM's admin address."""
         address = self.process(entry_vm).address("admin")
         return await http_client.fetch(address.host, address.port, "GET", path)
 
@@ -175,7 +175,7 @@
         method: str = "POST",
         timeout_seconds: float = http_client.DEFAULT_TIMEOUT_SECONDS,
     ) -> http_client.Answer:
-        """Make one caller's request of an entry VM."""
+        """Send one request to an entry VM's caller address."""
         address = self.process(entry_vm).address("caller")
         key = organisation_key(organisation)
         return await http_client.fetch(
@@ -250,7 +250,7 @@
 
 
 def organisation_key(organisation: types.OrganisationId) -> str:
-    """Return the bearer key of an organisation in such a deployment."""
+    """Return the bearer key of an organisation in a `Deployment`."""
     return f"key-of-{organisation}"
 
 
@@ -264,12 +264,12 @@
     platform: settings.Address,
     base: types.Revision = _NO_REVISION,
 ) -> types.Revision:
-    """Bring `draft` into force after `base`, and return its revision.
+    """Apply `draft` on top of `base` and return its revision.
 
     Raises
     ------
     RuntimeError
-        If the platform does not accept it.
+        If the platform does not accept the declarations.
     """
     gateway = etcd_gateway.EtcdGateway(
         addresses=[platform],
--- a/packages/standins/src/lagoonrun_standins/engine.py
+++ b/packages/standins/src/lagoonrun_standins/engine.py
@@ -1,7 +1,8 @@
-"""Stand-in of a model engine: batches, streams, cancels, resumes and fails.
+"""Stand-in of a model engine: batching, streaming, cancelling and faults.
 
-Chat completions at `/v1/chat/completions`, load at `/metrics`, state at
-`/state`, orders at `/orders`, faults and counters at `/control`.
+Serves chat completions at `/v1/chat/completions`, load at `/metrics`, state
+at `/state`, orders at `/orders`, faults and counters at `/control`. Interrupted
+streams can be resumed.
 """
 
 import asyncio
@@ -38,29 +39,31 @@
     Parameters
     ----------
     host
-        IP number to listen on.
+        IP address to listen on.
     port
-        Port to listen on; 0 lets the system choose.
+        Port to listen on; 0 lets the operating system choose.
     cost
-        How long a step takes.
+        Durations and limits of the steps.
     prefix_bytes
-        Length of the beginning of the messages that the cache knows.
+        Length of the prompt prefix that is one cache entry.
     prefix_capacity
-        Most prefixes in the cache.
+        Maximum number of prefixes in the cache.
     resumes
-        Whether `X-Resume-Offset` is obeyed; refused otherwise.
+        Whether `X-Resume-Offset` is supported; refused otherwise.
     models
-        Loaded at the start; none of them means that any model is served.
+        Models loaded at the start; if empty, any model is served.
     role
         Role at the start.
     checks_fencing
         Whether orders with an old fencing number are refused.
     load_seconds
         Time that a load order takes.
+    metrics_lag_seconds
+        Age of the load that `/metrics` serves, at first.
     seed
-        Of the drawn lengths of answers; the same for all engines of a pool.
+        Seed of random answer lengths; the same for all engines of a pool.
     clock
-        Dates the load samples and paces the steps.
+        Timestamps the load samples and schedules the steps.
     """
 
     def __init__(
@@ -119,28 +122,34 @@
 
     @property
     def faults(self) -> engine_faults.Faults:
-        """Return what goes wrong at present."""
+        """Return the faults in effect."""
         return self._reply_faults.faults
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._server.port
 
     async def start(self) -> None:
-        """Listen and start to step."""
+        """Start listening and start the step loop."""
         await self._server.start()
         self._step_task = asyncio.create_task(self._run_steps())
 
     async def close(self) -> None:
-        """Stop stepping and drop every connection."""
+        """Stop the step loop and abort every connection."""
         if self._step_task:
             self._step_task.cancel()
             await asyncio.gather(self._step_task, return_exceptions=True)
         await self._server.close()
 
     def crash(self, *, exchange: http_lib.Exchange | None = None) -> None:
-        """Lose all requests and caches and close all connections."""
+        """Drop all requests and the prefix cache; abort all connections.
+
+        Parameters
+        ----------
+        exchange
+            Its connection is kept.
+        """
         self._server.drop_all(sparing=exchange)
         self.batch.crash()
         self.cache.clear()
@@ -153,9 +162,9 @@
         Parameters
         ----------
         body
-            Fields of `Faults` to change; `crash` true besides.
+            Fields of `Faults` to change; optionally `crash: true`.
         exchange
-            Spared where connections are dropped.
+            Its connection is kept when the others are aborted.
 
         Raises
         ------
--- a/packages/standins/src/lagoonrun_standins/engine_batch.py
+++ b/packages/standins/src/lagoonrun_standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching as a step model: who runs, waits and is prefilled."""
+"""Simulates continuous batching step by step: admission, prefill, decoding."""
 
 import dataclasses
 import heapq
@@ -7,24 +7,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CostModel:
-    """How long a step takes.
+    """Durations and limits of the steps.
 
     Parameters
     ----------
     step_seconds
-        A step of a batch within the slots; each request yields one token.
+        Duration of a step of a batch no larger than `slots`; each request
+        produces one token.
     slots
-        Batch size up to which a step is not slowed down.
+        Maximum batch size at which a step is not slowed down.
     maximum_batch
-        Most requests in a batch; the others wait.
+        Maximum number of requests in a batch; the others wait.
     slowdown
-        Growth of the step for each full `slots` of requests above them.
+        Relative growth of the step per `slots` requests beyond the slots.
     prefill_seconds_per_token
-        Growth of the step for each prompt token prefilled in it.
+        Time added to the step for each prompt token prefilled in it.
     prefill_tokens_per_step
-        Most prompt tokens prefilled in one step.
+        Maximum number of prompt tokens prefilled in one step.
     kv_capacity_tokens
-        Room for the tokens of all requests in the batch.
+        KV cache capacity for the tokens of all requests in the batch.
     """
 
     step_seconds: float = 0.003
@@ -37,20 +38,20 @@
 
 
 class TokenSink(Protocol):
-    """Where the tokens of one request go."""
+    """Receives the tokens of one request."""
 
     @property
     def is_gone(self) -> bool:
-        """Whether no one takes the tokens any more."""
+        """Whether the receiver has disconnected."""
 
     def emit(self, index: int) -> None:
-        """Take the token of that index."""
+        """Receive the token at `index`."""
 
     def finish(self) -> None:
-        """Take note that the last token was emitted."""
+        """End the answer after its last token."""
 
     def abandon(self) -> None:
-        """Take note that no more tokens come."""
+        """End the answer before its last token."""
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
@@ -60,15 +61,19 @@
     Parameters
     ----------
     priority
-        Lower is more urgent.
+        A lower value is more urgent.
     prefill_left
-        Prompt tokens that are yet to be prefilled.
+        Number of tokens still to be prefilled.
     context_tokens
-        Prompt tokens in all, which the KV cache holds.
+        Number of prompt and resumed tokens, which occupy the KV cache.
     next_index
-        Index of the token to come; above 0 for a resumed answer.
+        Index of the next token; it starts above 0 for a resumed answer.
     end_index
-        Number of tokens of the whole answer.
+        Number of tokens of the complete answer.
+    sink
+        Receives the tokens.
+    produced
+        Number of tokens produced so far by this run.
     """
 
     priority: int
@@ -86,7 +91,7 @@
     Parameters
     ----------
     cost
-        How long a step takes.
+        Durations and limits of the steps.
     """
 
     def __init__(self, *, cost: CostModel) -> None:
@@ -110,22 +115,22 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits."""
+        """Whether no request runs or waits."""
         return not self.running and not self._waiting
 
     @property
     def kv_tokens(self) -> int:
-        """Return the tokens that the KV cache holds."""
+        """Return the number of tokens in the KV cache."""
         return sum(run.context_tokens + run.produced for run in self.running)
 
     def add(self, run: Run) -> None:
-        """Queue a request behind those as urgent."""
+        """Queue a request behind those of the same priority."""
         self._arrivals += 1
         heapq.heappush(self._waiting, (run.priority, self._arrivals, run))
         self.peak_waiting = max(self.peak_waiting, len(self._waiting))
 
     def begin_step(self) -> float:
-        """Choose what the step does; return its duration in seconds."""
+        """Admit and prefill requests; return the step's duration in seconds."""
         self._drop_gone()
         self._admit()
         prefilled = self._prefill()
@@ -136,7 +141,7 @@
         return self.cost.step_seconds * growth + prefill_seconds
 
     def end_step(self) -> None:
-        """Emit one token of each request that the step worked on."""
+        """Emit one token of each request that was prefilled."""
         for run in self._ready:
             if run.sink.is_gone:
                 continue
@@ -150,7 +155,7 @@
         self._ready = []
 
     def crash(self) -> None:
-        """Lose every request; their tokens count as crashed."""
+        """Drop every request; the tokens produced for them count as crashed."""
         for run in [*self.running, *(entry[2] for entry in self._waiting)]:
             self.tokens_crashed += run.produced
             run.sink.abandon()
@@ -164,13 +169,13 @@
             self.running.remove(run)
             self.tokens_wasted += run.produced
             run.sink.abandon()
-        left = [entry for entry in self._waiting if entry[2].sink.is_gone]
-        if left:
-            self._waiting = [e for e in self._waiting if e not in left]
+        cancelled = [entry for entry in self._waiting if entry[2].sink.is_gone]
+        if cancelled:
+            self._waiting = [e for e in self._waiting if e not in cancelled]
             heapq.heapify(self._waiting)
-            for _, _, run in left:
+            for _, _, run in cancelled:
                 run.sink.abandon()
-        self.requests_cancelled += len(gone) + len(left)
+        self.requests_cancelled += len(gone) + len(cancelled)
 
     def _admit(self) -> None:
         kv_tokens = self.kv_tokens
--- a/packages/standins/src/lagoonrun_standins/engine_chat.py
+++ b/packages/standins/src/lagoonrun_standins/engine_chat.py
@@ -1,4 +1,4 @@
-"""Chat completions of an engine: from a request to a run in the batch."""
+"""Chat completions of an engine: validates requests and queues their runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,24 +23,24 @@
 
 
 class ChatCompletions:
-    """Takes in requests, and answers them as the batch yields tokens.
+    """Accepts requests and answers them as the batch produces tokens.
 
     Parameters
     ----------
     batch
-        Where requests run.
+        Runs the requests.
     cache
-        Prefixes that need no prefill.
+        Prompt prefixes that need no prefill.
     orders
-        Which models are served.
+        Determines which models are served.
     faults
-        Faults of the answers.
+        Faults of individual answers.
     runs
-        Counts the requests that are run.
+        Counts the requests that run.
     resumes
-        Whether `X-Resume-Offset` is obeyed; refused otherwise.
+        Whether `X-Resume-Offset` is supported; refused otherwise.
     seed
-        Of the drawn lengths of answers.
+        Seed of random answer lengths.
     on_queued
         Called after a request was added to the batch.
     """
@@ -69,12 +69,12 @@
     async def answer(
         self, request: http_lib.Request, exchange: http_lib.Exchange
     ) -> None:
-        """Answer one request, or say that it was not run.
+        """Answer one request, or refuse it as not run.
 
         Raises
         ------
         ValueError, TypeError, KeyError
-            If it is not a chat completion; it was not run then.
+            If it is not a chat completion request; it was not run.
         """
         body = request.json()
         prompt = answers.prompt_bytes(body["messages"])
@@ -99,7 +99,7 @@
             fault=fault,
         )
         if identity.first >= identity.end:
-            # Every token was delivered; only the end of the stream was lost.
+            # Every token was delivered already; only the end was missing.
             reply.finish()
             return
         self._queue(identity, prompt, priority, reply)
--- a/packages/standins/src/lagoonrun_standins/engine_faults.py
+++ b/packages/standins/src/lagoonrun_standins/engine_faults.py
@@ -1,4 +1,4 @@
-"""What can go wrong with an engine, and answers that are crossed."""
+"""Injected faults of an engine, among them crossed answers."""
 
 import asyncio
 import dataclasses
@@ -9,34 +9,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Faults:
-    """What goes wrong at present; the fields of `POST /control`.
+    """Faults in effect; the fields of `POST /control`.
 
     Parameters
     ----------
     slow_factor
-        Growth of every step; above 1 for a straggler.
+        Factor on the duration of every step; above 1 for a straggler.
     frozen
-        Nothing moves and nothing is answered, but connections stay.
+        No step runs and no request is answered; connections stay open.
     leaving
-        Told at `/state` and `/metrics`.
+        Reported at `/state` and `/metrics`.
     refuses_when_leaving
         New requests are refused with 503 and `X-Not-Run` while leaving.
     metrics_lag_seconds
-        Age of what `/metrics` serves.
+        Age of the load that `/metrics` serves.
     omits_metrics
-        `/metrics` answers 503.
+        `/metrics` responds with 503.
     cross_answers
-        Number of coming pairs of requests that get each other's answer.
+        Number of next pairs of requests that get each other's answer.
     duplicate_answers
-        Number of coming answers that are written twice.
+        Number of next answers that are written twice.
     late_answers
-        Number of coming answers that are held back by `late_seconds`.
+        Number of next answers that are delayed by `late_seconds`.
     truncate_answers
-        Number of coming answers that break off by closing the connection.
+        Number of next answers that break off: the connection closes.
     omit_done_answers
-        Number of coming streams that end well-formed but half way.
+        Number of next streams that end well-formed, but halfway.
     omit_echoes
-        Number of coming answers without `X-Request-Id`.
+        Number of next answers without `X-Request-Id`.
     """
 
     slow_factor: float = 1.0
@@ -55,12 +55,12 @@
 
 
 class ReplyFaults:
-    """Hands out the faults of single answers.
+    """Assigns the faults to individual answers.
 
     Parameters
     ----------
     faults
-        What goes wrong at present.
+        Faults in effect.
     """
 
     def __init__(self, *, faults: Faults) -> None:
@@ -69,7 +69,7 @@
         self._second: asyncio.Future[engine_reply.Identity] | None = None
 
     def pop_next(self) -> engine_reply.Fault:
-        """Return the faults of the coming answer, and count them off."""
+        """Return the faults of the next answer, and decrement their counts."""
         late = self._consume("late_answers")
         return engine_reply.Fault(
             omits_echo=self._consume("omit_echoes"),
@@ -82,9 +82,10 @@
     async def exchange_identity(
         self, identity: engine_reply.Identity, exchange: http_lib.Exchange
     ) -> engine_reply.Identity:
-        """Return whose answer is given to the request of `identity`.
+        """Return the identity whose answer the request of `identity` gets.
 
-        The first request of a pair waits here for the second.
+        While answers are crossed, the first request of a pair waits for the
+        second. Otherwise it is `identity` itself.
         """
         if self._second is None and not self._consume("cross_answers"):
             return identity
@@ -92,8 +93,8 @@
             self._first = identity
             second = asyncio.get_running_loop().create_future()
             self._second = second
-            met = await exchange.wait_unless_gone(second)
-            return second.result() if met else identity
+            paired = await exchange.wait_unless_gone(second)
+            return second.result() if paired else identity
         first = self._first
         assert first is not None
         if not self._second.done():
--- a/packages/standins/src/lagoonrun_standins/engine_orders.py
+++ b/packages/standins/src/lagoonrun_standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine serves, and the orders that change it."""
+"""Models and role of an engine, and the orders that change them."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an order asks for."""
+    """Action that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -16,7 +16,7 @@
 
 
 class OldFencingNumberError(Exception):
-    """The order carries a fencing number below one that was seen."""
+    """The order's fencing number is lower than one seen before."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -61,13 +61,13 @@
     Parameters
     ----------
     models
-        Loaded at the start; none of them means that any model is served.
+        Models loaded at the start; if empty, any model is served.
     role
         Role at the start.
     checks_fencing
         Whether an order with an old fencing number is refused.
     load_seconds
-        Time from a load order's arrival to its effect.
+        Time that a load order takes.
     """
 
     def __init__(
@@ -88,13 +88,13 @@
         self._load_seconds = load_seconds
 
     def loaded_models(self) -> tuple[str, ...] | None:
-        """Return the loaded models; None where any model is served."""
+        """Return the loaded models; None if any model is served."""
         if self._serves_any:
             return None
         return tuple(sorted(self.version_by_model))
 
     def serves(self, model: str) -> bool:
-        """Return whether requests for `model` are taken."""
+        """Return whether requests for `model` are accepted."""
         return self._serves_any or model in self.version_by_model
 
     async def apply(self, order: Order) -> None:
@@ -103,8 +103,8 @@
         Raises
         ------
         OldFencingNumberError
-            If fencing numbers are checked and a higher one was seen; also
-            where it arrives while the order is being carried out.
+            If fencing numbers are checked and a higher one was seen, before
+            the order or while it was being applied.
         """
         self._check(order)
         self.fencing_seen = max(self.fencing_seen, order.fencing)
--- a/packages/standins/src/lagoonrun_standins/engine_reply.py
+++ b/packages/standins/src/lagoonrun_standins/engine_reply.py
@@ -1,4 +1,4 @@
-"""Turns the tokens of one request into its HTTP answer."""
+"""Writes the tokens of one request as its HTTP response."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Identity:
-    """Whose answer it is; two of them are exchanged when answers cross.
+    """What identifies an answer; exchanged between two crossed answers.
 
     Parameters
     ----------
     first
-        Index of the first event sent, above 0 for a resumed answer; the
-        event after the last token tells the reason of the end.
+        Index of the first event sent, above 0 for a resumed answer. The
+        event after the last token contains the finish reason.
     end
-        Number of tokens of the whole answer.
+        Number of tokens of the complete answer.
     """
 
     request_id: str
@@ -38,20 +38,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """What is wrong with one answer.
+    """Faults of one answer.
 
     Parameters
     ----------
     omits_echo
         The `X-Request-Id` header is left out.
     truncates
-        The connection closes when half of the tokens were sent.
+        The connection closes after half of the tokens.
     omits_done
-        The stream ends well-formed, but half way and without its last event.
+        The stream ends well-formed, but halfway and without its last event.
     duplicates
-        The whole answer is written a second time, unasked.
+        The complete answer is written a second time, unsolicited.
     late_seconds
-        Time by which the first byte is held back.
+        Delay of the first byte.
     """
 
     omits_echo: bool = False
@@ -62,20 +62,20 @@
 
 
 class Reply:
-    """The sink of one request's tokens.
+    """Writes the answer to one request; its run's `TokenSink`.
 
     Parameters
     ----------
     exchange
-        Where the answer is written.
+        HTTP exchange to write the answer to.
     identity
-        Whose answer is written.
+        Identity of the answer to write.
     streams
-        Whether tokens are sent one by one as server-sent events.
+        Whether each token is sent as a server-sent event.
     includes_usage
         Whether a stream ends with a chunk of token counts.
     fault
-        What goes wrong.
+        Faults of this answer.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
             self._exchange.send(chunk.encode())
 
     def finish(self) -> None:
-        """Send the end of a stream, or the whole answer."""
+        """Send the end of a stream, or the complete answer."""
         if not self._is_cut:
             if self._streams:
                 self._finish_stream()
@@ -127,7 +127,7 @@
         self.done.set()
 
     def abandon(self) -> None:
-        """Give up the answer."""
+        """End the answer before its last token."""
         self.done.set()
 
     def _breaks_off(self) -> bool:
--- a/packages/standins/src/lagoonrun_standins/fleet.py
+++ b/packages/standins/src/lagoonrun_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a demo, bench or failure test."""
+"""Starts and stops the processes of a demo, bench or failure test."""
 
 import asyncio
 import atexit
@@ -22,17 +22,17 @@
 
 
 class Fleet:
-    """Named child processes, all of which end with `close`.
+    """Named child processes, all of which are stopped by `close`.
 
     Parameters
     ----------
     directory
-        Where settings and logs go; a temporary one if None, which is kept
-        after `close` for its logs.
+        Directory of settings and logs. If None, a temporary one is created,
+        and kept after `close` for its logs.
     ready_timeout_seconds
-        Longest wait for a process's READY line.
+        Maximum wait for a process's READY line.
     stop_timeout_seconds
-        Longest wait in `close` for planned stops; what still runs is killed.
+        Maximum wait in `close` for planned stops; then processes are killed.
     """
 
     def __init__(
@@ -48,15 +48,15 @@
         self._stop_timeout_seconds = stop_timeout_seconds
 
     async def start(self) -> None:
-        """Make the directory; no process is started yet."""
+        """Create the directory; no process is started yet."""
         if self.directory is None:
             prefix = "lagoonrun-fleet-"
             self.directory = pathlib.Path(tempfile.mkdtemp(prefix=prefix))
-        # A test run that ends without `close` must leave no process behind.
+        # A test run that exits without `close` must leave no process running.
         atexit.register(self._kill_running)
 
     async def close(self) -> None:
-        """End every process: by SIGTERM, and by SIGKILL where it is late."""
+        """Stop every process by SIGTERM, then by SIGKILL after the timeout."""
         running = [p for p in self.processes_by_name.values() if p.is_running]
         for process in running:
             process.request_stop()
@@ -69,18 +69,18 @@
     ) -> managed_process.ManagedProcess:
         """Start `python -m MODULE` and wait until it is ready.
 
-        A name whose process has ended may be used again, as a new VM that
-        takes the place of a lost one.
+        The name of a process that has ended may be reused, as for the
+        replacement of a lost VM.
 
         Raises
         ------
         managed_process.ProcessError
-            If the name is in use, or the process is not ready in time.
+            If a process of that name runs, or is not ready in time.
         """
         assert self.directory is not None
         previous = self.processes_by_name.get(name)
         if previous and previous.is_running:
-            raise managed_process.ProcessError(f"{name} runs already")
+            raise managed_process.ProcessError(f"{name} is already running")
         process = managed_process.ManagedProcess(
             name=name,
             module=module,
@@ -94,31 +94,31 @@
     async def start_engine(
         self, name: str, **flags: FlagValue
     ) -> managed_process.ManagedProcess:
-        """Start a model engine; `flags` are those of its command line."""
+        """Start a model engine with these command-line flags."""
         return await self._start_stand_in(name, "engine", flags)
 
     async def start_path_source(
         self, name: str, **flags: FlagValue
     ) -> managed_process.ManagedProcess:
-        """Start an engine for `bench_path`; `flags` are those of its own."""
+        """Start the engine of `bench_path` with these command-line flags."""
         return await self._start_stand_in(name, "path_source", flags)
 
     async def start_plain_service(
         self, name: str, **flags: FlagValue
     ) -> managed_process.ManagedProcess:
-        """Start a plain service; `flags` are those of its command line."""
+        """Start a plain service with these command-line flags."""
         return await self._start_stand_in(name, "plain_service", flags)
 
     async def start_platform_store(
         self, name: str = "platform", **flags: FlagValue
     ) -> managed_process.ManagedProcess:
-        """Start the platform; `flags` are those of its command line."""
+        """Start the platform with these command-line flags."""
         return await self._start_stand_in(name, "platform_store", flags)
 
     async def start_daemon(
         self, configured: settings.Settings
     ) -> managed_process.ManagedProcess:
-        """Start `lagoonrund`, named as its entry VM.
+        """Start `lagoonrund` under the name of its entry VM.
 
         Its addresses are named `caller`, `admin` and `peer`.
         """
@@ -155,7 +155,7 @@
     lines = []
     for field in dataclasses.fields(configured):
         value = getattr(configured, field.name)
-        # An empty text or list says the same as a key that is left out.
+        # An empty string or list has the same meaning as an absent key.
         if value not in ("", ()) and field.name != _EXPERIMENT:
             lines.append(f"{field.name} = {_toml_value(value)}\n")
     lines.append(f"\n[{_EXPERIMENT}]\n")
@@ -179,13 +179,13 @@
 def free_peer_address() -> settings.Address:
     """Return a loopback address whose port is free for both TCP and UDP.
 
-    Entry VMs name each other's peer addresses in their settings, so these
-    have to be known before the processes start.
+    The settings of an entry VM contain the peer addresses of the others, so
+    these must be known before the processes start.
 
     Raises
     ------
     OSError
-        If no such port is found.
+        If no free port is found.
     """
     return settings.Address(
         host=_LOOPBACK, port=reserved_ports.reserve(_LOOPBACK)
--- a/packages/standins/src/lagoonrun_standins/gateway_calls.py
+++ b/packages/standins/src/lagoonrun_standins/gateway_calls.py
@@ -1,4 +1,4 @@
-"""The unary calls of the etcd v3 gateway, on a `KeyValueState`; no I/O."""
+"""Unary calls of the etcd v3 gateway on a `KeyValueState`; no I/O."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,12 +8,17 @@
 
 
 class GatewayCalls:
-    """Answers each unary call of the gateway by its path.
+    """Executes the unary calls of the gateway, selected by path.
 
     Parameters
     ----------
     state
-        What the calls read and change.
+        State that the calls read and change.
+
+    Attributes
+    ----------
+    read_lag_revisions
+        Age, in revisions, of the state that ranges outside transactions read.
     """
 
     def __init__(self, *, state: state_lib.KeyValueState) -> None:
@@ -36,18 +41,18 @@
         }
 
     def serves(self, path: str) -> bool:
-        """Return whether `path` is one of the calls."""
+        """Return whether `path` is that of a call."""
         return path in self._call_by_path
 
     def answer(self, path: str, body: Any) -> dict[str, Any]:
-        """Return the answer to one call.
+        """Execute one call and return the response body.
 
         Raises
         ------
         gateway_json.MalformedError
-            If `body` is not of the published shape.
+            If `body` does not have the published format.
         state_lib.StateError
-            If the service refuses the call.
+            If the service rejects the call.
         """
         return self._call_by_path[path](gateway_json.Fields(body))
 
@@ -103,10 +108,12 @@
         return answer | {"header": self._header()}
 
     def _apply_delete(self, fields: gateway_json.Fields) -> dict[str, Any]:
-        gone = self._state.delete(fields.key_range())
-        answer: dict[str, Any] = {"deleted": str(len(gone))} if gone else {}
-        if gone and fields.flag("prev_kv"):
-            answer["prev_kvs"] = [gateway_json.key_value(i) for i in gone]
+        deleted = self._state.delete(fields.key_range())
+        answer: dict[str, Any] = (
+            {"deleted": str(len(deleted))} if deleted else {}
+        )
+        if deleted and fields.flag("prev_kv"):
+            answer["prev_kvs"] = [gateway_json.key_value(i) for i in deleted]
         return answer
 
     def _transact(self, fields: gateway_json.Fields) -> dict[str, Any]:
@@ -130,21 +137,21 @@
         return answer
 
     def _check_operation(self, operation: gateway_json.Fields) -> None:
-        """Raise what an operation would raise.
+        """Raise the error that applying an operation would raise.
 
-        A transaction takes effect whole or not at all, so every operation
-        is checked before the first is applied.
+        Transactions are atomic, so every operation is checked before the
+        first one is applied.
         """
         names = ("request_put", "request_range", "request_delete_range")
-        given = [n for n in names if operation.object(n) is not None]
-        if len(given) != 1:
+        present = [n for n in names if operation.object(n) is not None]
+        if len(present) != 1:
             raise gateway_json.MalformedError(
-                f"operation holds {given}; valid: exactly one of {names}"
+                f"operation holds {present}; valid: exactly one of {names}"
             )
-        body = operation.object(given[0])
+        body = operation.object(present[0])
         assert body is not None
         body.key_range()
-        if given[0] == "request_put":
+        if present[0] == "request_put":
             self._state.check_put(
                 body.octets("value"), lease=body.integer("lease")
             )
--- a/packages/standins/src/lagoonrun_standins/gateway_json.py
+++ b/packages/standins/src/lagoonrun_standins/gateway_json.py
@@ -1,7 +1,7 @@
-"""The published JSON shapes of the etcd v3 gateway.
+"""The published JSON format of the etcd v3 gateway.
 
 Bytes are base64, 64-bit integers are strings, field names may be in snake or
-camel case, and fields at their default are left out of answers.
+camel case, and fields at their default are omitted from responses.
 """
 
 import base64
@@ -25,16 +25,16 @@
 
 
 class MalformedError(ValueError):
-    """A request body that is not of the published shape."""
+    """A request body that does not have the published format."""
 
 
 class Fields:
-    """Read access to one JSON object by the gateway's rules.
+    """Typed access to the fields of one JSON object.
 
     Parameters
     ----------
     body
-        Decoded JSON.
+        Decoded JSON; its field names are converted to snake case.
     """
 
     def __init__(self, body: Any) -> None:
@@ -46,7 +46,7 @@
         }
 
     def integer(self, name: str) -> int:
-        """Return a 64-bit integer, given as a string or a number."""
+        """Return a 64-bit integer, encoded as a string or a number."""
         value = self._value_by_name.get(name, 0)
         try:
             return int(value)
@@ -54,7 +54,7 @@
             raise MalformedError(f"{name}: {value!r} is no integer") from None
 
     def octets(self, name: str) -> bytes:
-        """Return bytes that were given as base64."""
+        """Return bytes, encoded as base64."""
         value = self._value_by_name.get(name, "")
         try:
             return base64.b64decode(value, validate=True)
@@ -66,7 +66,7 @@
         return bool(self._value_by_name.get(name, False))
 
     def enumeration(self, name: str, names: tuple[str, ...]) -> str:
-        """Return the name of an enumerator, given by name or number."""
+        """Return the name of an enumerator, encoded by name or number."""
         return _enumerator(name, self._value_by_name.get(name, 0), names)
 
     def enumerations(
@@ -86,19 +86,19 @@
         return [Fields(item) for item in value]
 
     def object(self, name: str) -> "Fields | None":
-        """Return an object, or None where it is absent."""
+        """Return an object, or None if it is absent."""
         value = self._value_by_name.get(name)
         return None if value is None else Fields(value)
 
     def key_range(self) -> state_lib.KeyRange:
-        """Return `key` and `range_end`."""
+        """Return the range that `key` and `range_end` specify."""
         key = self.octets("key")
         if not key:
             raise MalformedError("etcdserver: key is not provided")
         return state_lib.KeyRange(key=key, end=self.octets("range_end"))
 
     def comparison(self) -> state_lib.Comparison:
-        """Return a condition of a transaction."""
+        """Return the object as a condition of a transaction."""
         target = state_lib.Target(
             self.enumeration("target", _TARGETS_BY_NUMBER)
         )
@@ -115,7 +115,7 @@
 
 
 def header(revision: int) -> dict[str, str]:
-    """Return the header that every answer carries."""
+    """Return the header of every response."""
     return {
         "cluster_id": "1",
         "member_id": "1",
@@ -125,7 +125,7 @@
 
 
 def key_value(item: state_lib.KeyValue) -> dict[str, str]:
-    """Return one key as JSON."""
+    """Return one key and its value as JSON."""
     numbers = {
         "create_revision": item.create_revision,
         "mod_revision": item.mod_revision,
@@ -150,7 +150,7 @@
 
 
 def encoded(value: bytes) -> str:
-    """Return `value` as base64."""
+    """Return `value` encoded as base64."""
     return base64.b64encode(value).decode()
 
 
--- a/packages/standins/src/lagoonrun_standins/gateway_watches.py
+++ b/packages/standins/src/lagoonrun_standins/gateway_watches.py
@@ -1,4 +1,4 @@
-"""The watches of the etcd v3 gateway: one streamed answer each."""
+"""The watches of the etcd v3 gateway: one streamed response each."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class _Watch:
-    """A waiting watch and the lines that it has yet to send."""
+    """An open watch and its lines that are yet to be sent."""
 
     keys: state_lib.KeyRange
     previous: bool
@@ -24,21 +24,21 @@
     lines: asyncio.Queue[dict[str, Any]]
 
     def matches(self, change: state_lib.Change) -> bool:
-        """Return whether the watch is to be told of a change."""
+        """Return whether the watch reports a change."""
         kind = "NODELETE" if change.is_deletion else "NOPUT"
         in_range = self.keys.contains(change.present.key)
         return in_range and kind not in self.filters
 
 
 class GatewayWatches:
-    """Streams changes to watches, each as newline-delimited JSON.
+    """Streams changes to watches as newline-delimited JSON.
 
     Parameters
     ----------
     state
-        What is watched; calls `publish` after each of its revisions.
+        Watched state; its `on_change` must be `publish`.
     progress_seconds
-        Period of the lines without events that a watch may ask for.
+        Period of the lines without events that a watch may request.
     """
 
     def __init__(
@@ -51,28 +51,28 @@
         self._watches: set[_Watch] = set()
 
     def __len__(self) -> int:
-        """Return the number of waiting watches."""
+        """Return the number of open watches."""
         return len(self._watches)
 
     def set_paused(self, paused: bool) -> None:
-        """Hold every line back, or let what has gathered go."""
+        """Pause sending, or resume it and send the queued lines."""
         if paused:
             self._not_paused.clear()
         else:
             self._not_paused.set()
 
     def publish(self, changes: Sequence[state_lib.Change]) -> None:
-        """Queue the changes of one revision for the watches they concern."""
+        """Queue the changes of one revision for the watches that match them."""
         for watch in self._watches:
             self._queue(watch, changes)
 
     async def serve(self, body: Any, exchange: http_lib.Exchange) -> None:
-        """Stream to one watch until its client goes.
+        """Stream to one watch until its client disconnects.
 
         Raises
         ------
         gateway_json.MalformedError
-            If `body` is not of the published shape.
+            If `body` does not have the published format.
         """
         create = gateway_json.Fields(body).object("create_request")
         if create is None:
@@ -117,8 +117,8 @@
                     await exchange.flush()
                     continue
                 next_line.cancel()
-                # A progress line promises that every event up to its
-                # revision was sent, so none may be waiting.
+                # A progress line guarantees that every event up to its
+                # revision was sent, so none may be queued.
                 if watch.lines.empty() and not gone.done():
                     _send(exchange, self._line())
         finally:
--- a/packages/standins/src/lagoonrun_standins/http_client.py
+++ b/packages/standins/src/lagoonrun_standins/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client by `h11`, for tests and load."""
+"""A small HTTP/1.1 client based on `h11`, for tests and load."""
 
 import asyncio
 import dataclasses
@@ -13,12 +13,12 @@
 
 
 class ClosedError(ConnectionError):
-    """The server closed the connection before the end of its answer."""
+    """The server closed the connection before the end of its response."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Head:
-    """Status and headers of an answer; header names are lower-case."""
+    """Status and headers of a response; header names are lower-case."""
 
     status: int
     headers: Mapping[str, str]
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """A whole answer."""
+    """A complete response."""
 
     head: Head
     body: bytes
@@ -37,17 +37,17 @@
         return self.head.status
 
     def json(self) -> Any:
-        """Return the decoded body."""
+        """Return the body, decoded from JSON."""
         return json.loads(self.body)
 
 
 class ClientConnection:
-    """One connection; requests follow each other on it.
+    """One connection, on which requests are sent one after another.
 
     Parameters
     ----------
     host
-        IP number of the server.
+        IP address of the server.
     port
         Port of the server.
     """
@@ -72,13 +72,13 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may follow the one that ended."""
+        """Whether the last exchange is complete and the connection open."""
         done = (self._h11.our_state, self._h11.their_state)
         idle = done == (h11.DONE, h11.DONE)
         return idle and self._reader is not None and not self._reader.at_eof()
 
     def start_next(self) -> None:
-        """Make ready for another request."""
+        """Prepare for another request."""
         self._h11.start_next_cycle()
 
     async def send(
@@ -89,7 +89,7 @@
         body: bytes = b"",
         headers: Iterable[tuple[str, str]] = (),
     ) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         assert self._writer is not None
         always = [
             ("Host", f"{self.host}:{self.port}"),
@@ -104,7 +104,7 @@
         await self._writer.drain()
 
     async def read_head(self) -> Head:
-        """Read up to the end of the headers.
+        """Read the status and headers of the response.
 
         Raises
         ------
@@ -115,7 +115,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise ClosedError(f"no answer from {self.host}:{self.port}")
+            raise ClosedError(f"no response from {self.host}:{self.port}")
         headers = {
             name.decode(): value.decode("latin-1")
             for name, value in event.headers
@@ -123,7 +123,7 @@
         return Head(status=event.status_code, headers=headers)
 
     async def read_data(self) -> bytes | None:
-        """Read a part of the body; None at its end.
+        """Return the next part of the body; None at its end.
 
         Raises
         ------
@@ -135,10 +135,10 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ClosedError(f"cut by {self.host}:{self.port}")
+        raise ClosedError(f"connection closed by {self.host}:{self.port}")
 
     async def read_body(self) -> bytes:
-        """Read the body to its end."""
+        """Return the rest of the body."""
         parts = []
         while (data := await self.read_data()) is not None:
             parts.append(data)
@@ -151,7 +151,9 @@
                 self._h11.receive_data(await self._reader.read(_READ_BYTES))
         except h11.RemoteProtocolError as error:
             peer = f"{self.host}:{self.port}"
-            raise ClosedError(f"cut by {peer}: {error}") from error
+            raise ClosedError(
+                f"connection closed by {peer}: {error}"
+            ) from error
         return event
 
 
@@ -165,14 +167,14 @@
     headers: Iterable[tuple[str, str]] = (),
     timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
 ) -> Answer:
-    """Make one request on a connection of its own.
+    """Send one request on a new connection and return the response.
 
     Raises
     ------
     ConnectionError
-        If the server refuses or cuts the connection.
+        If the server refuses or closes the connection.
     TimeoutError
-        If the answer is not whole within `timeout_seconds`.
+        If the response is not complete within `timeout_seconds`.
     """
     connection = ClientConnection(host=host, port=port)
     async with asyncio.timeout(timeout_seconds):
@@ -193,7 +195,7 @@
     *,
     timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
 ) -> Any:
-    """GET `path`, or POST `value` to it, and return the decoded answer.
+    """GET `path`, or POST `value` to it, and return the decoded response.
 
     Raises
     ------
--- a/packages/standins/src/lagoonrun_standins/http_server.py
+++ b/packages/standins/src/lagoonrun_standins/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server by `h11`, shared by the stand-ins."""
+"""A small HTTP/1.1 server based on `h11`, shared by the stand-ins."""
 
 import asyncio
 import dataclasses
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """One request that was read to its end.
+    """One complete request.
 
     Parameters
     ----------
     path
-        Target without the query.
+        Request target without the query.
     headers
-        Values by lower-case name; the last one wins.
+        Values by lower-case name; the last of equal names is kept.
     """
 
     method: str
@@ -35,7 +35,7 @@
     body: bytes
 
     def json(self) -> Any:
-        """Return the decoded body.
+        """Return the body, decoded from JSON.
 
         Raises
         ------
@@ -46,22 +46,22 @@
 
 
 class Handler(Protocol):
-    """Answers requests; one call for each."""
+    """Called once for each request."""
 
     async def __call__(self, request: Request, exchange: "Exchange") -> None:
-        """Answer `request` by way of `exchange`, or drop the connection."""
+        """Respond to `request` through `exchange`, or drop the connection."""
 
 
 class Exchange:
-    """The answering side of one request.
+    """The response side of one request.
 
-    Writes never wait; `flush` does. After the client has gone they are
-    ignored.
+    Writes never block; `flush` does. Once the client has disconnected, they
+    are ignored.
 
     Attributes
     ----------
     gone
-        Set once the client has closed the connection.
+        Set when the client closes the connection.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
     def respond(
         self, status: int, body: bytes = b"", headers: Iterable[Header] = ()
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         length = ("Content-Length", str(len(body)))
         self.start(status, [*headers, length])
         self.send(body)
@@ -104,22 +104,28 @@
     def respond_json(
         self, status: int, value: Any, headers: Iterable[Header] = ()
     ) -> None:
-        """Write a whole answer of JSON."""
+        """Write a complete response with a JSON body."""
         content_type = ("Content-Type", "application/json")
         body = json.dumps(value).encode()
         self.respond(status, body, [*headers, content_type])
 
     def write_unsolicited(self, data: bytes) -> None:
-        """Write bytes past the protocol, to play a faulty server."""
+        """Write bytes outside the protocol, to simulate a faulty server."""
         if not self._transport.is_closing():
             self._transport.write(data)
 
     async def flush(self) -> None:
-        """Wait until the transport's buffer has room."""
+        """Wait until the transport's buffer accepts more data."""
         await self._writable.wait()
 
     async def wait_unless_gone(self, waiting: Awaitable[Any]) -> bool:
-        """Await `waiting` until the client goes; return whether it ended."""
+        """Await `waiting`, but cancel it when the client disconnects.
+
+        Returns
+        -------
+        bool
+            Whether `waiting` completed.
+        """
         task = asyncio.ensure_future(waiting)
         gone = asyncio.create_task(self.gone.wait())
         try:
@@ -132,11 +138,11 @@
             gone.cancel()
 
     def drop(self) -> None:
-        """Close the connection at once, without an end of the answer."""
+        """Abort the connection without ending the response."""
         self._transport.abort()
 
     def set_writable(self, writable: bool) -> None:
-        """Take note of the transport's flow control."""
+        """Set whether `flush` may return, by the transport's flow control."""
         if writable:
             self._writable.set()
         else:
@@ -156,11 +162,11 @@
     Parameters
     ----------
     handler
-        Answers the requests.
+        Responds to the requests.
     host
-        IP number to listen on.
+        IP address to listen on.
     port
-        Port to listen on; 0 lets the system choose.
+        Port to listen on; 0 lets the operating system choose.
     """
 
     def __init__(
@@ -174,7 +180,7 @@
         self._connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Listen; `port` is the chosen one afterwards."""
+        """Start listening and set `port` to the actual port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(server=self),
@@ -185,11 +191,11 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stop listening, abort all connections and end their handlers."""
+        """Stop listening, abort all connections and cancel their handlers."""
         if self._server is None:
             return
         self._server.close()
-        tasks = [c.handling for c in self._connections if c.handling]
+        tasks = [c.handler_task for c in self._connections if c.handler_task]
         self.drop_all()
         for task in tasks:
             task.cancel()
@@ -197,7 +203,7 @@
         self._server = None
 
     def drop_all(self, *, sparing: Exchange | None = None) -> None:
-        """Abort every connection but that of `sparing`."""
+        """Abort every connection except that of `sparing`."""
         for connection in list(self._connections):
             if sparing is None or connection.exchange is not sparing:
                 connection.abort()
@@ -207,16 +213,16 @@
         self.aborts_left = count
 
     def add(self, connection: "_Connection") -> None:
-        """Remember an open connection."""
+        """Register an open connection."""
         self._connections.add(connection)
 
     def discard(self, connection: "_Connection") -> None:
-        """Forget a closed connection."""
+        """Unregister a closed connection."""
         self._connections.discard(connection)
 
 
 class _Connection(asyncio.Protocol):
-    """One accepted connection: reads requests, runs one handler at a time."""
+    """One accepted connection: parses requests, runs one handler at a time."""
 
     def __init__(self, *, server: HttpServer) -> None:
         self._server = server
@@ -227,7 +233,7 @@
         self._body: list[bytes] = []
         self._request_begun = False
         self.exchange: Exchange | None = None
-        self.handling: asyncio.Task[None] | None = None
+        self.handler_task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -260,7 +266,7 @@
         self._read_events()
 
     def abort(self) -> None:
-        """Close at once; what is unsent is lost."""
+        """Close the connection and discard unsent data."""
         self._transport.abort()
 
     def _on_client_gone(self) -> None:
@@ -308,7 +314,7 @@
         self.exchange = Exchange(
             connection=self._h11, transport=self._transport
         )
-        self.handling = asyncio.create_task(
+        self.handler_task = asyncio.create_task(
             self._handle(request, self.exchange)
         )
 
@@ -325,7 +331,7 @@
 
     def _finish(self) -> None:
         self.exchange = None
-        self.handling = None
+        self.handler_task = None
         self._request_begun = False
         if self._transport.is_closing():
             return
--- a/packages/standins/src/lagoonrun_standins/key_value_state.py
+++ b/packages/standins/src/lagoonrun_standins/key_value_state.py
@@ -1,4 +1,4 @@
-"""Revisioned key-value state with leases, as etcd v3 keeps it; no I/O."""
+"""Revisioned key-value state with leases, like that of etcd v3; no I/O."""
 
 import bisect
 import dataclasses
@@ -14,24 +14,24 @@
 
 
 class StateError(Exception):
-    """A call that the service refuses."""
+    """A call that the service rejects."""
 
 
 class LeaseNotFoundError(StateError):
-    """The lease does not exist or has lapsed."""
+    """The lease does not exist or has expired."""
 
 
 class CompactedError(StateError):
-    """The revision asked for was forgotten."""
+    """The requested revision was compacted."""
 
 
 class ValueTooLargeError(StateError):
-    """The value is larger than the service holds."""
+    """The value exceeds the size limit of the service."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class KeyValue:
-    """One version of one key; `version` 0 is a deletion."""
+    """One version of a key; `version` 0 denotes a deletion."""
 
     key: bytes
     value: bytes = b""
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Change:
-    """A put or a deletion, with what was there before."""
+    """A put or a deletion, with the previous version of the key."""
 
     present: KeyValue
     previous: KeyValue | None
@@ -56,23 +56,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class KeyRange:
-    """One key, or those from `key` up to but not `end`.
+    """One key, or those from `key` up to but not including `end`.
 
-    An `end` of one zero byte means all keys from `key` on.
+    If `end` is a single zero byte, the range has no upper bound.
     """
 
     key: bytes
     end: bytes = b""
 
     def contains(self, key: bytes) -> bool:
-        """Return whether `key` is within the range."""
+        """Return whether `key` is in the range."""
         if not self.end:
             return key == self.key
         return key >= self.key and (self.end == _FROM_KEY or key < self.end)
 
 
 class Target(enum.Enum):
-    """Field of a key that a comparison reads."""
+    """Field of a key to compare."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -82,7 +82,7 @@
 
 
 class Relation(enum.Enum):
-    """How the field has to stand to the operand."""
+    """Required relation of the field to the operand."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Comparison:
-    """A condition of a transaction on every key of a range."""
+    """A condition of a transaction, to be met by every key of a range."""
 
     keys: KeyRange
     target: Target
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Lease:
-    """A lease and the instant at which it lapses."""
+    """A lease, its expiry time by the clock and the keys attached to it."""
 
     id: int
     ttl_seconds: int
@@ -111,14 +111,14 @@
 
 
 class KeyValueState:
-    """Keys by name, every change since the last compaction, and leases.
+    """Current keys, the changes since the last compaction, and leases.
 
-    All methods are synchronous, so that each is atomic in an event loop.
+    All methods are synchronous, so each is atomic within an event loop.
 
     Parameters
     ----------
     clock
-        Drives the leases.
+        Determines when leases expire.
 
     Attributes
     ----------
@@ -138,7 +138,7 @@
         self._next_lease = 1
 
     def get(self, keys: KeyRange, *, revision: int = 0) -> list[KeyValue]:
-        """Return what `keys` hold, by key; `revision` 0 means now."""
+        """Return the keys in range, sorted; `revision` 0 is the current one."""
         if revision in (0, self.revision):
             current = self._current_by_key
         else:
@@ -149,7 +149,7 @@
         return [current[key] for key in sorted(current) if keys.contains(key)]
 
     def put(self, key: bytes, value: bytes, *, lease: int = 0) -> None:
-        """Set `key` within the revision that `commit` ends."""
+        """Set `key` in the pending revision, which `commit` completes."""
         self.check_put(value, lease=lease)
         previous = self._current_by_key.get(key)
         revision = self.revision + 1
@@ -169,7 +169,7 @@
         self._pending.append(Change(present=present, previous=previous))
 
     def check_put(self, value: bytes, *, lease: int = 0) -> None:
-        """Raise what `put` would raise."""
+        """Raise the error that `put` would raise."""
         if len(value) > MAXIMUM_VALUE_BYTES:
             raise ValueTooLargeError(
                 f"value of {len(value)} bytes; valid: at most"
@@ -179,18 +179,18 @@
             raise LeaseNotFoundError(f"lease {lease} not found")
 
     def delete(self, keys: KeyRange) -> list[KeyValue]:
-        """Delete within the revision that `commit` ends; return what was."""
-        gone = self.get(keys)
-        for previous in gone:
+        """Delete in the pending revision; return what was deleted."""
+        deleted = self.get(keys)
+        for previous in deleted:
             del self._current_by_key[previous.key]
             if previous.lease in self.lease_by_id:
                 self.lease_by_id[previous.lease].keys.discard(previous.key)
             present = KeyValue(key=previous.key, mod_revision=self.revision + 1)
             self._pending.append(Change(present=present, previous=previous))
-        return gone
+        return deleted
 
     def commit(self) -> bool:
-        """End the revision; return whether anything changed."""
+        """Complete the pending revision; return whether anything changed."""
         if not self._pending:
             return False
         self.revision += 1
@@ -201,7 +201,7 @@
         return True
 
     def satisfies(self, comparison: Comparison) -> bool:
-        """Return whether a condition is met by every key of its range."""
+        """Return whether every key of a condition's range meets it."""
         found = self.get(comparison.keys)
         if not found and not comparison.keys.end:
             if comparison.target is Target.VALUE:
@@ -215,7 +215,7 @@
         Raises
         ------
         CompactedError
-            If some of them were forgotten.
+            If some of them were compacted.
         """
         if revision <= self.compact_revision:
             raise CompactedError(
@@ -228,7 +228,13 @@
         return self._history[first:]
 
     def compact(self, revision: int) -> None:
-        """Forget the changes up to `revision`."""
+        """Discard the changes up to `revision`.
+
+        Raises
+        ------
+        CompactedError
+            If it was compacted already or is in the future.
+        """
         if not self.compact_revision < revision <= self.revision:
             raise CompactedError(
                 f"cannot compact to {revision}; valid: above"
@@ -238,12 +244,12 @@
         self.compact_revision = revision
 
     def grant(self, ttl_seconds: int, *, lease_id: int = 0) -> Lease:
-        """Give a lease; `lease_id` 0 lets the service choose.
+        """Grant a lease; with `lease_id` 0 the service chooses the id.
 
         Raises
         ------
         StateError
-            If the id is taken or the time to live is not positive.
+            If the id is in use or the time to live is not positive.
         """
         if ttl_seconds < 1:
             raise StateError(f"TTL of {ttl_seconds} s; valid: at least 1")
@@ -263,7 +269,7 @@
         return lease
 
     def keep_alive(self, lease_id: int) -> int:
-        """Renew a lease; return its time to live, 0 where it is gone."""
+        """Renew a lease; return its time to live, 0 if it does not exist."""
         lease = self.lease_by_id.get(lease_id)
         if lease is None:
             return 0
@@ -271,16 +277,16 @@
         return lease.ttl_seconds
 
     def remaining_seconds(self, lease: Lease) -> int:
-        """Return the whole seconds until a lease lapses."""
+        """Return the seconds until a lease expires, rounded up."""
         return max(0, math.ceil(lease.expires_at - self._clock.monotonic()))
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and delete its keys, in one revision.
+        """Remove a lease and delete its keys, in one revision.
 
         Raises
         ------
         LeaseNotFoundError
-            If there is none.
+            If the lease does not exist.
         """
         lease = self.lease_by_id.get(lease_id)
         if lease is None:
@@ -291,7 +297,7 @@
         self.commit()
 
     def expire(self) -> None:
-        """Revoke the leases whose time is over."""
+        """Revoke the leases that have expired."""
         now = self._clock.monotonic()
         expired = [
             lease.id
--- a/packages/standins/src/lagoonrun_standins/load.py
+++ b/packages/standins/src/lagoonrun_standins/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests go out at their time, whatever came of others."""
+"""Open-loop load generator: send times don't depend on earlier requests."""
 
 import asyncio
 import collections
@@ -21,7 +21,7 @@
 
 
 class RetryMode(enum.Enum):
-    """Whether callers come back after `Retry-After`."""
+    """Whether callers retry a refused request after `Retry-After`."""
 
     NEVER = "never"
     ONCE = "once"
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Attempt:
-    """What has been seen of one request so far."""
+    """What has been received for one attempt of a request so far."""
 
     request_id: str = ""
     first_token_at: float = math.nan
@@ -37,16 +37,17 @@
 
 
 class LoadGenerator:
-    """Sends arrivals to entry VMs and checks every answer.
+    """Sends requests to entry VMs and checks every response.
 
     Parameters
     ----------
     addresses
-        Callers' addresses of the entry VMs, taken in turn as by a balancer.
+        Caller addresses of the entry VMs, used round robin, as by a load
+        balancer.
     retry_mode
-        Whether callers come back once after a refusal.
+        Whether callers retry once after a refusal.
     clock
-        Times the arrivals.
+        Schedules the requests and measures latencies.
     """
 
     def __init__(
@@ -72,14 +73,14 @@
         *,
         start_at: float | None = None,
     ) -> list[load_summary.Result]:
-        """Send all arrivals at their times; return once all have ended.
+        """Send all requests at their times; return after the last has ended.
 
         Parameters
         ----------
         arrivals
-            By time.
+            Requests, sorted by time.
         start_at
-            Reading of the clock from which they count; now if None.
+            Clock time from which the arrival times count; now if None.
         """
         start = self._clock.monotonic() if start_at is None else start_at
         for arrival in arrivals:
@@ -94,7 +95,7 @@
         return self.results
 
     async def close(self) -> None:
-        """Abort what still runs and close all connections."""
+        """Cancel running requests and close all connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -181,9 +182,9 @@
         return answer_check.check(arrival, head, b"".join(parts))
 
     async def _connect(self) -> http_client.ClientConnection | None:
-        """Return a connection to the next entry VM that can be reached.
+        """Return a connection to the next entry VM that is reachable.
 
-        Nothing was sent before, so that another one allowed be tried.
+        Nothing has been sent yet, so trying another one repeats no request.
         """
         for _ in self._addresses:
             address = next(self._turns)
--- a/packages/standins/src/lagoonrun_standins/load_report.py
+++ b/packages/standins/src/lagoonrun_standins/load_report.py
@@ -1,4 +1,4 @@
-"""An upstream's load as Prometheus text, as it was some time ago."""
+"""An upstream's load as Prometheus text, reported with a delay."""
 
 import collections
 import dataclasses
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """What an upstream reports of itself.
+    """Load and state that an upstream reports.
 
     Parameters
     ----------
     models
-        Loaded models; None for an upstream that serves any.
+        Loaded models; None if the upstream serves any model.
     """
 
     running: int = 0
@@ -28,14 +28,14 @@
 
 
 class LoadReport:
-    """Samples of the load, served with a lag.
+    """Records load samples and reports them with a lag.
 
     Parameters
     ----------
     clock
-        Dates the samples.
+        Timestamps the samples.
     lag_seconds
-        Age of what is served.
+        Minimum age of the reported sample.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         )
 
     def record(self, load: Load) -> None:
-        """Keep a sample, where it differs from the last one."""
+        """Record a sample if it differs from the last one."""
         if not self._samples or self._samples[-1][1] != load:
             self._samples.append((self._clock.monotonic(), load))
 
--- a/packages/standins/src/lagoonrun_standins/load_summary.py
+++ b/packages/standins/src/lagoonrun_standins/load_summary.py
@@ -1,4 +1,4 @@
-"""Results of single requests and their summary by class."""
+"""Results of individual requests and their summary by class."""
 
 import collections
 import dataclasses
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """How one request went; times count from the intended send time.
+    """Outcome of one request; times count from the intended send time.
 
     Parameters
     ----------
     first_token_seconds
-        NaN where nothing arrived.
+        Time to the first token; NaN if none arrived.
     total_seconds
-        Time to the last byte, or to the end of any other kind.
+        Time to the end of the response or of the last attempt.
     send_lag_seconds
-        Time by which the load generator itself was late.
+        Delay that the load generator itself caused.
     attempts
-        How often it was sent.
+        Number of times the request was sent.
     """
 
     arrival: traffic.Arrival
@@ -37,7 +37,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the caller got its whole answer."""
+        """Whether the caller received the complete answer."""
         return self.verdict.kind is answer_check.ResultKind.COMPLETE
 
     @property
@@ -52,7 +52,7 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether the answer was whole within the limit."""
+        """Whether the answer was complete within the class's limit."""
         limit = self.arrival.traffic_class.limit_seconds
         return self.is_complete and self.total_seconds <= limit
 
@@ -67,7 +67,7 @@
 
     @classmethod
     def of(cls, samples: Sequence[float]) -> "Quantiles":
-        """Return the quantiles by nearest rank, NaN samples left out."""
+        """Return the quantiles by nearest rank, ignoring NaN samples."""
         known = sorted(s for s in samples if not math.isnan(s))
         if not known:
             return cls(p50=math.nan, p95=math.nan, p99=math.nan)
@@ -83,9 +83,9 @@
     Parameters
     ----------
     offered
-        Number of intended requests; attainment is a share of these.
+        Number of intended requests; `attainment` is a share of these.
     first_token, total
-        Latencies of the complete answers.
+        Latencies of complete answers.
     """
 
     offered: int
@@ -104,14 +104,15 @@
     Parameters
     ----------
     goodput
-        Tokens a second of answers that were whole within their limit.
+        Tokens per second of answers that were complete within their limit.
     mismatched
-        Answers that were not the caller's own or not whole; must be 0.
+        Number of answers of another request or with wrong content; must be
+        0.
     delivered_tokens
-        Tokens of answers counted by `goodput`; what engines produced
-        besides was wasted.
+        Tokens counted by `goodput`; other tokens that engines produced were
+        wasted.
     send_lag
-        Lateness of the load generator itself.
+        Delay that the load generator itself caused.
     """
 
     classes_by_name: Mapping[str, ClassSummary]
@@ -122,7 +123,7 @@
 
 
 def summarise(results: Sequence[Result], *, duration_seconds: float) -> Summary:
-    """Return the summary of a run of that length."""
+    """Return the summary of a run that took `duration_seconds`."""
     by_class: dict[str, list[Result]] = collections.defaultdict(list)
     for result in results:
         by_class[result.arrival.traffic_class.name].append(result)
--- a/packages/standins/src/lagoonrun_standins/managed_process.py
+++ b/packages/standins/src/lagoonrun_standins/managed_process.py
@@ -1,4 +1,4 @@
-"""One child process of the demo, benches and failure tests."""
+"""One child process of the demo, a bench or a failure test."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class ProcessError(RuntimeError):
-    """A process did not start or stop as it should."""
+    """A process did not start or stop as expected."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -26,20 +26,20 @@
     Parameters
     ----------
     address_by_name
-        `READY caller=H:P admin=H:P` names them; `READY H:P` gives one
-        address with an empty name.
+        `READY caller=H:P admin=H:P` gives named addresses; `READY H:P` gives
+        a single one with an empty name.
     """
 
     address_by_name: Mapping[str, settings.Address]
 
     @classmethod
     def parse(cls, line: str) -> "Ready":
-        """Return the addresses of a line that begins with READY.
+        """Return the addresses of a READY line.
 
         Raises
         ------
         ValueError
-            If there is none, or a port is no number.
+            If there is no address, or a port is not a number.
         """
         address_by_name = {}
         for word in line.removeprefix(command_line.READY_PREFIX).split():
@@ -54,19 +54,19 @@
 class ManagedProcess:
     """A Python module run as a child process.
 
-    Its standard output and error go to `log_path`. It ends at the latest
-    with `close`, by its process id.
+    Its standard output and error are written to `log_path`. `close` kills it
+    by its process id if it still runs.
 
     Parameters
     ----------
     name
-        Names it in errors and its log file.
+        Name in error messages.
     module
-        Run as `python -m MODULE`.
+        Module to run by `python -m MODULE`.
     arguments
-        Of the command line.
+        Command-line arguments.
     log_path
-        Where its output goes; appended to.
+        Log file, to which its output is appended.
     """
 
     def __init__(
@@ -92,17 +92,17 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it was started and has not ended, frozen or not."""
+        """Whether the process has started and not ended, even if frozen."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def host(self) -> str:
-        """Return the IP number of its sole or first address."""
+        """Return the IP address of its only or first address."""
         return self._first_address().host
 
     @property
     def port(self) -> int:
-        """Return the port of its sole or first address."""
+        """Return the port of its only or first address."""
         return self._first_address().port
 
     def address(self, name: str = _SOLE_ADDRESS) -> settings.Address:
@@ -113,25 +113,26 @@
         ProcessError
             If the line has no address of that name.
         """
-        known = self.ready.address_by_name if self.ready else {}
-        if name not in known:
+        addresses = self.ready.address_by_name if self.ready else {}
+        if name not in addresses:
             raise ProcessError(
-                f"{self.name} has no address {name!r}; valid: {sorted(known)}"
+                f"{self.name} has no address {name!r}; valid:"
+                f" {sorted(addresses)}"
             )
-        return known[name]
+        return addresses[name]
 
     async def start(self, *, timeout_seconds: float) -> None:
-        """Start it and wait for its READY line.
+        """Start the process and wait for its READY line.
 
         Raises
         ------
         ProcessError
-            If it ends before, or the line does not come in time; the error
-            shows the end of its log.
+            If it exits first, or the line is not printed in time. The message
+            contains the end of its log.
         """
         with self.log_path.open("ab") as log:
-            # Standard input stays open for as long as this process lives:
-            # a stand-in whose parent was killed reads its end and stops.
+            # Standard input stays open while this process lives. If it is
+            # killed, a stand-in reads the end of its input and stops.
             self._process = await asyncio.create_subprocess_exec(
                 *self._command,
                 stdin=asyncio.subprocess.PIPE,
@@ -146,24 +147,24 @@
             raise self._error("was not ready in time") from None
         if line is None:
             await self._process.wait()
-            raise self._error(f"ended with {self._process.returncode}")
+            raise self._error(f"exited with status {self._process.returncode}")
         self.ready = Ready.parse(line)
         self._copy_task = asyncio.create_task(self._copy_output())
 
     async def close(self) -> None:
-        """End it, if it still runs."""
+        """Kill the process if it still runs."""
         await self.kill()
 
     def freeze(self) -> None:
-        """Stop it without its notice, connections and all."""
+        """Suspend the process; its connections stay open."""
         self._send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self._send(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End it at once, as a crash of its VM does."""
+        """Kill the process, which simulates a crash of its VM."""
         if self.is_running:
             self._send(signal.SIGKILL)
         if self._process is not None:
@@ -171,39 +172,39 @@
         await self._stop_copying()
 
     def request_stop(self) -> None:
-        """Ask for a planned stop, without waiting for its end."""
+        """Request a planned stop without waiting for the exit."""
         self._send(signal.SIGTERM)
 
     async def wait(self, *, timeout_seconds: float) -> int:
-        """Wait for its end and return its exit code.
+        """Wait until the process exits and return its exit code.
 
         Raises
         ------
         ProcessError
-            If it does not end in time; it is left running.
+            If it does not exit in time; it keeps running.
         """
         assert self._process is not None
         try:
             async with asyncio.timeout(timeout_seconds):
                 code = await self._process.wait()
         except TimeoutError:
-            raise self._error("did not end in time") from None
+            raise self._error("did not exit in time") from None
         await self._stop_copying()
         return code
 
     async def terminate(self, *, timeout_seconds: float) -> int:
-        """Ask for a planned stop and return the exit code.
+        """Request a planned stop and return the exit code.
 
         Raises
         ------
         ProcessError
-            If it does not end in time; it is left running.
+            If it does not exit in time; it keeps running.
         """
         self.request_stop()
         return await self.wait(timeout_seconds=timeout_seconds)
 
     def log_tail(self) -> str:
-        """Return the last lines of its output."""
+        """Return the last lines of its log."""
         text = self.log_path.read_text(errors="replace")
         return "\n".join(text.splitlines()[-_LOG_TAIL_LINES:])
 
@@ -214,7 +215,9 @@
 
     def _send(self, number: signal.Signals) -> None:
         if not self.is_running:
-            raise ProcessError(f"{self.name} does not run; {number.name} lost")
+            raise ProcessError(
+                f"{self.name} is not running; {number.name} not sent"
+            )
         assert self._process is not None
         self._process.send_signal(number)
 
--- a/packages/standins/src/lagoonrun_standins/plain_service.py
+++ b/packages/standins/src/lagoonrun_standins/plain_service.py
@@ -1,7 +1,7 @@
-"""Stand-in of a plain service: any method and path, and runs are counted.
+"""Stand-in of a plain service: serves any method and path and counts runs.
 
-The service says that it did not run a request by answering 503 with the
-header `X-Not-Run: true`. Faults and counters are at `/control`.
+A request that was not run is answered by 503 with the header
+`X-Not-Run: true`. Faults and counters are at `/control`.
 """
 
 import asyncio
@@ -26,32 +26,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Faults:
-    """What goes wrong at present; the fields of `POST /control`.
+    """Faults in effect; the fields of `POST /control`.
 
     Parameters
     ----------
     service_seconds
-        Time from a request's end to its answer.
+        Time from the end of a request to its response.
     close_at_first_byte
-        Number of coming requests whose connection closes when their first
+        Number of next requests whose connection closes when their first
         byte arrives; they are not run.
     close_before_answer
-        Number of coming requests that are run, but whose connection closes
-        in place of the answer.
+        Number of next requests that are run, but whose connection closes
+        instead of a response.
     refuse
-        Number of coming requests that are refused and not run.
+        Number of next requests that are refused and not run.
     retry_after_seconds
-        `Retry-After` of refusals; 0 for none.
+        `Retry-After` of refusals; 0 omits the header.
     omit_echoes
-        Number of coming answers without `X-Request-Id`.
+        Number of next responses without `X-Request-Id`.
     leaving
-        Told at `/state` and `/metrics`.
+        Reported at `/state` and `/metrics`.
     refuses_when_leaving
         New requests are refused, and not run, while leaving.
     frozen
-        Nothing is answered, but connections stay.
+        No request is answered; connections stay open.
     metrics_lag_seconds
-        Age of what `/metrics` serves.
+        Age of the load that `/metrics` serves.
     """
 
     service_seconds: float = 0.0
@@ -67,23 +67,24 @@
 
 
 class PlainService:
-    """Answers each request with what it saw of it.
+    """Responds to each request with a summary of the request.
 
-    A request that has begun to run is run to its end, also when its client
-    goes.
+    A request that has started to run is completed even if its client
+    disconnects.
 
     Parameters
     ----------
     host
-        IP number to listen on.
+        IP address to listen on.
     port
-        Port to listen on; 0 lets the system choose.
+        Port to listen on; 0 lets the operating system choose.
     service_seconds
-        Time from a request's end to its answer, at first.
+        Initial `service_seconds` of `Faults`.
     slots
-        Most requests that are run at once; the others wait. 0 for no limit.
+        Maximum number of concurrent requests; the others wait. 0 for no
+        limit.
     clock
-        Dates the runs while leaving.
+        Timestamps runs while leaving, and load samples.
     """
 
     def __init__(
@@ -114,15 +115,15 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._server.port
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Stop listening and drop every connection."""
+        """Stop listening and abort every connection."""
         await self._server.close()
 
     def control(
@@ -133,10 +134,10 @@
         Parameters
         ----------
         body
-            Fields of `Faults` to change; `crash` true besides, which closes
-            all connections.
+            Fields of `Faults` to change; optionally `crash: true`, which
+            aborts all connections.
         exchange
-            Spared where connections are dropped.
+            Its connection is kept when the others are aborted.
 
         Raises
         ------
@@ -270,7 +271,7 @@
 
 
 def request_summary(request: http_lib.Request) -> dict[str, str]:
-    """Return what an answer says of its request."""
+    """Return the description of a request that its response contains."""
     return {
         "method": request.method,
         "path": request.path,
@@ -281,7 +282,7 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest of a request's body in the answer to it."""
+    """Return the digest of a request's body that its response contains."""
     return hashlib.sha256(body).hexdigest()
 
 
@@ -291,13 +292,13 @@
     flags.DEFINE_float(
         "service_seconds",
         0.0,
-        "Time from a request's end to its answer.",
+        "Time from the end of a request to its response.",
         flag_values=values,
     )
     flags.DEFINE_integer(
         "slots",
         0,
-        "Most requests that are run at once; 0 for no limit.",
+        "Maximum number of concurrent requests; 0 for no limit.",
         flag_values=values,
     )
     values(arguments)
--- a/packages/standins/src/lagoonrun_standins/platform_store.py
+++ b/packages/standins/src/lagoonrun_standins/platform_store.py
@@ -1,7 +1,7 @@
 """Stand-in of the platform: its key-value service and its list of VMs.
 
-It speaks the HTTP/JSON gateway format of etcd v3, keeps all in memory, and
-takes faults at `/control` on the same port.
+It implements the HTTP/JSON gateway of etcd v3 in memory. Faults are set at
+`/control` on the same port.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Outage(enum.Enum):
-    """What becomes of calls while the service is down."""
+    """What happens to calls during an outage."""
 
     NONE = "none"
     CLOSE = "close"
@@ -44,21 +44,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Faults:
-    """What goes wrong at present; the fields of `POST /control`.
+    """Faults in effect; the fields of `POST /control`.
 
     Parameters
     ----------
     outage
-        `close` drops connections; `hang` leaves calls unanswered, and drops
-        them without effect when it ends.
+        `close` drops connections. `hang` leaves calls unanswered, and drops
+        them without effect when the outage ends.
     delay_seconds
-        Time between the effect of a call and its answer.
+        Time between the effect of a call and its response.
     lose_replies
-        Number of coming calls that change a key, but lose their answer.
+        Number of next calls that take effect, but lose their response; only
+        calls that change a key count.
     read_lag_revisions
-        Age of what ranges outside transactions see, in revisions.
+        Age, in revisions, of the state that ranges outside transactions read.
     vm_list_delay_seconds
-        Time after which `GET /vms` sees a change.
+        Time after which `GET /vms` shows a change.
     """
 
     outage: Outage = Outage.NONE
@@ -74,13 +75,13 @@
     Parameters
     ----------
     host
-        IP number to listen on.
+        IP address to listen on.
     port
-        Port to listen on; 0 lets the system choose.
+        Port to listen on; 0 lets the operating system choose.
     clock
-        Drives the leases and the lag of the list of VMs.
+        Determines when leases expire, and the delay of the list of VMs.
     progress_seconds
-        Period of the progress lines of watches that asked for them.
+        Period of the progress lines of watches that request them.
     """
 
     def __init__(
@@ -111,16 +112,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._server.port
 
     async def start(self) -> None:
-        """Listen, and let leases lapse from now on."""
+        """Start listening and expiring leases."""
         await self._server.start()
         self._expiry = asyncio.create_task(self._run_expiry())
 
     async def close(self) -> None:
-        """Stop listening and drop every connection."""
+        """Stop listening and abort every connection."""
         if self._expiry:
             self._expiry.cancel()
             await asyncio.gather(self._expiry, return_exceptions=True)
@@ -134,9 +135,9 @@
         Parameters
         ----------
         body
-            Fields of `Faults` to change; `reset_counters` true besides.
+            Fields of `Faults` to change; optionally `reset_counters: true`.
         exchange
-            Spared where connections are dropped.
+            Its connection is kept when the others are aborted.
 
         Raises
         ------
@@ -158,7 +159,7 @@
             self._outage_ended = asyncio.Event()
 
     def counters(self) -> dict[str, Any]:
-        """Return the number of calls, by kind and in all."""
+        """Return the number of calls by kind and in total, and the revision."""
         reads = sum(self.calls_by_kind[kind] for kind in _READS)
         total = self.calls_by_kind.total()
         return {
--- a/packages/standins/src/lagoonrun_standins/prefix_cache.py
+++ b/packages/standins/src/lagoonrun_standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A bounded cache of prompt prefixes, least recently used out first."""
+"""A bounded cache of prompt prefixes with LRU eviction."""
 
 import collections
 
@@ -6,14 +6,14 @@
 
 
 class PrefixCache:
-    """Remembers which prefixes were prefilled of late.
+    """Tracks which prompt prefixes were prefilled recently.
 
     Parameters
     ----------
     prefix_bytes
-        Length of the prompt's beginning that is one entry.
+        Length of the prompt prefix that is one entry.
     capacity
-        Most entries; 0 switches the cache off.
+        Maximum number of entries; 0 disables the cache.
     """
 
     def __init__(self, *, prefix_bytes: int, capacity: int) -> None:
@@ -26,7 +26,7 @@
         )
 
     def cached_bytes(self, prompt: bytes) -> int:
-        """Return how much of `prompt` need not be prefilled, and keep it."""
+        """Return the number of cached bytes of `prompt`; cache its prefix."""
         prefix = prompt[: self._prefix_bytes]
         key = xxhash.xxh64_intdigest(prefix)
         hit = key in self._entries
@@ -41,5 +41,5 @@
         return 0
 
     def clear(self) -> None:
-        """Forget every prefix, as a restart does."""
+        """Remove every entry, as a restart does."""
         self._entries.clear()
--- a/packages/standins/src/lagoonrun_standins/reserved_ports.py
+++ b/packages/standins/src/lagoonrun_standins/reserved_ports.py
@@ -1,9 +1,9 @@
-"""Ports that are known before whoever listens on them has started.
+"""Reserves ports that must be known before their server starts.
 
-They lie below the range from which the system gives ports to connections and
-to servers that ask for any: such a server sets the same option as these
-sockets, and so may be given a port that is held here; whoever it was meant
-for then fails to listen.
+Reserved ports lie below the range of ephemeral ports, which the system assigns
+to connections and to servers that bind to port 0. Such a server sets
+`SO_REUSEADDR`, as the sockets here do, so it could be assigned a port reserved
+here; the server for which it was reserved would then fail to listen.
 """
 
 import random
@@ -13,34 +13,35 @@
 _LAST_PORT = 29_999
 _MAX_TRIES = 200
 
-_kept_sockets: list[socket.socket] = []
+_reserving_sockets: list[socket.socket] = []
 
 
 def reserve(host: str) -> int:
     """Return a port for TCP and UDP that stays reserved in this process.
 
-    It is kept until the process ends. With the option a server, which sets
-    it too, can listen on it all the same, since this socket does not.
+    The reservation lasts until the process exits. A server that sets
+    `SO_REUSEADDR` can still listen on the port, since the reserving socket
+    sets it too and doesn't listen.
 
     Raises
     ------
     OSError
-        If no such port is found.
+        If no free port is found.
     """
     for _ in range(_MAX_TRIES):
         port = random.randint(_FIRST_PORT, _LAST_PORT)
         if not _is_free(host, port):
             continue
-        kept = socket.socket(type=socket.SOCK_STREAM)
-        kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        kept.bind((host, port))
-        _kept_sockets.append(kept)
+        reserving = socket.socket(type=socket.SOCK_STREAM)
+        reserving.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserving.bind((host, port))
+        _reserving_sockets.append(reserving)
         return port
     raise OSError(f"no port free for TCP and UDP in {_MAX_TRIES} tries")
 
 
 def _is_free(host: str, port: int) -> bool:
-    """Return whether nobody holds a port, not even without listening."""
+    """Return whether no socket is bound to a port, listening or not."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(type=kind) as probe:
             try:
--- a/packages/standins/src/lagoonrun_standins/upstream_protocol.py
+++ b/packages/standins/src/lagoonrun_standins/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""What upstreams and the router agree on: request ids and refusals."""
+"""Protocol between router and upstreams: request ids and refusals."""
 
 from lagoonrun_standins import http_server as http_lib
 
@@ -7,12 +7,12 @@
 
 
 def request_id(request: http_lib.Request) -> str:
-    """Return the id that the router gave a request; empty for none."""
+    """Return the id that the router assigned to a request; empty for none."""
     return request.headers.get(REQUEST_ID_HEADER.lower(), "")
 
 
 def echo(request: http_lib.Request) -> http_lib.Header:
-    """Return the header that every answer to `request` must carry."""
+    """Return the header that every response to `request` must contain."""
     return (REQUEST_ID_HEADER, request_id(request))
 
 
@@ -24,7 +24,7 @@
     *,
     retry_after_seconds: float = 0.0,
 ) -> None:
-    """Answer that the request was not run, and why."""
+    """Respond that the request was not run, with the reason."""
     headers = [echo(request), (NOT_RUN_HEADER, "true")]
     if retry_after_seconds:
         headers.append(("Retry-After", str(retry_after_seconds)))
--- a/packages/standins/src/lagoonrun_standins/vm_list.py
+++ b/packages/standins/src/lagoonrun_standins/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving VMs, which lags."""
+"""The platform's list of live and leaving VMs, read with a delay."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class VmState(enum.Enum):
-    """State of one VM as the platform lists it."""
+    """State of one VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -23,12 +23,12 @@
 
 
 class VmList:
-    """Every state that each VM was ever set to, with the instant.
+    """History of the state of each VM.
 
     Parameters
     ----------
     clock
-        Dates the changes.
+        Timestamps the changes.
     """
 
     def __init__(self, *, clock: clock_lib.Clock) -> None:
@@ -36,15 +36,15 @@
         self._entries_by_id: dict[str, list[_Entry]] = {}
 
     def set(self, vm: str, body: Any) -> None:
-        """Set the state of a VM and what else is listed of it.
+        """Set the state of a VM and the other fields that are listed.
 
         Parameters
         ----------
         vm
             Id of the VM.
         body
-            JSON object; `state` is `live`, `leaving` or `gone`, and all
-            else (`address`, `domain`, ...) is listed as it is.
+            JSON object; `state` is `live`, `leaving` or `gone`. Other fields
+            (`address`, `domain`, ...) are listed unchanged.
 
         Raises
         ------
@@ -64,7 +64,7 @@
     def listing(self, *, delay_seconds: float) -> dict[str, Any]:
         """Return the list as it was `delay_seconds` ago, as JSON.
 
-        VMs that were gone by then are left out.
+        VMs that were `gone` by then are omitted.
         """
         limit = self._clock.monotonic() - delay_seconds
         vms = []
--- a/packages/standins/tests/test_engine.py
+++ b/packages/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in, as a router meets it."""
+"""The engine stand-in through its HTTP interface, as a router uses it."""
 
 import asyncio
 import json
@@ -49,7 +49,7 @@
     return "".join(d.get("content", "") for d in deltas)
 
 
-async def test_plain_answer_is_whole_and_its_own(post):
+async def test_answer_without_streaming_is_complete(post):
     body = chat(max_tokens=7)
 
     answer = await post(body)
@@ -61,7 +61,7 @@
     assert answer.head.headers["x-request-id"] == "r1"
 
 
-async def test_stream_is_the_same_answer_and_resumes(post):
+async def test_stream_has_the_same_tokens_when_resumed(post):
     body = chat(stream=True, max_tokens=6)
     digest = answers.digest("r1", body["messages"])
 
@@ -95,7 +95,7 @@
     assert answer.head.headers["x-request-id"] == "load-report"
 
 
-async def test_drawn_length_is_the_same_on_every_engine(post):
+async def test_random_length_is_reproducible(post):
     body = chat()
     first = (await post(body)).json()["usage"]["completion_tokens"]
     second = (await post(body)).json()["usage"]["completion_tokens"]
@@ -105,7 +105,7 @@
     assert limited.json()["usage"]["completion_tokens"] == 5
 
 
-async def test_client_that_goes_wastes_what_was_produced(runner):
+async def test_tokens_are_wasted_when_the_client_disconnects(runner):
     connection = http_client.ClientConnection(
         host=runner.host, port=runner.port
     )
@@ -147,11 +147,11 @@
     assert (await post(body)).body.endswith(b"data: [DONE]\n\n")
 
 
-async def test_crossed_answers_show(runner, post):
-    """One house sees the other's annotations.
+async def test_crossed_answers_have_exchanged_request_ids(runner, post):
+    """A caller gets another organisation's answer.
 
-    Two requests run at once, and the engine gives each the other's answer;
-    ids and digests tell them apart.
+    Two requests run concurrently, and the engine gives each the other's
+    answer; request ids and digests reveal it.
     """
     runner.control({"cross_answers": 1})
     first, second = await asyncio.gather(
@@ -199,7 +199,7 @@
     assert runner.counters()["tokens_crashed"] > 0
 
 
-async def test_frozen_engine_answers_nothing_until_thawed(runner, post):
+async def test_frozen_engine_answers_only_after_unfreezing(runner, post):
     runner.control({"frozen": True})
     waiting = asyncio.create_task(post(chat(max_tokens=1)))
     done, _ = await asyncio.wait({waiting}, timeout=0.02)
@@ -224,7 +224,7 @@
     assert runner.orders.fencing_seen == 8
 
 
-async def test_refusals_say_that_nothing_was_run(runner, post):
+async def test_refused_request_is_not_run(runner, post):
     unload = {"kind": "unload", "model": "scribe", "fencing": 1}
     await post(unload, path="/orders")
 
--- a/packages/standins/tests/test_engine_batch.py
+++ b/packages/standins/tests/test_engine_batch.py
@@ -1,4 +1,4 @@
-"""The step model of the engine stand-in, without I/O."""
+"""The simulated batch of the engine stand-in, without I/O."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class Sink:
-    """Keeps what it is told."""
+    """Records the calls that it receives."""
 
     def __init__(self):
         self.is_gone = False
@@ -14,15 +14,15 @@
         self.ended = False
 
     def emit(self, index):
-        """Keep the index."""
+        """Record the index."""
         self.indices.append(index)
 
     def finish(self):
-        """Keep that it ended."""
+        """Record that it ended."""
         self.ended = True
 
     def abandon(self):
-        """Keep that it ended."""
+        """Record that it ended."""
         self.ended = True
 
 
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     ("requests", "duration"), [(1, 1.0), (2, 1.0), (3, 1.5), (4, 2.0), (9, 2.0)]
 )
-def test_step_grows_beyond_the_slots(batch, requests, duration):
+def test_step_slows_down_beyond_the_slots(batch, requests, duration):
     for _ in range(requests):
         batch.add(run(Sink()))
 
@@ -67,7 +67,7 @@
     assert batch.peak_batch == min(requests, 4)
 
 
-def test_waiting_requests_go_by_priority_then_arrival(batch):
+def test_waiting_requests_run_by_priority_then_arrival(batch):
     sinks = [Sink() for _ in range(7)]
     priorities = [1, 1, 1, 1, 3, 2, 2]
     for sink, priority in zip(sinks, priorities, strict=True):
@@ -91,7 +91,7 @@
     assert (long.indices, short.indices) == ([0], [0, 1])
 
 
-def test_request_that_is_gone_frees_its_place(batch):
+def test_request_of_a_disconnected_client_is_removed(batch):
     gone, waiting = Sink(), Sink()
     batch.add(run(gone))
     step(batch)
--- a/packages/standins/tests/test_fleet.py
+++ b/packages/standins/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Child processes: started, frozen, resumed, stopped and never left."""
+"""Child processes: start, freeze, resume, stop and cleanup."""
 
 import asyncio
 import dataclasses
@@ -27,7 +27,7 @@
     )
 
 
-async def test_all_stand_ins_start_and_end_as_asked(fleet):
+async def test_all_stand_ins_start_and_stop(fleet):
     engine, service, platform = await asyncio.gather(
         fleet.start_engine("e1", models="a,b", resumes=True, slots=4),
         fleet.start_plain_service("p1", service_seconds=0.5),
@@ -44,10 +44,10 @@
     assert again.pid != service.pid
 
 
-async def test_frozen_process_keeps_its_port_and_goes_on(fleet):
-    """A VM pauses: connections are accepted, but nothing is answered.
+async def test_frozen_process_keeps_its_port_and_resumes(fleet):
+    """A paused VM accepts connections, but answers no request.
 
-    After it resumes it answers as if nothing had happened.
+    After it resumes, it answers as before the pause.
     """
     service = await fleet.start_plain_service("p1")
     service.freeze()
@@ -59,7 +59,7 @@
     assert (await answers(service))["leaving"] is False
 
 
-async def test_close_ends_what_is_frozen(tmp_path):
+async def test_close_stops_a_frozen_process(tmp_path):
     fleet = fleet_lib.Fleet(directory=tmp_path)
     await fleet.start()
     service = await fleet.start_plain_service("p1")
@@ -71,9 +71,9 @@
 
 
 async def test_stand_in_stops_when_its_parent_is_gone(fleet):
-    """A test run is killed, and its stand-ins must not stay behind.
+    """The stand-ins of a killed test run must not keep running.
 
-    The parent's end of the child's standard input closes with it.
+    When the parent dies, its end of the child's standard input closes.
     """
     service = await fleet.start_plain_service("p1")
 
@@ -107,7 +107,7 @@
     }
 
 
-def test_settings_survive_their_toml(tmp_path: pathlib.Path):
+def test_settings_round_trip_through_toml(tmp_path: pathlib.Path):
     address = settings.Address(host="127.0.0.1", port=0)
     seed = fleet_lib.free_peer_address()
     configured = settings.Settings(
--- a/packages/standins/tests/test_key_value_state.py
+++ b/packages/standins/tests/test_key_value_state.py
@@ -1,4 +1,4 @@
-"""The revisioned state against a naive one that copies all at each revision."""
+"""The state compared with a model that copies all keys at each revision."""
 
 import hypothesis
 from hypothesis import stateful
@@ -12,7 +12,7 @@
 
 
 class StateMachine(stateful.RuleBasedStateMachine):
-    """Puts, deletes, leases and compactions in any order."""
+    """Random sequences of puts, deletes, leases and compactions."""
 
     def __init__(self):
         super().__init__()
@@ -26,7 +26,7 @@
 
     @stateful.rule(key=KEYS, value=st.binary(max_size=2), leased=st.booleans())
     def put(self, key, value, leased):
-        """Put a key, on a live lease or on none."""
+        """Put a key, with a live lease or without one."""
         lease = min(self.expiry_by_lease, default=0) if leased else 0
         self.state.put(key, value, lease=lease)
         assert self.state.commit()
@@ -35,11 +35,11 @@
 
     @stateful.rule(key=KEYS)
     def delete(self, key):
-        """Delete a key; nothing changes where it is absent."""
-        was_there = key in self.latest()
+        """Delete a key; nothing changes if it is absent."""
+        existed = key in self.latest()
         self.state.delete(state_lib.KeyRange(key=key))
-        assert self.state.commit() is was_there
-        if was_there:
+        assert self.state.commit() is existed
+        if existed:
             self.record({k: v for k, v in self.latest().items() if k != key})
 
     @stateful.rule(ttl_seconds=st.integers(1, 3))
@@ -51,7 +51,7 @@
 
     @stateful.rule(seconds=st.integers(1, 2))
     def advance(self, seconds):
-        """Let time pass; lapsed leases take their keys with them."""
+        """Advance the clock; the keys of expired leases are deleted."""
         self.clock.advance(seconds)
         self.state.expire()
         now = self.clock.monotonic()
@@ -67,14 +67,14 @@
 
     @stateful.rule(behind=st.integers(0, 3))
     def compact(self, behind):
-        """Forget old revisions."""
+        """Compact old revisions."""
         revision = self.state.revision - behind
         if revision > self.state.compact_revision:
             self.state.compact(revision)
 
     @stateful.invariant()
     def uncompacted_revisions_match(self):
-        """Compare all revisions that were not compacted."""
+        """Compare every revision that was not compacted with the model."""
         assert self.state.revision == max(self.values_by_revision)
         oldest = max(1, self.state.compact_revision)
         for revision in range(oldest, self.state.revision + 1):
@@ -84,7 +84,7 @@
 
     @stateful.invariant()
     def every_change_is_reported_once(self):
-        """Replay what was told, in order."""
+        """Replay the reported changes in order."""
         values = {}
         for change in self.reported:
             if change.is_deletion:
@@ -94,11 +94,11 @@
         assert values == self.latest()
 
     def latest(self):
-        """Return the values now."""
+        """Return the model's current values."""
         return self.values_by_revision[max(self.values_by_revision)]
 
     def record(self, values):
-        """Keep the values of the next revision."""
+        """Record the values of the next revision in the model."""
         self.values_by_revision[max(self.values_by_revision) + 1] = values
 
 
--- a/packages/standins/tests/test_load.py
+++ b/packages/standins/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator against stand-ins, without a router between them."""
+"""The load generator against stand-ins, without a router in between."""
 
 import math
 
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("streams", [True, False])
-async def test_answers_of_an_engine_are_whole(runner, generate, streams):
+async def test_answers_of_an_engine_are_complete(runner, generate, streams):
     arrivals = some_arrivals(digests(streams=streams))
 
     results = await generate(runner, arrivals=arrivals)
@@ -136,7 +136,7 @@
         ({"omit_echoes": 2}, answer_check.ResultKind.MISMATCHED),
     ],
 )
-async def test_faulty_answers_are_noticed(runner, generate, fault, kind):
+async def test_faulty_answers_are_detected(runner, generate, fault, kind):
     runner.control(fault)
 
     results = await generate(runner, arrivals=some_arrivals(digests()))
@@ -145,8 +145,8 @@
     assert kinds(results) == {answer_check.ResultKind.COMPLETE, kind}
 
 
-async def test_crossed_answer_with_the_right_echo_is_noticed():
-    """A router repairs the header, but the text is another house's."""
+async def test_crossed_answer_with_correct_echo_is_detected():
+    """A router corrects the header, but the text belongs to another caller."""
     mine, other = some_arrivals(digests())[:2]
     body = b'{"id": "chatcmpl-r1", "content": "0badf00d-0 "}'
     head = answer_check.http_client.Head(
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("mode", list(load.RetryMode))
-async def test_unreachable_and_impatient(runner, generate, mode):
+async def test_unreachable_server_and_expired_patience(runner, generate, mode):
     impatient = digests(patience_seconds=0.01)
     runner.control({"frozen": True})
     left = await generate(
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize(
     ("mode", "refused"), [(load.RetryMode.NEVER, 1), (load.RetryMode.ONCE, 0)]
 )
-async def test_callers_come_back_as_told(service, generate, mode, refused):
+async def test_callers_retry_by_retry_mode(service, generate, mode, refused):
     service.control({"refuse": 1, "retry_after_seconds": 0.01})
     arrivals = some_arrivals(digests(target="/lookups"))
 
@@ -203,7 +203,7 @@
         (model.TargetKind.FIRST_TOKEN, math.nan, 1.0, False),
     ],
 )
-def test_attainment_counts_what_the_profile_says(kind, first, total, attains):
+def test_attainment_measures_the_target_kind(kind, first, total, attains):
     (arrival, *_) = some_arrivals(
         digests(target_kind=kind, target_seconds=2.0, limit_seconds=5.0)
     )
--- a/packages/standins/tests/test_plain_service.py
+++ b/packages/standins/tests/test_plain_service.py
@@ -1,4 +1,4 @@
-"""The plain service stand-in, as a router meets it."""
+"""The plain service stand-in through its HTTP interface."""
 
 import asyncio
 
@@ -50,10 +50,10 @@
     [("close_at_first_byte", 0), ("close_before_answer", 1)],
 )
 async def test_connection_closes_before_the_answer(service, call, fault, runs):
-    """A caller sees the same closed connection in both cases.
+    """A caller can't tell whether a request was run.
 
-    In the first the request was never run, in the second it was: only the
-    service's own count tells them apart.
+    Both faults close the connection, but only `close_before_answer` after the
+    run; only the counters of the service show the difference.
     """
     service.control({fault: 1})
 
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize(
     "fault", [{"refuse": 1}, {"leaving": True, "refuses_when_leaving": True}]
 )
-async def test_refusal_says_not_run_and_is_not(service, call, fault):
+async def test_refused_request_is_not_run(service, call, fault):
     service.control(fault)
 
     answer = await call()
@@ -103,7 +103,7 @@
     assert counters["last_run_while_leaving_seconds"] == 2
 
 
-async def test_request_runs_to_its_end_when_its_client_goes(service, call):
+async def test_request_completes_when_its_client_disconnects(service, call):
     service.control({"service_seconds": 0.05})
     waiting = asyncio.create_task(call())
     await until(service, lambda counters: counters["running"] == 1)
@@ -113,7 +113,7 @@
     await until(service, lambda counters: counters["completed"] == 1)
 
 
-async def until(service, holds):
+async def until(service, condition):
     async with asyncio.timeout(5):
-        while not holds(service.counters()):
+        while not condition(service.counters()):
             await http_client.fetch(service.host, service.port, "GET", "/state")
--- a/packages/standins/tests/test_platform_store.py
+++ b/packages/standins/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform stand-in, as its callers meet it."""
+"""The platform stand-in through its HTTP interface."""
 
 import asyncio
 import base64
@@ -46,7 +46,7 @@
     }
 
 
-async def test_answers_are_of_the_published_shape(call):
+async def test_responses_have_the_published_format(call):
     await call("/v3/kv/put", {"key": encoded("a/1"), "value": encoded("x")})
     await call("/v3/kv/put", {"key": encoded("a/1"), "value": encoded("y")})
     await call("/v3/kv/put", {"key": encoded("a/2"), "value": encoded("z")})
@@ -99,7 +99,7 @@
     assert kind in answer["responses"][0]
 
 
-async def test_transaction_takes_effect_whole_or_not_at_all(call, store):
+async def test_transaction_is_atomic(call, store):
     put = {"key": encoded("k"), "value": encoded("x")}
     operations = [
         {"request_put": put},
@@ -113,11 +113,11 @@
     assert store.state.revision == 1
 
 
-async def test_lost_reply_leaves_the_write_in_force(call, store):
-    """A claim is written, but its caller sees only a closed connection.
+async def test_write_with_a_lost_response_takes_effect(call, store):
+    """The connection drops after a write took effect.
 
-    The write takes effect, then the connection drops; the same call again
-    finds the first one's value.
+    The client can't tell whether its claim was written; a repeated call must
+    find the first value.
     """
     await call("/control", {"lose_replies": 1})
 
@@ -130,7 +130,7 @@
     assert found["value"] == encoded("first")
 
 
-async def test_lease_lapses_by_the_clock_and_takes_its_keys(call, clock):
+async def test_expired_lease_deletes_its_keys(call, clock):
     lease = await call("/v3/lease/grant", {"TTL": "5", "ID": "0"})
     put = {"key": encoded("k"), "value": encoded("x"), "lease": lease["ID"]}
     await call("/v3/kv/put", put)
@@ -250,6 +250,6 @@
 @pytest.mark.parametrize(
     "body", [{"outage": "often"}, {"unheard": 1}, {"lose_replies": "1"}]
 )
-async def test_control_refuses_what_it_does_not_know(call, body):
+async def test_control_rejects_unknown_fields_and_values(call, body):
     with pytest.raises(ValueError, match="400"):
         await call("/control", body)
--- a/packages/standins/tests/test_reserved_ports.py
+++ b/packages/standins/tests/test_reserved_ports.py
@@ -1,4 +1,4 @@
-"""Reserved ports stay free for whom they were reserved."""
+"""Reserved ports remain available to their server."""
 
 import pathlib
 import socket
@@ -10,14 +10,15 @@
 HOST = "127.0.0.1"
 
 
-def test_port_is_given_to_nobody_who_asks_for_any():
-    """A server that asks for any port gets the one reserved for another.
+def test_port_is_outside_the_ephemeral_range():
+    """A server that binds to port 0 must not get a reserved port.
 
-    Both set the option to reuse addresses; the other then cannot listen.
+    Both sockets set `SO_REUSEADDR`, so the system could assign it, and the
+    server for which it was reserved could not listen.
     """
     path = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
-    first_given = int(path.read_text().split()[0])
-    assert reserved_ports.reserve(HOST) < first_given
+    first_ephemeral = int(path.read_text().split()[0])
+    assert reserved_ports.reserve(HOST) < first_ephemeral
 
 
 def test_two_reservations_differ_and_the_port_can_be_listened_on():
