--- a/packages/standins/src/lagoonrun_standins/bench_capacity.py
+++ b/packages/standins/src/lagoonrun_standins/bench_capacity.py
@@ -1,11 +1,13 @@
-"""`make bench-capacity`: the slopes that docs/CAPACITY.md is worked out from.
-
-Prints one JSON document. In this process, by processor time: the cost of a
-permit at its dispatcher by runners and by waiting requests, of a message on
-the wire, of a digest by entries, of a load report, of a configuration by
-upstreams. On real processes (`bench_path`, with its flags): a token event, a
-request and an open stream; `--open_streams=` leaves them out. `bench_membership`, `bench_configuration` and `bench_claims` give
-the slopes of heartbeats, changes and claims.
+"""`make bench-capacity`: unit costs for the calculations in docs/CAPACITY.md.
+
+Prints one JSON document. Measured in this process, in processor time: the cost
+of a permit at its dispatcher by number of runners and of waiting requests, of
+a message on the wire, of a digest by number of entries, of a load report, and
+of a configuration by number of upstreams. Measured on real processes
+(`bench_path`, with its flags): the cost of a token event, a request and an open
+stream; `--open_streams=` skips these. `bench_membership`,
+`bench_configuration` and `bench_claims` measure the unit costs of heartbeats,
+configuration changes and claims.
 """
 
 import asyncio
@@ -57,7 +59,7 @@
 
 
 def _microseconds(action: Callable[[], object], repeats: int) -> float:
-    """Return the processor time of one call of `action`."""
+    """Return the mean processor time of one call of `action`."""
     action()
     gc.collect()
     began = time.process_time()
@@ -67,37 +69,37 @@
 
 
 class _PermitBench:
-    """Permits of six classes and many organisations at one scheduler."""
+    """Sends permits of six classes and many organisations to one scheduler."""
 
     def __init__(self, *, runners: int, waiting: int) -> None:
-        self._random = random.Random(_SEED.value)
+        self._rng = random.Random(_SEED.value)
         self._clock = clocks.ManualClock()
         self._scheduler = schedulers.ShardScheduler(
             policy=_shard_policy(runners)
         )
         self._granted: list[policy_messages.Grant] = []
-        self._number = 0
-        self._room = runners * _SLOTS
+        self._last_number = 0
+        self._capacity = runners * _SLOTS
         self._waiting = waiting
 
     def run(self, permits: int) -> float:
-        """Return the microseconds of a request, its grant and its end."""
-        for _ in range(self._room + self._waiting):
-            self._ask()
+        """Return the microseconds for one permit request, grant and end."""
+        for _ in range(self._capacity + self._waiting):
+            self._request_permit()
         began = time.process_time()
         for _ in range(permits):
-            self._end_one()
-            self._ask()
+            self._end_random_permit()
+            self._request_permit()
         return round((time.process_time() - began) / permits * 1e6, 1)
 
-    def _ask(self) -> None:
-        self._number += 1
-        tier = self._random.randrange(_TIERS) + 1
-        house = self._random.randrange(_ORGANISATIONS)
-        self._handle(
+    def _request_permit(self) -> None:
+        self._last_number += 1
+        tier = self._rng.randrange(_TIERS) + 1
+        house = self._rng.randrange(_ORGANISATIONS)
+        self._apply_event(
             policy_messages.PermitRequested(
                 key=policy_messages.PermitKey(
-                    request_id=types.RequestId(f"{self._number:024x}"),
+                    request_id=types.RequestId(f"{self._last_number:024x}"),
                     attempt_id=types.AttemptId(1),
                 ),
                 ingress=_VM,
@@ -110,13 +112,13 @@
             )
         )
 
-    def _end_one(self) -> None:
-        index = self._random.randrange(len(self._granted))
+    def _end_random_permit(self) -> None:
+        index = self._rng.randrange(len(self._granted))
         grant = self._granted[index]
         self._granted[index] = self._granted[-1]
         self._granted.pop()
         self._clock.advance(0.01)
-        self._handle(
+        self._apply_event(
             policy_messages.PermitEnded(
                 key=grant.key,
                 upstream=grant.upstream,
@@ -128,7 +130,7 @@
             )
         )
 
-    def _handle(self, event: policy_messages.Event) -> None:
+    def _apply_event(self, event: policy_messages.Event) -> None:
         now = self._clock.monotonic()
         self._granted += [
             action
@@ -212,7 +214,7 @@
 
 
 def _wire_cost(message: messages.Message, repeats: int) -> dict[str, object]:
-    """Return what framing and reading one message costs, without sockets."""
+    """Return the cost of encoding, framing and decoding, without sockets."""
     writer = frames.FrameWriter(session_key=_KEY)
     body = codec.encode(message)
     return {
@@ -245,7 +247,7 @@
 
 
 def _load_report_cost() -> dict[str, object]:
-    """Return the bytes of a load report and what parsing it costs."""
+    """Return the size and the parsing cost of a load report."""
     report = load_report.LoadReport(clock=clocks.SystemClock())
     report.record(load_report.Load(running=7, models=("a", "b", "c")))
     text = report.text()
@@ -266,7 +268,7 @@
 
 
 async def _measure_report_reads() -> dict[str, object]:
-    """Return what reading and parsing one report of a real engine costs."""
+    """Return the cost of fetching and parsing one report of a real engine."""
     processes = fleet.Fleet()
     await processes.start()
     client = upstream_client.UpstreamClient(
@@ -341,7 +343,7 @@
 
 
 def _configuration_cost(upstreams: int) -> dict[str, object]:
-    """Return size, time and memory of a configuration with its shards."""
+    """Return size, decoding time and memory of a configuration."""
     encoded = snapshot.encode_snapshot(_declared(upstreams))
     tracemalloc.start()
     held = draft_module.configuration_of(
@@ -366,7 +368,7 @@
     }
 
 
-def _own_slopes() -> dict[str, object]:
+def _in_process_slopes() -> dict[str, object]:
     return {
         "permit": _permit_slopes(),
         "message": {
@@ -391,12 +393,12 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print all slopes as JSON."""
+    """Print all unit costs as JSON."""
     del arguments
     found = {
         "bench": "capacity",
         "seed": _SEED.value,
-        **_own_slopes(),
+        **_in_process_slopes(),
         "path": _path_slopes(
             [int(count) for count in flags.FLAGS.open_streams]
         ),
--- a/packages/standins/src/lagoonrun_standins/bench_claims.py
+++ b/packages/standins/src/lagoonrun_standins/bench_claims.py
@@ -1,9 +1,10 @@
 """Measure claims per second and store calls per claim of one entry VM.
 
 The store is a fake in this process that answers each call after a fixed
-delay; with `--gateway`, the platform stand-in in a process of its own, met by
-the client that the daemon uses. Arrivals come at an even rate whether or not earlier ones are done;
-each claims a key of its own and records its end. Run as
+delay; with `--gateway`, it is the platform stand-in in a separate process,
+called through the client that the daemon uses. The load is open-loop:
+arrivals come at a constant rate whether or not earlier ones have finished.
+Each arrival claims a key of its own and records its end. Run as
 `python -m lagoonrun_standins.bench_claims`.
 """
 
@@ -74,7 +75,7 @@
         comparisons: Sequence[store_module.Comparison],
         puts: Sequence[store_module.Put] = (),
     ) -> store_module.TransactionResult:
-        """Compare and write; see `KeyValueStore`."""
+        """Write if all comparisons hold; see `KeyValueStore`."""
         self.calls_by_kind["transact"] += 1
         await asyncio.sleep(self._delay_seconds)
         revision = store_module.StoreRevision(next(self._revisions))
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Trial:
-    """Counts of one trial."""
+    """Claim latencies and result counts of one trial."""
 
     waits: list[float] = dataclasses.field(default_factory=list)
     counts: collections.Counter[str] = dataclasses.field(
