--- a/packages/standins/src/lagoonrun_standins/bench_configuration.py
+++ b/packages/standins/src/lagoonrun_standins/bench_configuration.py
@@ -1,8 +1,8 @@
-"""Measure how long an accepted change takes to be in force everywhere.
+"""Measure how long an accepted change takes to be active on all entry VMs.
 
-Starts a platform stand-in and `lagoonrund` processes over several failure
-domains, accepts changes of one profile, and asks every admin address until
-it shows the revision. Run as
+Starts a platform stand-in and `lagoonrund` processes in several failure
+domains, applies changes to one profile, and polls every admin address until
+it reports the new revision. Run as
 `python -m lagoonrun_standins.bench_configuration --counts=2,4,8`.
 """
 
@@ -38,7 +38,7 @@
 _PAUSE_SECONDS = 0.5
 _RECOVERY_SECONDS = 8.0
 _POLL_SECONDS = 0.01
-_LONGEST_SECONDS = 30.0
+_MAX_WAIT_SECONDS = 30.0
 
 _PROFILE = types.ProfileName("lookup")
 _DECLARATIONS = """
@@ -51,15 +51,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rollout:
-    """One change, in seconds from its acceptance.
+    """Latencies of one change.
 
     Parameters
     ----------
     apply_seconds
-        Time until the operator was told that it is accepted.
+        Time until the operator received the acceptance.
     first_seconds, last_seconds
-        Until the first and the last entry VM had it in force; 0 when it had
-        it before the operator knew.
+        Time from the acceptance until the change was active on the first and
+        on the last entry VM; 0 if it was active before the operator received
+        the acceptance.
     """
 
     apply_seconds: float
@@ -68,16 +69,16 @@
 
 
 class RolloutBench:
-    """Changes one profile of a running deployment.
+    """Applies changes to one profile of a running deployment.
 
     Parameters
     ----------
     deployed
         The deployment.
     entry_vms
-        Entry VMs that are asked.
+        Entry VMs whose revision is polled.
     store
-        Accepts the changes.
+        Store that the changes are written to.
     """
 
     def __init__(
@@ -92,10 +93,10 @@
         self._store = store
 
     async def change_frozen(self, number: int) -> Rollout:
-        """Accept one change while all watchers are frozen.
+        """Apply one change while all watchers are frozen.
 
-        The figures are of the other entry VMs; the watchers are resumed and
-        waited for afterwards.
+        The latencies cover the other entry VMs only. Afterwards the watchers
+        are resumed, and the call returns once they have the change too.
         """
         watchers = self._watchers()
         rest = [one for one in self._entry_vms if one.id not in watchers]
@@ -130,7 +131,7 @@
         *,
         asked: Sequence[deployment.EntryVm] | None = None,
     ) -> Rollout:
-        """Accept one change and wait until it is in force everywhere.
+        """Apply one change and wait until it is active on all entry VMs.
 
         Parameters
         ----------
@@ -161,7 +162,7 @@
     async def _wait(
         self, entry_vm: types.EntryVmId, revision: types.Revision
     ) -> float:
-        async with asyncio.timeout(_LONGEST_SECONDS):
+        async with asyncio.timeout(_MAX_WAIT_SECONDS):
             while True:
                 answer = await self._deployed.ask_admin(entry_vm, "/status")
                 if answer.json()["revision"] >= revision:
@@ -187,7 +188,7 @@
 
 
 async def measure(*, count: int, domains: int, changes: int) -> dict:
-    """Return the figures of `count` entry VMs as JSON values."""
+    """Return the measurements for `count` entry VMs as JSON values."""
     entry_vms = [
         deployment.EntryVm(
             id=types.EntryVmId(f"entry-{index}"),
@@ -265,7 +266,7 @@
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Measure each number of entry VMs and print a line for each."""
+    """Measure each fleet size and print one line for each."""
     del arguments
     for count in _COUNTS.value:
         line = asyncio.run(
--- a/packages/standins/src/lagoonrun_standins/bench_inner_protocol.py
+++ b/packages/standins/src/lagoonrun_standins/bench_inner_protocol.py
@@ -1,8 +1,8 @@
-"""Measure what a message between two entry VMs costs.
+"""Measure the cost of a message between two entry VMs.
 
-Times each step for a permit request (codec, frame, datagram) and then two
-hubs of this process that send over loopback, in bursts and one at a time. Run
-as `python -m lagoonrun_standins.bench_inner_protocol`.
+Times each step for a permit request (codec, frame, datagram), then two hubs
+in this process that exchange messages over loopback, in bursts and one at a
+time. Run as `python -m lagoonrun_standins.bench_inner_protocol`.
 """
 
 import asyncio
@@ -36,19 +36,19 @@
 
 
 class _CountingHandler:
-    """Count messages and tell when all of a burst are there."""
+    """Counts messages and signals when a whole burst has arrived."""
 
     def __init__(self) -> None:
         self._missing = 0
         self._complete = asyncio.Event()
 
     def expect(self, count: int) -> None:
-        """Begin a burst."""
+        """Start counting a burst of `count` messages."""
         self._missing = count
         self._complete.clear()
 
     async def wait(self) -> None:
-        """Wait until the burst is there."""
+        """Wait until the whole burst has arrived."""
         async with asyncio.timeout(_WAIT_SECONDS):
             await self._complete.wait()
 
@@ -62,7 +62,7 @@
             self._complete.set()
 
     def on_link_lost(self, peer: types.EntryVmId) -> None:
-        """Do nothing; the wait for the burst times out."""
+        """Ignore the loss; `wait` then times out."""
 
 
 class _AddressBook:
@@ -72,7 +72,7 @@
         self.addresses_by_id: dict[types.EntryVmId, hub.PeerAddress] = {}
 
     def address_of(self, entry_vm: types.EntryVmId) -> hub.PeerAddress | None:
-        """Return the address of a hub."""
+        """Return the address of a hub, or None if unknown."""
         return self.addresses_by_id.get(entry_vm)
 
 
@@ -162,7 +162,9 @@
     handler.expect(count)
     for _ in range(count):
         if not sender.send(target, _REQUEST):
-            raise RuntimeError(f"{target} took no message of {count}")
+            raise RuntimeError(
+                f"{target} did not accept a message of a burst of {count}"
+            )
     await handler.wait()
 
 
