--- a/packages/standins/src/lagoonrun_standins/bench_membership.py
+++ b/packages/standins/src/lagoonrun_standins/bench_membership.py
@@ -1,10 +1,10 @@
-"""Measure what the membership costs one entry VM at several fleet sizes.
+"""Measure the cost of membership for one entry VM at several fleet sizes.
 
 All members of a fleet run in this process over an in-memory network with a
-clock moved by hand. Every datagram is encoded, sealed, opened and decoded as
-on a socket; bytes count 28 more for its IP and UDP headers. Processor time is
-that of all members' calls, shared out evenly; system calls are not in it. Run
-as `python -m lagoonrun_standins.bench_membership`.
+simulated clock. Every datagram is encoded, sealed, opened and decoded as on a
+socket; its size includes 28 bytes of IP and UDP headers. Processor time is
+the mean over all members and excludes system calls. Run as
+`python -m lagoonrun_standins.bench_membership`.
 """
 
 import collections
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Traffic:
-    """Bytes and datagrams that one member sent and received in a phase."""
+    """Traffic of one member in one phase."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -66,7 +66,7 @@
 
 
 class _Member:
-    """One entry VM: the protocol with its sealer and opener."""
+    """One entry VM: its protocol, datagram sealer and datagram opener."""
 
     def __init__(
         self, *, own: messages.MemberUpdate, protocol: gossip.GossipProtocol
@@ -80,20 +80,20 @@
 
 
 class Fleet:
-    """All members and the datagrams between them.
+    """Simulates all members and the datagrams between them.
 
     Parameters
     ----------
     size
         Number of members.
     domains
-        Number of failure domains that they are spread over.
+        Number of failure domains; members are spread evenly over them.
     seed
-        Of all random choices.
+        Seed of the random number generator.
     timing
-        Times and limits of all members.
+        Protocol timing of all members.
     seeds
-        Number of members that everyone can join through.
+        Number of members that are seeds for all members to join through.
     """
 
     def __init__(
@@ -106,11 +106,11 @@
         seeds: int = _SEEDS_OF_A_MEMBER,
     ) -> None:
         self.clock = clocks.ManualClock()
-        self._random = random.Random(seed)
-        self._order = itertools.count()
+        self._rng = random.Random(seed)
+        self._sequence = itertools.count()
         self._in_flight: list[tuple[float, int, str, str, bytes]] = []
-        self._due: list[tuple[float, int, str]] = []
-        self._due_at_by_id: dict[str, float] = {}
+        self._wakeups: list[tuple[float, int, str]] = []
+        self._wakeup_at_by_id: dict[str, float] = {}
         self.processor_seconds = 0.0
         names = [f"entry-vm-{n:03d}" for n in range(size)]
         self._seeds = names[:seeds]
@@ -120,12 +120,12 @@
             self.start(name, f"domain-{n % domains:02d}")
 
     def start(self, name: str, domain: str) -> None:
-        """Start a member that knows the seeds."""
+        """Start a member that knows only the seeds."""
         self.members_by_id[name] = self._new_member(name, domain)
         self._schedule(name)
 
     def introduce_all(self) -> None:
-        """Have everyone know everyone, as long after the start."""
+        """Make all members known to each other, as in a long-running fleet."""
         updates = [m.protocol.members.own for m in self.members_by_id.values()]
         for member in self.members_by_id.values():
             for update in updates:
@@ -150,23 +150,23 @@
             own=own,
             seeds=seeds,
             timing=self._timing,
-            rng=random.Random(self._random.random()),
-            now=self.now + self._random.random(),
+            rng=random.Random(self._rng.random()),
+            now=self.now + self._rng.random(),
         )
         return _Member(own=own, protocol=protocol)
 
     @property
     def now(self) -> float:
-        """The clock's reading."""
+        """Simulated monotonic time."""
         return self.clock.monotonic()
 
     def remove(self, names: Iterable[str]) -> None:
-        """Take members away without a word."""
+        """Remove members without any announcement, as in a crash."""
         for name in names:
             del self.members_by_id[name]
 
     def reset_counts(self) -> None:
-        """Begin to count anew."""
+        """Reset the counters of traffic and processor time."""
         self.processor_seconds = 0.0
         for member in self.members_by_id.values():
             member.traffic = _Traffic()
@@ -176,7 +176,7 @@
         name: str,
         call: Callable[[gossip.GossipProtocol], list[outbox.OutgoingDatagram]],
     ) -> None:
-        """Have a member do something and send what comes of it."""
+        """Run `call` on a member's protocol; send the resulting datagrams."""
         member = self.members_by_id[name]
         started = time.process_time()
         sealed = [
@@ -188,34 +188,34 @@
             self._send(name, receiver, data)
 
     def run(self, seconds: float, *, until: Callable[[], bool] | None) -> float:
-        """Let time pass; return the seconds until `until` held."""
+        """Simulate until `until` holds or time is up; return the seconds."""
         started = self.now
         end = started + seconds
-        next_look = started
+        next_check_at = started
         while self.now < end:
-            if until is not None and self.now >= next_look:
+            if until is not None and self.now >= next_check_at:
                 if until():
                     break
-                next_look = self.now + 0.1
+                next_check_at = self.now + 0.1
             self._step(end)
         return self.now - started
 
     def _step(self, end: float) -> None:
         next_at = min(
             self._in_flight[0][0] if self._in_flight else end,
-            self._due[0][0] if self._due else end,
+            self._wakeups[0][0] if self._wakeups else end,
             end,
         )
         self.clock.advance(max(0.0, next_at - self.now))
         while self._in_flight and self._in_flight[0][0] <= self.now:
             _, _, sender, receiver, data = heapq.heappop(self._in_flight)
             self._deliver(sender, receiver, data)
-        while self._due and self._due[0][0] <= self.now:
-            at, _, name = heapq.heappop(self._due)
+        while self._wakeups and self._wakeups[0][0] <= self.now:
+            at, _, name = heapq.heappop(self._wakeups)
             self._tick(name, at)
 
     def _tick(self, name: str, at: float) -> None:
-        if self._due_at_by_id.get(name) != at:
+        if self._wakeup_at_by_id.get(name) != at:
             return
         member = self.members_by_id.get(name)
         if member is None:
@@ -226,8 +226,8 @@
 
     def _schedule(self, name: str) -> None:
         at = self.members_by_id[name].protocol.next_wakeup()
-        self._due_at_by_id[name] = at
-        heapq.heappush(self._due, (at, next(self._order), name))
+        self._wakeup_at_by_id[name] = at
+        heapq.heappush(self._wakeups, (at, next(self._sequence), name))
 
     def _send(self, sender: str, receiver: str, data: bytes) -> None:
         size = len(data) + _HEADER_BYTES
@@ -236,7 +236,7 @@
         traffic.sent_datagrams += 1
         traffic.bytes_by_second[int(self.now)] += size
         at = self.now + _LATENCY_SECONDS
-        item = (at, next(self._order), sender, receiver, data)
+        item = (at, next(self._sequence), sender, receiver, data)
         heapq.heappush(self._in_flight, item)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
@@ -261,12 +261,12 @@
             )
 
         self.act(receiver, receive)
-        if member.protocol.next_wakeup() < self._due_at_by_id[receiver]:
+        if member.protocol.next_wakeup() < self._wakeup_at_by_id[receiver]:
             self._schedule(receiver)
 
 
 class _Bench:
-    """The phases of one fleet, each printed as a line of JSON."""
+    """Runs the phases of one fleet; prints one JSON line for each."""
 
     def __init__(self, *, size: int) -> None:
         per_domain = _DOMAIN_SIZE.value
@@ -337,7 +337,7 @@
         print(json.dumps(result), flush=True)
 
     def _summary_freshness(self) -> dict[str, float]:
-        """Return how many remote summaries a member knows, and their age."""
+        """Return the remote summaries per member and their mean age."""
         now = self._fleet.now
         own_and_others = [p.shards.by_shard(now) for p in self._protocols()]
         own = [len(p.shards.own(now)) for p in self._protocols()]
@@ -364,7 +364,7 @@
         return all(len(p.members) == self._size for p in self._protocols())
 
     def _announce_shards(self) -> bool:
-        """Give some members shards, with a new summary each second."""
+        """Have one member per domain announce shard summaries every second."""
         if self._fleet.now < self._next_summaries_at:
             return False
         self._next_summaries_at = self._fleet.now + 1.0
@@ -398,7 +398,7 @@
         )
 
     def _all_have_revision(self) -> bool:
-        """Have each member adopt what it heard of, as its owner would."""
+        """Adopt received revisions on each member, as its daemon would."""
         for name, member in self._fleet.members_by_id.items():
             if member.protocol.pop_configurations() and (
                 member.protocol.members.own.revision < 2
@@ -446,7 +446,7 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Measure each size in turn."""
+    """Measure each fleet size in turn."""
     del argv
     for size in _SIZES.value:
         _Bench(size=int(size)).run()
--- a/packages/standins/src/lagoonrun_standins/bench_regions.py
+++ b/packages/standins/src/lagoonrun_standins/bench_regions.py
@@ -1,9 +1,10 @@
-"""Measure what a lost region costs the membership, and how it heals.
+"""Measure the membership protocol while a region is partitioned and heals.
 
-The fleet of `bench_membership` in ten domains of four regions; one region is
-cut off from the others and found again, without any seed. With a short time to forget the dead,
-both sides have forgotten each other when the cut ends, as after an hour. Run
-as `python -m lagoonrun_standins.bench_regions`.
+Uses the fleet of `bench_membership` in ten domains of four regions. One region
+is partitioned from the others and later rejoins them without any seed member.
+With `--forgets`, dead members are forgotten early, so that both sides have
+forgotten each other when the partition ends, as after an hour. Run as
+`python -m lagoonrun_standins.bench_regions`.
 """
 
 import json
@@ -27,12 +28,12 @@
 _DOMAINS = sum(_SIZES_OF_REGIONS)
 _CALM_SECONDS = 20.0
 _DETECTION_SECONDS = 30.0
-_LONGEST_HEAL_SECONDS = 60.0
+_MAX_HEAL_SECONDS = 60.0
 _FORGET_SECONDS = 5.0
 
 
 class _DividedFleet(bench_membership.Fleet):
-    """A fleet that loses what crosses a cut."""
+    """A fleet that drops datagrams between the two sides of a partition."""
 
     cut_off: frozenset[str] = frozenset()
 
@@ -42,7 +43,7 @@
 
 
 class _Bench:
-    """The phases of one cut, each printed as a line of JSON."""
+    """Runs the phases of one partition; prints one JSON line for each."""
 
     def __init__(self) -> None:
         self._fleet = _DividedFleet(
@@ -69,19 +70,19 @@
         self._phase("calm", _CALM_SECONDS, until=None)
         self._fleet.cut_off = self._lost
         self._phase("cut: detection", _DETECTION_SECONDS, until=None)
-        rest = _CUT_SECONDS.value - _DETECTION_SECONDS
-        self._phase("cut: settled", rest, until=None)
+        remaining = _CUT_SECONDS.value - _DETECTION_SECONDS
+        self._phase("cut: settled", remaining, until=None)
         self._fleet.cut_off = frozenset()
         self._phase(
-            "domains found", _LONGEST_HEAL_SECONDS, until=self._domains_known
+            "domains found", _MAX_HEAL_SECONDS, until=self._domains_known
         )
-        self._phase("all found", _LONGEST_HEAL_SECONDS, until=self._all_known)
+        self._phase("all found", _MAX_HEAL_SECONDS, until=self._all_known)
         self._phase("after", _CALM_SECONDS, until=None)
 
     def _domains_known(self) -> bool:
-        """Return whether everyone knows a living member of each domain.
+        """Return whether every member knows a live member of each domain.
 
-        From then on each shard has a dispatcher that can be asked.
+        From then on each shard has a dispatcher that can be reached.
         """
         return all(
             member.protocol.members.eligible_in(domain)
@@ -146,7 +147,7 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Measure one cut."""
+    """Measure one partition."""
     del argv
     _Bench().run()
 
