--- a/packages/standins/src/lagoonrun_standins/process_usage.py
+++ b/packages/standins/src/lagoonrun_standins/process_usage.py
@@ -6,8 +6,8 @@
 
 _TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# Fields of /proc/PID/stat counted from the one after the command's name,
-# which may hold spaces.
+# Indexes of fields of /proc/PID/stat, counted from the field after the command
+# name, since the name may contain spaces.
 _USER_TICKS = 11
 _SYSTEM_TICKS = 12
 _RESIDENT_PAGES = 21
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Usage:
-    """What a process has used up to one moment."""
+    """Processor time since the start of a process and its current memory."""
 
     processor_seconds: float
     resident_bytes: int
--- a/packages/standins/src/lagoonrun_standins/run_counts.py
+++ b/packages/standins/src/lagoonrun_standins/run_counts.py
@@ -1,4 +1,4 @@
-"""Counts which requests an upstream ran, for oracles and measurements."""
+"""Counts the requests that an upstream ran, for test oracles and benches."""
 
 import collections
 from collections.abc import Mapping
@@ -8,12 +8,12 @@
 
 
 class RunCounts:
-    """Runs by request id and by idempotency key, and those while leaving.
+    """Counts runs by request id and idempotency key, and runs while leaving.
 
     Parameters
     ----------
     clock
-        Dates the runs while leaving.
+        Measures how long after the start of leaving a run began.
     """
 
     def __init__(self, *, clock: clock_lib.Clock) -> None:
@@ -27,14 +27,14 @@
         self._leaving_since: float | None = None
 
     def set_leaving(self, leaving: bool) -> None:
-        """Take note that the upstream leaves, or no longer does."""
+        """Record whether the upstream is leaving."""
         if not leaving:
             self._leaving_since = None
         elif self._leaving_since is None:
             self._leaving_since = self._clock.monotonic()
 
     def add(self, headers: Mapping[str, str]) -> None:
-        """Count one run by the headers of its request."""
+        """Count one run, identified by its request headers."""
         self.by_request_id[headers.get("x-request-id", "")] += 1
         key = headers.get("idempotency-key")
         if key:
