--- a/packages/standins/src/lagoonrun_standins/bench_path.py
+++ b/packages/standins/src/lagoonrun_standins/bench_path.py
@@ -1,14 +1,14 @@
-"""`make bench-path`: what a request and a token event cost on their way.
+"""`make bench-path`: the cost of relaying a request and a token event.
 
-Starts a platform, sources of events and two entry VMs of one domain for each
-number of open streams, and prints one JSON document:
+For each number of open streams, starts a platform, event sources and two entry
+VMs of one domain, and prints one JSON document with:
 
-- added latency of a short streamed answer over a direct call to the same
-  source, while the streams are open, by the entry VM that dispatches the
-  shard and by the one that asks it;
-- age of events on arrival, direct and relayed;
-- token events a second and core, paced and as fast as relayed;
-- requests a second and core; resident memory per open stream.
+- the latency that is added to a short streamed answer, compared with a direct
+  call to the same source, while the streams are open; measured at the entry VM
+  that dispatches the shard and at the one that sends it permit requests;
+- the age of events on arrival, direct and relayed;
+- token events per second and core, paced and at full speed;
+- requests per second and core; resident memory per open stream.
 """
 
 import asyncio
@@ -51,12 +51,12 @@
 )
 _ORGANISATION = types.OrganisationId("maison-carthage")
 _SOURCES = 4
-_SHORTEST_INTERVAL_SECONDS = 0.03
+_MIN_INTERVAL_SECONDS = 0.03
 _PACED_SECONDS = 3.0
 _CLOSED_LOOP_CALLERS = 16
 _CLOSED_LOOP_SECONDS = 2.0
 _WARM_UP_REQUESTS = 50
-_OPEN_AT_ONCE = 50
+_CONNECT_BATCH_SIZE = 50
 _TIMEOUT_SECONDS = 120.0
 
 _DECLARATIONS = """
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Latency:
-    """Quantiles in milliseconds."""
+    """Latency quantiles in milliseconds."""
 
     p50_ms: float
     p95_ms: float
@@ -117,25 +117,25 @@
         self._entry_vm = running.process("entry-1")
 
     async def run(self) -> dict[str, object]:
-        """Return everything that is measured."""
+        """Return all measurements as JSON values."""
         for name in ("entry-1", "entry-2"):
             await self._probe_many([name], _WARM_UP_REQUESTS)
         empty = self._usage().resident_bytes
         opened = await self._open("steady")
         try:
-            found = await self._with_open_streams(opened, empty)
+            found = await self._measure_open_streams(opened, empty)
         finally:
             for caller in opened:
                 caller.close()
         await asyncio.sleep(0.5)
-        found["flood"] = await self._flood()
-        found["closed_loop"] = await self._closed_loop()
+        found["flood"] = await self._measure_flood()
+        found["closed_loop"] = await self._measure_closed_loop()
         return found
 
-    async def _with_open_streams(
+    async def _measure_open_streams(
         self, opened: Sequence[path_caller.PathCaller], empty: int
     ) -> dict[str, object]:
-        paced = await self._paced(opened)
+        paced = await self._measure_paced(opened)
         held = self._usage().resident_bytes - empty
         timings = await self._probe_many(
             ["source-0", "entry-1", "entry-2"], _PROBES.value
@@ -147,10 +147,10 @@
             "latency": _compare(timings),
         }
 
-    async def _paced(
+    async def _measure_paced(
         self, opened: Sequence[path_caller.PathCaller]
     ) -> dict[str, object]:
-        direct = await self._connect("source-0", keep_delays=True)
+        direct = await self._connect("source-0", record_delays=True)
         direct.begin("steady")
         await direct.opened
         for caller in opened:
@@ -167,12 +167,12 @@
         return {
             "events_per_second": round(events / elapsed),
             "core_share": round(used / elapsed, 4),
-            "events_per_second_and_core": _per(events, used),
+            "events_per_second_and_core": _rate_per_core(events, used),
             "event_age_relayed": dataclasses.asdict(Latency.of(delays)),
             "event_age_direct": dataclasses.asdict(Latency.of(direct_delays)),
         }
 
-    async def _flood(self) -> dict[str, object]:
+    async def _measure_flood(self) -> dict[str, object]:
         callers = await self._open("flood")
         before = self._usage().processor_seconds
         began = time.monotonic()
@@ -191,10 +191,10 @@
         return {
             "events": events,
             "events_per_second": round(events / elapsed),
-            "events_per_second_and_core": _per(events, used),
+            "events_per_second_and_core": _rate_per_core(events, used),
         }
 
-    async def _closed_loop(self) -> dict[str, object]:
+    async def _measure_closed_loop(self) -> dict[str, object]:
         other = self._running.process("entry-2").pid
         other_before = process_usage.of_process(other).processor_seconds
         before = self._usage().processor_seconds
@@ -208,7 +208,7 @@
         other_used = process_usage.of_process(other).processor_seconds
         return {
             "requests_per_second": round(sum(counts) / elapsed),
-            "requests_per_second_and_core": _per(sum(counts), used),
+            "requests_per_second_and_core": _rate_per_core(sum(counts), used),
             "other_entry_vm_core_share": round(
                 (other_used - other_before) / elapsed, 3
             ),
@@ -226,7 +226,7 @@
     async def _probe_many(
         self, names: Sequence[str], count: int
     ) -> dict[str, list[path_caller.Timing]]:
-        """Probe each in turn, so that all meet the same moments."""
+        """Send probes round-robin, so that all see the same conditions."""
         callers = {name: await self._connect(name) for name in names}
         timings: dict[str, list[path_caller.Timing]] = {n: [] for n in names}
         for _ in range(count):
@@ -240,10 +240,10 @@
     async def _open(self, model: str) -> list[path_caller.PathCaller]:
         callers: list[path_caller.PathCaller] = []
         while len(callers) < self._streams:
-            count = min(_OPEN_AT_ONCE, self._streams - len(callers))
+            count = min(_CONNECT_BATCH_SIZE, self._streams - len(callers))
             batch = await asyncio.gather(
                 *(
-                    self._connect("entry-1", keep_delays=True)
+                    self._connect("entry-1", record_delays=True)
                     for _ in range(count)
                 )
             )
@@ -254,13 +254,13 @@
         return callers
 
     async def _connect(
-        self, name: str, *, keep_delays: bool = False
+        self, name: str, *, record_delays: bool = False
     ) -> path_caller.PathCaller:
         process = self._running.process(name)
         return await path_caller.connect(
             _caller_address(process),
             key=deployment.organisation_key(_ORGANISATION),
-            keep_delays=keep_delays,
+            record_delays=record_delays,
         )
 
     def _usage(self) -> process_usage.Usage:
@@ -294,8 +294,8 @@
     return compared
 
 
-def _per(count: int, processor_seconds: float) -> int | None:
-    """Return `count` per second of processor time; None if none was seen."""
+def _rate_per_core(count: int, processor_seconds: float) -> int | None:
+    """Return `count` per second of processor time; None if none was used."""
     return round(count / processor_seconds) if processor_seconds else None
 
 
@@ -312,8 +312,8 @@
 
 
 async def measure(streams: int) -> dict[str, object]:
-    """Start a deployment, measure it with that many streams, and end it."""
-    interval = max(_SHORTEST_INTERVAL_SECONDS, streams / _PACED_RATE.value)
+    """Start a deployment, measure it with `streams` streams, and stop it."""
+    interval = max(_MIN_INTERVAL_SECONDS, streams / _PACED_RATE.value)
     flood_events = max(1, _FLOOD_EVENTS.value // streams)
     processes = fleet.Fleet()
     await processes.start()
@@ -333,7 +333,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print the measurements of all numbers of streams as JSON."""
+    """Print the measurements for all stream counts as JSON."""
     del arguments
     found = [asyncio.run(measure(int(streams))) for streams in _STREAMS.value]
     json.dump({"bench": "path", "runs": found}, sys.stdout, indent=2)
--- a/packages/standins/src/lagoonrun_standins/path_source.py
+++ b/packages/standins/src/lagoonrun_standins/path_source.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model engine that costs next to nothing, for `bench_path`.
+"""Stand-in for a model engine with minimal processor cost, for `bench_path`.
 
-The `model` of a request says what is answered: `probe` one event and the
-end; `steady` an event in every interval until the caller leaves; `flood`
-many events as fast as they are taken, once `GET /flood` was asked.
+The `model` of a request selects the answer: `probe` sends one event and ends;
+`steady` sends an event per interval until the caller disconnects; `flood`
+sends many events as fast as the caller reads them, starting on `GET /flood`.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from lagoonrun_standins import command_line
 
 AT_MARK = b'"at":'
-"""Stands before the time of an event, a reading of the monotonic clock."""
+"""Precedes the time of an event, a reading of the monotonic clock."""
 
 EVENT_MARK = b"data: {"
 FLOOD_PATH = "/flood"
@@ -35,19 +35,19 @@
 _HELP = "See lagoonrun_standins.path_source."
 
 
-class _Answerer(asyncio.Protocol):
-    """One connection; requests arrive whole in a few pieces."""
+class _Connection(asyncio.Protocol):
+    """Answers one connection; a request may arrive in several pieces."""
 
     def __init__(
         self,
         *,
         interval_seconds: float,
         flood_events: int,
-        may_flood: asyncio.Event,
+        flood_started: asyncio.Event,
     ) -> None:
         self._interval_seconds = interval_seconds
         self._flood_events = flood_events
-        self._may_flood = may_flood
+        self._flood_started = flood_started
         self._received = b""
         self._task: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
@@ -77,7 +77,7 @@
         if not head.startswith(b"POST"):
             floods = head.startswith(b"GET " + FLOOD_PATH.encode())
             if floods:
-                self._may_flood.set()
+                self._flood_started.set()
             self._transport.write(_EMPTY % (200 if floods else 404, request_id))
             return
         self._transport.write(_HEAD % request_id + _chunk())
@@ -97,24 +97,24 @@
             self._transport.write(_chunk())
 
     async def _flood(self) -> None:
-        await self._may_flood.wait()
+        await self._flood_started.wait()
         for _ in range(self._flood_events):
             self._transport.write(_chunk())
             await self._writable.wait()
-            # Others' turn, so that no stream is sent in one piece.
+            # Yields to the other streams, so that all are interleaved.
             await asyncio.sleep(0)
         self._transport.write(_LAST_CHUNK)
 
 
 class PathSource:
-    """Listens and answers.
+    """Listens and answers requests.
 
     Parameters
     ----------
     interval_seconds
         Time between the events of a steady stream.
     flood_events
-        Number of events of a flood, besides the first.
+        Number of events of a flood after the first one.
     """
 
     def __init__(
@@ -129,23 +129,23 @@
         self._port = port
         self._interval_seconds = interval_seconds
         self._flood_events = flood_events
-        self._may_flood = asyncio.Event()
+        self._flood_started = asyncio.Event()
         self._server: asyncio.Server | None = None
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that it listens on."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Answerer(
+            lambda: _Connection(
                 interval_seconds=self._interval_seconds,
                 flood_events=self._flood_events,
-                may_flood=self._may_flood,
+                flood_started=self._flood_started,
             ),
             self.host,
             self._port,
--- a/packages/standins/tests/test_path_source.py
+++ b/packages/standins/tests/test_path_source.py
@@ -1,4 +1,4 @@
-"""Tests of what `bench_path` measures with."""
+"""Tests of the source, caller and process usage of `bench_path`."""
 
 import asyncio
 import os
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def source():
-    """Serve a source whose steady streams go on at once."""
+    """Start a source whose steady streams have no interval."""
     started = path_source.PathSource(
         host="127.0.0.1",
         port=0,
@@ -33,15 +33,15 @@
 
 @pytest.fixture
 async def caller(source):
-    """Connect a caller with the source."""
+    """Connect a caller to the source."""
     address = settings.Address(host=source.host, port=source.port)
-    connected = await path_caller.connect(address, key="k", keep_delays=True)
+    connected = await path_caller.connect(address, key="k", record_delays=True)
     yield connected
     connected.close()
 
 
 async def test_probe_may_be_repeated_on_one_connection(caller):
-    """Latencies are taken on a connection that is kept."""
+    """Latencies are measured on a persistent connection."""
     async with asyncio.timeout(_TIMEOUT_SECONDS):
         for _ in range(3):
             timing = await caller.request("probe")
@@ -50,7 +50,7 @@
 
 
 async def test_flood_waits_until_it_is_asked_for(source, caller):
-    """Every event of a flood is counted, and none before it began."""
+    """A flood does not end before it is started; each event is counted."""
     async with asyncio.timeout(_TIMEOUT_SECONDS):
         caller.begin("flood")
         await caller.opened
@@ -60,13 +60,13 @@
         )
         await caller.ended
     assert caller.events == _FLOOD_EVENTS + 1
-    # One clock serves both ends, so that no event is younger than nothing.
+    # Both ends read the same clock, so that no event has a negative age.
     assert caller.delays_seconds
     assert all(delay >= 0 for delay in caller.delays_seconds)
 
 
 def test_usage_of_this_process_grows():
-    """Processor time is summed over the process's life; memory is held."""
+    """Processor time never decreases; resident memory is above zero."""
     before = process_usage.of_process(os.getpid())
     while process_usage.of_process(os.getpid()) == before:
         bytearray(100_000)
