--- a/packages/standins/src/lagoonrun_standins/bench_policy.py
+++ b/packages/standins/src/lagoonrun_standins/bench_policy.py
@@ -1,15 +1,15 @@
-"""`make bench-policy`: what the order of service gives under load and faults.
-
-For each user's size of today: real entry VMs, engine stand-ins and an
-open-loop load with seeded arrivals, first with the naive policy, then with
-the dispatcher, the same arrivals and the same faults. Prints one JSON
-document with the figures of both and their ratios. `--steps` switches single
-parts of the order of service as well, each alone.
-
-Faults, in seconds from the first arrival: load reports lag from the start; a
-runner is a straggler from 3 to 12; the bursts last from 4 to 10; a runner's
-report is missing from 5 to 9; a dispatcher is frozen at 6.5 for 1.5; a runner
-crashes at 8.
+"""`make bench-policy`: compare scheduling policies under load and faults.
+
+For each user's current deployment size, runs real entry VMs, engine stand-ins
+and an open-loop load with seeded arrivals, first with the naive policy, then
+with the dispatcher, with the same arrivals and the same faults. Prints one JSON
+document with the results of both and their ratios. `--steps` also runs the
+dispatcher with each part of the scheduling policy switched separately.
+
+Faults, in seconds from the start of the arrivals: load reports lag from the
+start; a runner is a straggler from 3 to 12; the bursts last from 4 to 10; a
+runner's report is missing from 5 to 9; a dispatcher is frozen at 6.5 for 1.5
+seconds; a runner crashes at 8.
 """
 
 import asyncio
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Fault:
-    """What happens to one runner, or to an entry VM, at a time."""
+    """One fault injected into a runner or an entry VM."""
 
     at_seconds: float
     target: str
@@ -89,12 +89,12 @@
 
 
 def experiment_of(policy: str) -> settings.Experiment:
-    """Return the experiment that a name of `--policies` means.
+    """Return the experiment for a name of `--policies`.
 
     Raises
     ------
     ValueError
-        If it means none.
+        If the policy before `-` or `+` is unknown.
     """
     base, minus, off = policy.partition("-")
     if not minus:
@@ -109,7 +109,7 @@
 
 
 class _PolicyRun:
-    """One user's deployment under one policy."""
+    """Runs one user's deployment under one policy."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
         )
 
     async def run(self) -> policy_figures.Figures:
-        """Start everything, send the load, and return the figures."""
+        """Start all processes, send the load and return the figures."""
         await self._processes.start()
         try:
             await self._running.start()
@@ -155,7 +155,7 @@
             for vm in self._user.entry_vms
         ]
         start_at = time.monotonic() + _START_DELAY_SECONDS
-        faults = asyncio.create_task(self._cause_faults(start_at))
+        faults = asyncio.create_task(self._inject_faults(start_at))
         results = await load_workers.run(
             self._arrivals,
             addresses=addresses,
@@ -208,7 +208,7 @@
         ]
 
     async def _runs_by_key(self) -> collections.Counter[str]:
-        """Return how often all runners together ran each idempotency key."""
+        """Return the runs of each idempotency key, summed over all runners."""
         found: collections.Counter[str] = collections.Counter()
         for runner in self._running.declared.upstreams_by_id.values():
             runs = await http_client.fetch_json(
@@ -225,15 +225,15 @@
             for vm in self._user.entry_vms
         )
 
-    async def _cause_faults(self, start_at: float) -> None:
+    async def _inject_faults(self, start_at: float) -> None:
         if not _FAULTS.value:
             return
         for fault in self._faults():
             due = start_at + fault.at_seconds
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            await self._cause(fault)
+            await self._inject(fault)
 
-    async def _cause(self, fault: _Fault) -> None:
+    async def _inject(self, fault: _Fault) -> None:
         process = self._running.process(fault.target)
         if fault.freezes:
             process.freeze()
@@ -276,7 +276,10 @@
         )
 
     def _dispatcher_of(self, pool: str) -> types.EntryVmId:
-        """Return who dispatches the first shard; frozen in all runs alike."""
+        """Return the dispatcher of the pool's first shard.
+
+        The same entry VM is frozen under each policy.
+        """
         domain = self._user.runners_by_pool[pool][0]
         candidates = [
             vm.id for vm in self._user.entry_vms if vm.domain == domain
@@ -292,7 +295,7 @@
     seed: int,
     duration_seconds: float,
 ) -> dict[str, object]:
-    """Run all policies on the same arrivals and faults, one by one."""
+    """Run all policies one after the other on the same arrivals and faults."""
     found = []
     for policy in policies:
         run = _PolicyRun(
--- a/packages/standins/src/lagoonrun_standins/policy_figures.py
+++ b/packages/standins/src/lagoonrun_standins/policy_figures.py
@@ -1,11 +1,11 @@
-"""Figures of one policy's run, and their ratios to another's."""
+"""Figures of one policy's run, and their ratios to those of another."""
 
 import dataclasses
 from collections.abc import Mapping, Sequence
 
 from lagoonrun_standins import load_summary
 
-_SMALL = 1e-9
+_MIN_GOODPUT = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -18,20 +18,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Figures:
-    """What one run gave.
+    """Results of one run.
 
     Parameters
     ----------
     produced_tokens
         Tokens that all engines produced.
     cut_tokens
-        Tokens of requests that were cancelled, or lost in a crash.
+        Tokens of requests that were cancelled or lost in a crash.
     engine_runs
-        Requests that were run by all engines, resumed ones counted again.
+        Requests that the engines ran; each resumption counts as another.
     repeated_keys
         Idempotency keys that engines ran more than once; must be 0.
     attainment_by_size
-        Of large and small organisations, by class.
+        Attainment of large and small organisations, by class.
     """
 
     policy: str
@@ -45,7 +45,7 @@
 
     @property
     def wasted_share(self) -> float:
-        """Share of produced tokens that reached nobody within the limit."""
+        """Share of produced tokens not delivered within the limit."""
         wasted = self.produced_tokens - self.summary.delivered_tokens
         return max(0, wasted) / max(1, self.produced_tokens)
 
@@ -104,7 +104,7 @@
     runs_by_key: Mapping[str, int],
     entry_vm_processor_seconds: float,
 ) -> Figures:
-    """Return the figures of a run from its summary and engines' counters."""
+    """Return the figures of a run from its summary and the engine counters."""
     total = {
         name: sum(engine[name] for engine in counters)
         for name in ("tokens_produced", "tokens_wasted", "tokens_crashed")
@@ -122,24 +122,24 @@
 
 
 def ratios(base: Figures, other: Figures) -> dict[str, object]:
-    """Return the figures of `other` in relation to those of `base`.
+    """Return the figures of `other` relative to those of `base`.
 
-    Misses are shares of a class's requests that did not meet the target;
-    their ratio is how many times fewer `other` has, at least one request
-    being counted so that it stays finite.
+    The miss share of a class is the share of its requests that missed the
+    target. The ratio of misses is the miss share of `base` divided by that of
+    `other`, which counts at least one request so that the ratio stays finite.
     """
     misses = {}
     for name, found in base.summary.classes_by_name.items():
         compared = other.summary.classes_by_name[name]
-        least = 1.0 / max(1, compared.offered)
-        left = max(1.0 - compared.attainment, least)
-        misses[name] = round((1.0 - found.attainment) / left, 2)
+        min_miss_share = 1.0 / max(1, compared.offered)
+        miss_share = max(1.0 - compared.attainment, min_miss_share)
+        misses[name] = round((1.0 - found.attainment) / miss_share, 2)
     return {
         "policy": other.policy,
         "against": base.policy,
         "fewer_misses_times": misses,
         "goodput": round(
-            other.summary.goodput / max(base.summary.goodput, _SMALL), 3
+            other.summary.goodput / max(base.summary.goodput, _MIN_GOODPUT), 3
         ),
         "wasted_share": [
             round(base.wasted_share, 4),
--- a/packages/standins/tests/test_bench_policy.py
+++ b/packages/standins/tests/test_bench_policy.py
@@ -1,4 +1,4 @@
-"""The parts of `bench_policy` that are no measurement."""
+"""Tests of the parts of `bench_policy` that do not measure."""
 
 import math
 
@@ -31,13 +31,13 @@
     ],
 )
 def test_a_policy_is_named_by_what_it_switches(name, expected):
-    """The names of `--policies` mean what they say."""
+    """A name of `--policies` selects its policy and switched parts."""
     assert bench_policy.experiment_of(name) == expected
 
 
 @pytest.mark.parametrize("user", policy_users.USERS_BY_NAME.values())
 def test_users_have_the_sizes_of_the_brief(user):
-    """Eight entry VMs, ten organisations, and every class has a service."""
+    """A user has 8 entry VMs, 10 organisations and a service per class."""
     draft = user.declare()
     runners = sum(len(d) for d in user.runners_by_pool.values())
     assert len(user.entry_vms) == 8
@@ -99,7 +99,7 @@
 
 
 def test_an_answer_after_its_limit_is_waste(make_figures):
-    """What came too late is worth as little as what was cut."""
+    """Tokens of an answer that exceeds its limit count as wasted."""
     figures = make_figures([0.5, 3.0], produced=20)
     assert figures.wasted_share == pytest.approx(0.5)
     assert figures.repeated_keys == 1
@@ -107,7 +107,7 @@
 
 
 def test_ratios_stay_finite_without_misses(make_figures):
-    """A class without misses counts as having had one."""
+    """A class without misses counts as having one."""
     base = make_figures([0.5, 1.5, 1.5, 1.5], produced=40)
     other = make_figures([0.5] * 4, produced=40)
     found = policy_figures.ratios(base, other)
