--- a/packages/standins/src/lagoonrun_standins/bench_relay.py
+++ b/packages/standins/src/lagoonrun_standins/bench_relay.py
@@ -1,8 +1,8 @@
-"""Cost of relaying token events through the HTTP edges.
+"""Measure the cost of relaying token events through HTTP server and client.
 
-This process is the relay: `HttpServer` and `UpstreamClient` with nothing
-between them. A second process plays the engine and the callers with raw
-sockets, so that the processor time of this one is the relay's alone.
+This process is the relay: an `HttpServer` connected directly to an
+`UpstreamClient`. A second process simulates the engine and the callers on raw
+sockets, so that the processor time of this process is that of the relay only.
 
 Run as `python -m lagoonrun_standins.bench_relay --streams=100`.
 """
@@ -35,18 +35,18 @@
     b'[{"index":0,"delta":{"content":" token"},"finish_reason":null}]}\n\n'
 )
 _EVENT = b"%x\r\n%b\r\n" % (len(_TEXT), _TEXT)
-_LAST = b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
+_LAST_CHUNKS = b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 _REQUEST = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: bench\r\n"
     b"Content-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
 )
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-_OPEN_SECONDS = 30.0
+_JOIN_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Measurement:
-    """What one run gave; times in seconds, sizes in bytes."""
+    """Results of one run; times in seconds, sizes in bytes."""
 
     streams: int
     events: int
@@ -56,7 +56,7 @@
 
 
 class Relay:
-    """Exchange handler that passes each request to one upstream."""
+    """Exchange handler that forwards each request to one upstream."""
 
     def __init__(self, *, client: upstream.UpstreamClient, port: int) -> None:
         self._client = client
@@ -86,12 +86,12 @@
 
 
 class _Engine(asyncio.Protocol):
-    """Answers each request with a head and one event, then waits."""
+    """Answers each request with a head and one event, then waits for `emit`."""
 
     def __init__(self, *, opened: list["_Engine"]) -> None:
         self._opened = opened
-        self._ready = asyncio.Event()
-        self._ready.set()
+        self._writable = asyncio.Event()
+        self._writable.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -111,19 +111,19 @@
         self._opened.append(self)
 
     def pause_writing(self) -> None:
-        self._ready.clear()
+        self._writable.clear()
 
     def resume_writing(self) -> None:
-        self._ready.set()
+        self._writable.set()
 
     async def emit(self, count: int, interval_seconds: float) -> None:
         due = time.monotonic()
         for _ in range(count):
             self._transport.write(_EVENT)
-            await self._ready.wait()
+            await self._writable.wait()
             due += interval_seconds
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-        self._transport.write(_LAST)
+        self._transport.write(_LAST_CHUNKS)
 
 
 class _Caller(asyncio.Protocol):
@@ -154,7 +154,7 @@
                 waiting.set_exception(ConnectionError("relay closed early"))
 
 
-async def _play_peers(
+async def _simulate_peers(
     pipe: multiprocessing.connection.Connection,
     streams: int,
     events: int,
@@ -189,7 +189,7 @@
     events: int,
     rate: int,
 ) -> None:
-    asyncio.run(_play_peers(pipe, streams, events, rate))
+    asyncio.run(_simulate_peers(pipe, streams, events, rate))
 
 
 def _resident_bytes() -> int:
@@ -244,18 +244,24 @@
 def run(
     *, streams: int, events: int, rate: int, profile: bool = False
 ) -> Measurement:
-    """Relay `events` over `streams` at once and return the measurement."""
+    """Relay `events` in total over `streams` concurrent streams.
+
+    Returns
+    -------
+    Measurement
+        The cost of the run.
+    """
     context = multiprocessing.get_context("spawn")
-    pipe, theirs = context.Pipe()
+    pipe, peer_pipe = context.Pipe()
     peers = context.Process(
-        target=_run_peers, args=(theirs, streams, events, rate)
+        target=_run_peers, args=(peer_pipe, streams, events, rate)
     )
     peers.start()
     profiler = cProfile.Profile() if profile else None
     try:
         return asyncio.run(_measure(pipe, streams, profiler))
     finally:
-        peers.join(_OPEN_SECONDS)
+        peers.join(_JOIN_TIMEOUT_SECONDS)
         if peers.is_alive():
             peers.terminate()
         if profiler is not None:
@@ -263,21 +269,21 @@
 
 
 def main(argv: list[str]) -> None:
-    """Print one line for each number of streams."""
+    """Print one line per number of streams."""
     del argv
     print("streams  events/s  events/s/core  us/event  KB/stream")
     for streams in (int(value) for value in _STREAMS.value):
-        taken = run(
+        result = run(
             streams=streams,
             events=_EVENTS.value,
             rate=_RATE.value,
             profile=_PROFILE.value,
         )
         print(
-            f"{taken.streams:7}  {taken.events / taken.wall_seconds:8.0f}"
-            f"  {taken.events / taken.processor_seconds:13.0f}"
-            f"  {taken.processor_seconds / taken.events * 1e6:8.1f}"
-            f"  {taken.bytes_per_stream / 1e3:9.1f}"
+            f"{result.streams:7}  {result.events / result.wall_seconds:8.0f}"
+            f"  {result.events / result.processor_seconds:13.0f}"
+            f"  {result.processor_seconds / result.events * 1e6:8.1f}"
+            f"  {result.bytes_per_stream / 1e3:9.1f}"
         )
 
 
--- a/packages/standins/src/lagoonrun_standins/load_workers.py
+++ b/packages/standins/src/lagoonrun_standins/load_workers.py
@@ -1,4 +1,4 @@
-"""Load from several processes, where one is too slow to keep its times.
+"""Load from several processes, for rates that one process cannot sustain.
 
 A worker is `python -m lagoonrun_standins.load_workers`: it reads a pickled
 job from standard input and writes the pickled results to standard output.
@@ -17,13 +17,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Job:
-    """What one worker does.
+    """The arrivals that one worker sends, and how.
 
     Parameters
     ----------
     start_at
-        Reading of the monotonic clock, which all processes of a machine
-        share, from which the arrivals count.
+        Reading of the monotonic clock at which the arrivals start. All
+        processes of a machine share this clock.
     """
 
     addresses: tuple[settings.Address, ...]
@@ -33,7 +33,7 @@
 
 
 class WorkerError(RuntimeError):
-    """A worker ended without results."""
+    """A worker exited without results."""
 
 
 async def run(
@@ -44,17 +44,17 @@
     retry_mode: load.RetryMode = load.RetryMode.NEVER,
     start_delay_seconds: float = 1.0,
 ) -> list[load_summary.Result]:
-    """Send the arrivals from several processes, each taking every n-th.
+    """Send the arrivals from several processes, each sending every n-th one.
 
     Parameters
     ----------
     start_delay_seconds
-        Time for the workers to start; what one is late counts as send lag.
+        Time for the workers to start; a later start counts as send lag.
 
     Raises
     ------
     WorkerError
-        If a worker ends without results; all workers have ended then.
+        If a worker exits without results; all workers have exited by then.
     """
     start_at = clock_lib.SystemClock().monotonic() + start_delay_seconds
     jobs = [
@@ -86,11 +86,13 @@
             process.kill()
             await process.wait()
     if process.returncode:
-        raise WorkerError(f"a load worker ended with {process.returncode}")
+        raise WorkerError(
+            f"a load worker exited with code {process.returncode}"
+        )
     return pickle.loads(output)
 
 
-async def _work(job: _Job) -> list[load_summary.Result]:
+async def _run_job(job: _Job) -> list[load_summary.Result]:
     generator = load.LoadGenerator(
         addresses=job.addresses, retry_mode=job.retry_mode
     )
@@ -101,9 +103,9 @@
 
 
 def main() -> None:
-    """Do the job on standard input."""
+    """Run the job on standard input; write its results to standard output."""
     job = pickle.load(sys.stdin.buffer)
-    results = asyncio.run(_work(job))
+    results = asyncio.run(_run_job(job))
     pickle.dump(results, sys.stdout.buffer)
 
 
--- a/packages/standins/tests/test_load_workers.py
+++ b/packages/standins/tests/test_load_workers.py
@@ -1,4 +1,4 @@
-"""Load from several processes against an engine in this one."""
+"""Tests load from several processes against an engine in this process."""
 
 from lagoonrun_config import settings
 from lagoonrun_standins import engine, load_summary, load_workers, traffic
