--- a/packages/standins/src/lagoonrun_standins/demo.py
+++ b/packages/standins/src/lagoonrun_standins/demo.py
@@ -1,7 +1,7 @@
 """`make demo`: a small deployment that serves, explains, drains and stops.
 
-Exits with 0 if everything was as expected, else with 1 after naming what
-differed.
+Exits with 0 if every result was as expected; else prints the differences and
+exits with 1.
 """
 
 import asyncio
@@ -100,7 +100,7 @@
 
 
 class _Demo:
-    """Sends requests, prints what came, and keeps what differed."""
+    """Sends requests, prints the answers and collects the differences."""
 
     def __init__(self, *, running: deployment.Deployment) -> None:
         self._running = running
@@ -115,10 +115,10 @@
         last = await self._chat("entry-3", house_b, streamed=True)
         await self._plain("entry-2", house_a, "/portal/lookups/page/7")
         await self._plain("entry-3", house_b, "/portal/lookups/page/8")
-        await self._warn_twice(house_a)
-        await self._refuse_stranger()
+        await self._send_duplicate_warning(house_a)
+        await self._send_unknown_key()
         await self._explain(last)
-        await self._operate()
+        await self._drain_upstream()
 
     async def _chat(
         self,
@@ -142,10 +142,10 @@
         )
         kind = "streamed chat" if streamed else "chat"
         self._print(f"{kind} of {organisation} by {entry_vm}", answer)
-        self._expect(answer.status == 200, f"{kind}: {answer.status}")
+        self._check(answer.status == 200, f"{kind}: {answer.status}")
         if streamed:
             done = answer.body.rstrip().endswith(b"data: [DONE]")
-            self._expect(done, f"{kind}: no [DONE]")
+            self._check(done, f"{kind}: no [DONE]")
         return answer.head.headers.get("lagoonrun-request-id", "")
 
     async def _plain(
@@ -158,10 +158,12 @@
             method="GET",
         )
         self._print(f"GET {path} of {organisation} by {entry_vm}", answer)
-        self._expect_outcome(answer, 200, outcomes.Outcome.COMPLETE)
+        self._check_outcome(answer, 200, outcomes.Outcome.COMPLETE)
 
-    async def _warn_twice(self, organisation: types.OrganisationId) -> None:
-        """Send one warning at two entry VMs with the same key."""
+    async def _send_duplicate_warning(
+        self, organisation: types.OrganisationId
+    ) -> None:
+        """Send one warning to two entry VMs with the same idempotency key."""
         for entry_vm, status in (("entry-1", 200), ("entry-3", 409)):
             answer = await self._running.ask(
                 types.EntryVmId(entry_vm),
@@ -171,9 +173,9 @@
                 headers=[("Idempotency-Key", "spill-3")],
             )
             self._print(f"warning with one key by {entry_vm}", answer)
-            self._expect(answer.status == status, f"warning: {answer.status}")
+            self._check(answer.status == status, f"warning: {answer.status}")
 
-    async def _refuse_stranger(self) -> None:
+    async def _send_unknown_key(self) -> None:
         answer = await self._running.ask(
             types.EntryVmId("entry-1"),
             "/portal/lookups/page/7",
@@ -181,14 +183,14 @@
             method="GET",
         )
         self._print("a stranger's lookup", answer)
-        self._expect_outcome(answer, 401, outcomes.Outcome.NOT_RUN)
+        self._check_outcome(answer, 401, outcomes.Outcome.NOT_RUN)
 
     async def _explain(self, request_id: str) -> None:
-        """Ask why a request went as it did, as an operator does."""
+        """Run `lagoonrun explain` for a request, as an operator would."""
         await self._command("explain", request_id, "--check")
 
-    async def _operate(self) -> None:
-        """Drain an upstream, see that work goes elsewhere, and end it."""
+    async def _drain_upstream(self) -> None:
+        """Drain an upstream, check that requests are served, end the drain."""
         await self._command("drain", "portal-1")
         await self._plain(
             "entry-1",
@@ -199,7 +201,7 @@
         await self._command("drain", "portal-1", "--end")
 
     async def _command(self, *words: str) -> None:
-        """Run `lagoonrun` as it is run in a shell."""
+        """Run `lagoonrun` in this process, as it would run in a shell."""
         print(f"$ lagoonrun {' '.join(words)}", flush=True)
         addresses = [
             str(self._running.process(entry_vm.id).address("admin"))
@@ -215,26 +217,26 @@
             out=sys.stdout,
             err=sys.stdout,
         )
-        self._expect(code == 0, f"lagoonrun {words[0]} ended with {code}")
+        self._check(code == 0, f"lagoonrun {words[0]} ended with {code}")
 
-    def _print(self, what: str, answer: http_client.Answer) -> None:
+    def _print(self, label: str, answer: http_client.Answer) -> None:
         headers = answer.head.headers
         outcome = headers.get("lagoonrun-outcome", "in stream")
         text = answer.body.decode(errors="replace").strip()
-        print(f"{what}: {answer.status}, outcome {outcome}")
+        print(f"{label}: {answer.status}, outcome {outcome}")
         print(f"    {text[-120:]!r}")
 
-    def _expect_outcome(
+    def _check_outcome(
         self,
         answer: http_client.Answer,
         status: int,
         outcome: outcomes.Outcome,
     ) -> None:
-        told = answer.head.headers.get("lagoonrun-outcome")
-        self._expect(answer.status == status, f"status {answer.status}")
-        self._expect(told == outcome.value, f"outcome {told}")
+        received = answer.head.headers.get("lagoonrun-outcome")
+        self._check(answer.status == status, f"status {answer.status}")
+        self._check(received == outcome.value, f"outcome {received}")
 
-    def _expect(self, condition: bool, difference: str) -> None:
+    def _check(self, condition: bool, difference: str) -> None:
         if not condition:
             self.differences.append(difference)
 
