--- a/packages/standins/src/lagoonrun_standins/log_fields.py
+++ b/packages/standins/src/lagoonrun_standins/log_fields.py
@@ -1,4 +1,4 @@
-"""Finds which fields the code logs with each numbered event."""
+"""Collects the fields that the code logs with each numbered event."""
 
 import ast
 import itertools
@@ -40,7 +40,7 @@
 
 
 def updated_catalogue(root: pathlib.Path) -> str:
-    """Return the catalogue with its column of fields as the code has it."""
+    """Return the catalogue with the fields column regenerated from the code."""
     text = (root / CATALOGUE).read_text(encoding="utf-8")
     found = fields_by_event(root)
     event_by_number = {event.number: event for event in events.LogEvent}
@@ -70,9 +70,9 @@
 
 
 def _events_of(call: ast.Call, tree: ast.Module) -> set[str]:
-    """Return the events that the first argument may be.
+    """Return the names of events that the first argument may evaluate to.
 
-    A plain name is looked up in the assignments of its module.
+    A plain name is resolved through the assignments in its module.
     """
     argument = call.args[0]
     searched: list[ast.AST] = [argument]
--- a/packages/standins/src/lagoonrun_standins/value_rules.py
+++ b/packages/standins/src/lagoonrun_standins/value_rules.py
@@ -1,8 +1,8 @@
-"""Asks the readers of TOML files what is valid for each key.
+"""Derives the valid values of each key from the readers of TOML files.
 
-Each key is given values that no key takes; the faults that the reader notes
-then say what would be valid. So the reference pages cannot say anything else
-than what the code accepts.
+Each key is set to an invalid value; the faults that the reader reports then
+state what would be valid. So the reference pages cannot differ from what the
+code accepts.
 """
 
 import pathlib
@@ -22,17 +22,19 @@
 
 
 def rules_by_key(keys: Sequence[str], probe: Probe) -> dict[str, str]:
-    """Return what is valid for each key, by the faults of `probe`."""
-    found = _ask(keys, probe, dict.fromkeys(keys, _WRONG_TYPE))
-    # Texts have further rules, which only a text can break.
+    """Return the valid values of each key, from the faults of `probe`."""
+    found = _collect_rules(keys, probe, dict.fromkeys(keys, _WRONG_TYPE))
+    # Further rules of strings are only reported for an invalid string.
     texts: dict[str, object] = {
         key: _WRONG_TEXT for key, rule in found.items() if rule == _ANY_TEXT
     }
     lists: dict[str, object] = {
         key: [_WRONG_TEXT] for key, rule in found.items() if rule == _ANY_TEXTS
     }
-    rest = {key: _WRONG_TYPE for key in keys if key not in {*texts, *lists}}
-    further = _ask((*texts, *lists), probe, rest | texts | lists)
+    remaining = {
+        key: _WRONG_TYPE for key in keys if key not in {*texts, *lists}
+    }
+    further = _collect_rules((*texts, *lists), probe, remaining | texts | lists)
     for key in further.keys() & lists.keys():
         further[key] = f"a list, each {further[key]}"
     return {**found, **further}
@@ -51,14 +53,15 @@
 
 
 def probe_named(section: str) -> Probe:
-    """Return the probe of an entry like `[profiles.NAME]`."""
+    """Return the probe for entries of a section like `[profiles.NAME]`."""
     return lambda table: _probe({section: {"x": dict(table)}})
 
 
 def probe_service(table: Mapping[str, object]) -> Sequence[faults.Fault]:
     """Return the faults of a service that holds `table`.
 
-    Some keys are valid for a plain service only and have further rules there.
+    Some keys are valid only for a plain service and have further rules
+    there, so the table is tried as both kinds.
     """
     given, plain = dict(table), {**table, "kind": "plain"}
     return [
@@ -88,7 +91,7 @@
     )
 
 
-def _ask(
+def _collect_rules(
     keys: Sequence[str], probe: Probe, table: Mapping[str, object]
 ) -> dict[str, str]:
     found: dict[str, str] = {}
