--- a/packages/standins/src/lagoonrun_standins/policy_trial.py
+++ b/packages/standins/src/lagoonrun_standins/policy_trial.py
@@ -1,8 +1,8 @@
-"""Trials of the order of service on a small model of a few runners.
+"""Simulated trials of the scheduling policy with a few modelled runners.
 
-The figures are those of a model and say which part of the policy is worth a
-measurement with real processes; they are not such a measurement. All parts
-see the same seeded arrivals.
+The results are those of a model: they show which parts of the policy are worth
+measuring with real processes and do not replace that measurement. All variants
+get the same seeded arrivals.
 
     python -m lagoonrun_standins.policy_trial --deployment=consortium
 """
@@ -41,25 +41,25 @@
 _ENTRY_VMS = 8
 _REPORT_SECONDS = 0.5
 _TICK_SECONDS = 0.5
-_SHORTEST_WAKE_SECONDS = 0.005
+_MIN_WAKE_SECONDS = 0.005
 _BURST_START = 0.25
 _BURST_END = 0.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TrialClass:
-    """A class with the share of the load and the sizes of its requests."""
+    """A class with its share of the load and the sizes of its requests."""
 
     policy: messages.ClassPolicy
     share: float
     tokens: float
-    prompt_work: float
+    prefill_tokens: float
     bursts: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """Runners and classes of one of the users."""
+    """Runners and classes of one user's deployment."""
 
     runners: int
     step_seconds: float
@@ -74,7 +74,7 @@
     limit: float,
     share: float,
     tokens: float,
-    prompt_work: float,
+    prefill_tokens: float,
     bursts: bool = False,
 ) -> TrialClass:
     return TrialClass(
@@ -86,7 +86,7 @@
         ),
         share=share,
         tokens=tokens,
-        prompt_work=prompt_work,
+        prefill_tokens=prefill_tokens,
         bursts=bursts,
     )
 
@@ -103,7 +103,7 @@
                 limit=2.0,
                 share=0.15,
                 tokens=20,
-                prompt_work=10,
+                prefill_tokens=10,
             ),
             _trial_class(
                 "page-transcription",
@@ -112,7 +112,7 @@
                 limit=20.0,
                 share=0.6,
                 tokens=300,
-                prompt_work=60,
+                prefill_tokens=60,
                 bursts=True,
             ),
             _trial_class(
@@ -122,7 +122,7 @@
                 limit=60.0,
                 share=0.25,
                 tokens=800,
-                prompt_work=200,
+                prefill_tokens=200,
             ),
         ),
     ),
@@ -137,7 +137,7 @@
                 limit=5.0,
                 share=0.1,
                 tokens=60,
-                prompt_work=20,
+                prefill_tokens=20,
                 bursts=True,
             ),
             _trial_class(
@@ -147,7 +147,7 @@
                 limit=15.0,
                 share=0.4,
                 tokens=200,
-                prompt_work=150,
+                prefill_tokens=150,
                 bursts=True,
             ),
             _trial_class(
@@ -157,7 +157,7 @@
                 limit=90.0,
                 share=0.5,
                 tokens=1000,
-                prompt_work=200,
+                prefill_tokens=200,
                 bursts=True,
             ),
         ),
@@ -166,12 +166,13 @@
 
 
 class Trial:
-    """One run of one variant.
+    """One simulated run of one variant.
 
     Parameters
     ----------
     variant
-        `naive`, `full`, or a part that is switched.
+        `naive`, `full`, or `-PART` or `+PART` for `full` with one part
+        switched off or on.
     """
 
     def __init__(
@@ -205,11 +206,16 @@
         self._by_key: dict[messages.PermitKey, Job] = {}
         self._heap: list[tuple[float, int, str, object]] = []
         self._sequence = 0
-        self._results: dict[str, list[float | None]] = {
+        self._latencies: dict[str, list[float | None]] = {
             n: [] for n in self._classes
         }
-        self._first: dict[str, list[float]] = {n: [] for n in self._classes}
-        self._by_size: dict[str, list[bool]] = {"large": [], "small": []}
+        self._first_token_latencies: dict[str, list[float]] = {
+            n: [] for n in self._classes
+        }
+        self._attained_by_size: dict[str, list[bool]] = {
+            "large": [],
+            "small": [],
+        }
         self._refusals: dict[str, int] = {}
         self._good_tokens = 0
         self._wasted_tokens = 0.0
@@ -225,7 +231,7 @@
             self._push(0.6 * _SECONDS.value, "recover", ids[0])
 
     def run(self) -> dict[str, object]:
-        """Run to the end and return the figures."""
+        """Run the simulation to its end and return the figures."""
         horizon = _SECONDS.value + 30.0
         while self._heap and self._now < horizon:
             at, step, payload = self._next()
@@ -249,16 +255,16 @@
         job, ended = engine.pop_milestone(self._now)
         if not ended:
             name = job.event.profile
-            self._first[name].append(self._now - job.arrived_at)
+            self._first_token_latencies[name].append(self._now - job.arrived_at)
             return
         del self._by_key[job.event.key]
         self._good_tokens += job.tokens
-        self._note(job, self._now - job.arrived_at)
+        self._record_result(job, self._now - job.arrived_at)
         self._report_end(job, outcomes.Outcome.COMPLETE, job.tokens)
 
     def _on_arrive(self, job: Job) -> None:
         self._by_key[job.event.key] = job
-        self._feed(job.event.ingress, job.event)
+        self._apply_event(job.event.ingress, job.event)
         self._push(job.deadline, "limit", job)
 
     def _on_limit(self, job: Job) -> None:
@@ -273,7 +279,7 @@
             event = messages.LoadReported(
                 upstream=engine.id,
                 running=len(engine.running),
-                waiting=sum(not i[3].over for i in engine.queue),
+                waiting=sum(not i[3].finished for i in engine.queue),
                 cache_usage=0.0,
                 age_seconds=_REPORT_SECONDS,
             )
@@ -282,7 +288,7 @@
 
     def _on_deliver(self, event: messages.Event) -> None:
         for ingress in list(self._schedulers):
-            self._feed(ingress, event)
+            self._apply_event(ingress, event)
 
     def _on_tick(self, _: None) -> None:
         for engine in self._engines.values():
@@ -295,21 +301,21 @@
                         0.0, job.first_token_at - job.sent_at
                     ),
                 )
-                self._feed(job.event.ingress, event)
+                self._apply_event(job.event.ingress, event)
         for ingress in list(self._schedulers):
-            self._feed(ingress, messages.Ticked())
+            self._apply_event(ingress, messages.Ticked())
         self._push(self._now + _TICK_SECONDS, "tick", None)
 
     def _on_wake(self, ingress: types.EntryVmId) -> None:
         if self._wake_by_ingress.get(ingress) != self._now:
             return
-        self._feed(ingress, messages.Ticked())
+        self._apply_event(ingress, messages.Ticked())
 
     def _on_crash(self, upstream: types.UpstreamId) -> None:
         self._down = upstream
         engine = self._engines[upstream]
         for job in [*engine.running.values(), *(i[3] for i in engine.queue)]:
-            if not job.over:
+            if not job.finished:
                 self._stop(job, outcomes.Reason.UPSTREAM_CLOSED)
 
     def _on_recover(self, _: types.UpstreamId) -> None:
@@ -317,10 +323,10 @@
 
     def _stop(self, job: Job, reason: outcomes.Reason) -> None:
         del self._by_key[job.event.key]
-        self._note(job, None)
+        self._record_result(job, None)
         if job.upstream is None:
-            job.over = True
-            self._feed(
+            job.finished = True
+            self._apply_event(
                 job.event.ingress, messages.PermitReturned(key=job.event.key)
             )
             return
@@ -345,11 +351,15 @@
             total_seconds=self._now - job.sent_at,
             tokens=tokens,
         )
-        self._feed(job.event.ingress, event)
+        self._apply_event(job.event.ingress, event)
 
-    def _feed(self, ingress: types.EntryVmId, event: messages.Event) -> None:
-        subject = self._schedulers.get(ingress) or self._schedulers[_ALL]
-        for action in subject.handle(event, now=self._now):
+    def _apply_event(
+        self, ingress: types.EntryVmId, event: messages.Event
+    ) -> None:
+        target_scheduler = (
+            self._schedulers.get(ingress) or self._schedulers[_ALL_ENTRY_VMS]
+        )
+        for action in target_scheduler.handle(event, now=self._now):
             job = self._by_key.get(action.key)
             if job is None:
                 continue
@@ -358,19 +368,24 @@
                     self._start(job, action.upstream)
                 case messages.Refuse():
                     del self._by_key[action.key]
-                    job.over = True
+                    job.finished = True
                     reason = action.reason.value
                     self._refusals[reason] = self._refusals.get(reason, 0) + 1
-                    self._note(job, None)
+                    self._record_result(job, None)
                 case messages.Cut():
                     self._stop(job, action.reason)
-        self._wake_later(ingress, subject.next_wake(now=self._now))
+        self._schedule_wake(ingress, target_scheduler.next_wake(now=self._now))
 
-    def _wake_later(self, ingress: types.EntryVmId, wake: float | None) -> None:
-        """Keep one wake per ingress; the tick comes soon enough for others."""
+    def _schedule_wake(
+        self, ingress: types.EntryVmId, wake: float | None
+    ) -> None:
+        """Schedule the earliest wake per ingress.
+
+        A wake that is due after the tick period is left to the next tick.
+        """
         if wake is None or wake >= self._now + _TICK_SECONDS:
             return
-        wake = max(wake, self._now + _SHORTEST_WAKE_SECONDS)
+        wake = max(wake, self._now + _MIN_WAKE_SECONDS)
         pending = self._wake_by_ingress.get(ingress, 0.0)
         if pending <= self._now or wake < pending:
             self._wake_by_ingress[ingress] = wake
@@ -388,12 +403,18 @@
         if self._by_key.get(job.event.key) is job:
             self._stop(job, outcomes.Reason.UPSTREAM_CONNECT)
 
-    def _note(self, job: Job, seconds: float | None) -> None:
+    def _record_result(self, job: Job, seconds: float | None) -> None:
         name = job.event.profile
-        self._results[name].append(seconds)
+        self._latencies[name].append(seconds)
         target = self._classes[name].policy.target_seconds
-        size = "large" if job.event.organisation in _LARGE else "small"
-        self._by_size[size].append(seconds is not None and seconds <= target)
+        size = (
+            "large"
+            if job.event.organisation in _LARGE_ORGANISATIONS
+            else "small"
+        )
+        self._attained_by_size[size].append(
+            seconds is not None and seconds <= target
+        )
 
     def _push(self, at: float, step: str, payload: object) -> None:
         self._sequence += 1
@@ -402,7 +423,7 @@
     def _figures(self) -> dict[str, object]:
         figures: dict[str, object] = {}
         for name, trial_class in self._classes.items():
-            latencies = self._results[name]
+            latencies = self._latencies[name]
             target = trial_class.policy.target_seconds
             served = sorted(s for s in latencies if s is not None)
             figures[f"attainment {name}"] = sum(
@@ -410,12 +431,12 @@
             ) / max(1, len(latencies))
             figures[f"p95 {name}"] = _quantile(served, 0.95)
             figures[f"p95 first {name}"] = _quantile(
-                sorted(self._first[name]), 0.95
+                sorted(self._first_token_latencies[name]), 0.95
             )
         total = self._good_tokens + self._wasted_tokens
         figures["goodput tokens/s"] = self._good_tokens / _SECONDS.value
         figures["wasted"] = self._wasted_tokens / max(1.0, total)
-        for size, met in self._by_size.items():
+        for size, met in self._attained_by_size.items():
             figures[f"attainment {size}"] = sum(met) / max(1, len(met))
         hits = sum(e.hits for e in self._engines.values())
         misses = sum(e.misses for e in self._engines.values())
@@ -425,8 +446,8 @@
         return figures
 
 
-_ALL = types.EntryVmId("all")
-_LARGE = frozenset({"o0", "o1"})
+_ALL_ENTRY_VMS = types.EntryVmId("all")
+_LARGE_ORGANISATIONS = frozenset({"o0", "o1"})
 
 
 def _schedulers(
@@ -443,7 +464,11 @@
     if variant[0] in "+-":
         changed = {variant[1:]: variant[0] == "+"}
         switches = dataclasses.replace(switches, **changed)
-    return {_ALL: scheduler.ShardScheduler(policy=policy, switches=switches)}
+    return {
+        _ALL_ENTRY_VMS: scheduler.ShardScheduler(
+            policy=policy, switches=switches
+        )
+    }
 
 
 def _arrivals(deployment: Deployment, rng: random.Random) -> Iterator[Job]:
@@ -452,12 +477,14 @@
     capacity = speed * batch / (deployment.step_seconds * (1 + 0.05 * batch))
     number = 0
     for trial_class in deployment.classes:
-        work = trial_class.tokens + 0.6 * trial_class.prompt_work
-        rate = _LOAD.value * capacity * trial_class.share / work
+        tokens_per_request = (
+            trial_class.tokens + 0.6 * trial_class.prefill_tokens
+        )
+        rate = _LOAD.value * capacity * trial_class.share / tokens_per_request
         now = 0.0
         while now < _SECONDS.value:
-            part = now / _SECONDS.value
-            burst = _BURST_START <= part < _BURST_END and trial_class.bursts
+            progress = now / _SECONDS.value
+            burst = _BURST_START <= progress < _BURST_END and trial_class.bursts
             now += rng.expovariate(rate * (_BURST.value if burst else 1.0))
             number += 1
             yield _job(trial_class, number, now, rng)
@@ -491,7 +518,7 @@
         tier=policy.tier,
         arrived_at=now,
         deadline=now + policy.limit_seconds,
-        prompt_work=trial_class.prompt_work,
+        prefill_tokens=trial_class.prefill_tokens,
         tokens=max(1, int(tokens)),
     )
 
@@ -528,7 +555,7 @@
 
 
 def run() -> None:
-    """Entry point."""
+    """Run `main` with the command line's flags."""
     app.run(main)
 
 
--- a/packages/standins/src/lagoonrun_standins/trial_engine.py
+++ b/packages/standins/src/lagoonrun_standins/trial_engine.py
@@ -1,8 +1,9 @@
-"""A runner for trials: continuous batching as shared, slowing service.
+"""Model of a runner with continuous batching, for `policy_trial`.
 
-All requests of a batch advance by the same number of tokens; a fuller batch
-advances slower, and beyond the engine's knee much slower. Prompts cost tokens
-of work before the first one comes out, fewer if the prefix is cached.
+All requests of a batch advance by the same number of tokens. A larger batch
+advances more slowly, and much more slowly beyond the engine's knee. Prefill
+costs a number of tokens of work before the first token is produced, fewer if
+the prefix is cached.
 """
 
 import collections
@@ -12,27 +13,30 @@
 from lagoonrun_core import types
 from lagoonrun_policy import messages
 
-_SLOWING_PER_REQUEST = 0.05
-_SLOWING_BEYOND_KNEE = 0.25
+_SLOWDOWN_PER_REQUEST = 0.05
+_SLOWDOWN_BEYOND_KNEE = 0.25
 
 
 @dataclasses.dataclass(eq=False, kw_only=True, slots=True)
 class Job:
-    """One request as the trial knows it.
+    """State of one request in the trial.
 
     Parameters
     ----------
-    prompt_work
+    prefill_tokens
         Work before the first token without a cached prefix, in tokens.
     tokens
-        Length of the answer, which nobody is told.
+        Length of the answer; unknown to the scheduler.
+    start_work, first_work, end_work
+        Work of the engine at which the request starts, produces its first
+        token and ends.
     """
 
     event: messages.PermitRequested
     tier: types.Tier
     arrived_at: float
     deadline: float
-    prompt_work: float
+    prefill_tokens: float
     tokens: int
     upstream: types.UpstreamId | None = None
     sent_at: float = 0.0
@@ -40,11 +44,11 @@
     first_work: float = 0.0
     end_work: float = 0.0
     first_token_at: float = 0.0
-    over: bool = False
+    finished: bool = False
 
 
 class TrialEngine:
-    """One engine: a batch, a queue by priority and a prefix cache.
+    """Model of one engine: a batch, a priority queue and a prefix cache.
 
     Parameters
     ----------
@@ -53,11 +57,11 @@
     speed
         1 for a healthy runner, less for a straggler.
     batch
-        Most requests in the batch; the rest queue.
+        Maximum number of requests in the batch; further ones queue.
     knee
-        Batch from which on memory gets short and all slow down.
+        Batch size above which memory runs short and all requests slow down.
     cached_prefixes
-        How many prefixes fit its cache.
+        Capacity of the prefix cache.
     """
 
     def __init__(
@@ -81,16 +85,16 @@
         self._step = step_seconds
         self._knee = knee
         self._work = 0.0
-        self._at = 0.0
+        self._advanced_at = 0.0
         self._milestones: list[tuple[float, int, Job]] = []
         self._sequence = 0
-        self._cached = cached_prefixes
+        self._cache_capacity = cached_prefixes
         self._cache: collections.OrderedDict[types.PrefixHash, None] = (
             collections.OrderedDict()
         )
 
     def submit(self, job: Job, now: float) -> None:
-        """Take a request into the batch or the queue."""
+        """Add a request to the batch, or to the queue if the batch is full."""
         self.advance(now)
         self._sequence += 1
         item = (job.tier, job.sent_at, self._sequence, job)
@@ -98,31 +102,31 @@
         self._fill()
 
     def cancel(self, job: Job, now: float) -> int:
-        """Drop a request; return the tokens it has produced."""
+        """Cancel a request; return the number of tokens it has produced."""
         self.advance(now)
         produced = self.produced(job)
-        job.over = True
+        job.finished = True
         self.running.pop(job.event.key, None)
         self._fill()
         return produced
 
     def produced(self, job: Job) -> int:
-        """Return the tokens of a running request so far."""
+        """Return the tokens a request has produced; 0 if it is not running."""
         if job.event.key not in self.running:
             return 0
         return max(0, int(self._work - job.first_work) + 1)
 
     def next_milestone(self) -> float | None:
-        """Return when the next first token or end is due."""
-        while self._milestones and self._milestones[0][2].over:
+        """Return when the next first token or end is due; None if none is."""
+        while self._milestones and self._milestones[0][2].finished:
             heapq.heappop(self._milestones)
         if not self._milestones:
             return None
         ahead = self._milestones[0][0] - self._work
-        return self._at + max(0.0, ahead) * self._seconds_per_token()
+        return self._advanced_at + max(0.0, ahead) * self._seconds_per_token()
 
     def pop_milestone(self, now: float) -> tuple[Job, bool]:
-        """Take the due milestone; return the job and whether it ended."""
+        """Pop the next milestone; return its job and whether the job ended."""
         self.advance(now)
         work, _, job = heapq.heappop(self._milestones)
         self._work = max(self._work, work)
@@ -130,42 +134,44 @@
             job.first_token_at = now
             self._push(job.end_work, job)
             return job, False
-        job.over = True
+        job.finished = True
         del self.running[job.event.key]
         self.tokens += job.tokens
         self._fill()
         return job, True
 
     def advance(self, now: float) -> None:
-        """Let the batch run until `now`."""
+        """Advance the batch to `now`."""
         if self.running:
-            self._work += (now - self._at) / self._seconds_per_token()
-        self._at = now
+            self._work += (now - self._advanced_at) / self._seconds_per_token()
+        self._advanced_at = now
 
     def _seconds_per_token(self) -> float:
         size = len(self.running)
-        slowing = 1.0 + _SLOWING_PER_REQUEST * size
-        slowing += _SLOWING_BEYOND_KNEE * max(0, size - self._knee)
-        return self._step * slowing / self.speed
+        slowdown = 1.0 + _SLOWDOWN_PER_REQUEST * size
+        slowdown += _SLOWDOWN_BEYOND_KNEE * max(0, size - self._knee)
+        return self._step * slowdown / self.speed
 
     def _fill(self) -> None:
         while self.queue and len(self.running) < self.batch:
             job = heapq.heappop(self.queue)[3]
-            if job.over:
+            if job.finished:
                 continue
-            prompt = job.prompt_work * (0.2 if self._hit(job) else 1.0)
+            prefill = job.prefill_tokens * (
+                0.2 if self._look_up_prefix(job) else 1.0
+            )
             job.start_work = self._work
-            job.first_work = self._work + prompt
+            job.first_work = self._work + prefill
             job.end_work = job.first_work + job.tokens
             self.running[job.event.key] = job
             self._push(job.first_work, job)
 
-    def _hit(self, job: Job) -> bool:
+    def _look_up_prefix(self, job: Job) -> bool:
         prefix = job.event.prefix_hash
         hit = prefix in self._cache
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
-        if len(self._cache) > self._cached:
+        if len(self._cache) > self._cache_capacity:
             self._cache.popitem(last=False)
         self.hits += hit
         self.misses += not hit
