--- a/packages/standins/src/lagoonrun_standins/policy_users.py
+++ b/packages/standins/src/lagoonrun_standins/policy_users.py
@@ -1,10 +1,10 @@
-"""Both users' deployments of today, scaled down in time, for `bench_policy`.
+"""Both users' current deployments, scaled down in time, for `bench_policy`.
 
-Steps of an engine take 10 ms and more, and an engine has 8 slots, so that
-hundreds of requests a second fit one machine. The classes' limits are scaled
-by the same factor: about twice the service time of their longest answers on
-an idle engine. An answer that can never fit its limit is waste whatever the
-policy, and tells nothing about it.
+An engine step takes 10 ms or more and an engine has 8 slots, so that one
+machine can run hundreds of requests per second. The limits of the classes are
+scaled by the same factor: about twice the service time of their longest answers
+on an idle engine. An answer that can never meet its limit is wasted under every
+policy, so it would not help to compare them.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 BURST_END_SECONDS = 10.0
 
 _ORGANISATION_WEIGHTS = (8.0, 6.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
-"""Shares of the ten organisations in the arrivals: a few are large."""
+"""Relative shares of the ten organisations in the arrivals: 3 are large."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -31,19 +31,20 @@
     Parameters
     ----------
     runners_by_pool
-        Failure domain of each runner.
+        Failure domain of each runner, by pool.
     entry_vm_domains
         Failure domain of each entry VM.
     pool_by_class
         Pool that serves a class; each class has a service of its own.
     tier_by_class
-        1 is the highest.
-    once_only
+        Tier of each class; 1 is the highest.
+    non_idempotent_classes
         Classes that are not idempotent.
     straggler, crashing, silent
-        Runners that a fault befalls.
+        Runners that get a fault: one slows down, one crashes, and one omits
+        its load reports.
     frozen_pool
-        The dispatcher of this pool's first shard is frozen.
+        Pool whose first shard's dispatcher is frozen.
     """
 
     name: str
@@ -53,7 +54,7 @@
     classes: Sequence[traffic.TrafficClass]
     pool_by_class: Mapping[str, str]
     tier_by_class: Mapping[str, int]
-    once_only: frozenset[str] = frozenset()
+    non_idempotent_classes: frozenset[str] = frozenset()
     straggler: str
     crashing: str
     silent: str
@@ -72,7 +73,7 @@
 
     @property
     def callers(self) -> tuple[traffic.Caller, ...]:
-        """Return the ten organisations, a few of them large."""
+        """Return the ten organisations, 3 of them large."""
         return tuple(
             traffic.Caller(
                 organisation=f"house-{number}",
@@ -85,7 +86,7 @@
         )
 
     def declare(self) -> declarations.draft_module.Draft:
-        """Return the declarations, with addresses still to be set."""
+        """Return the declarations, with placeholder addresses."""
         text = "".join(
             [
                 *(self._profile(c) + self._service(c) for c in self.classes),
@@ -107,7 +108,7 @@
         return draft
 
     def _profile(self, declared: traffic.TrafficClass) -> str:
-        idempotent = declared.name not in self.once_only
+        idempotent = declared.name not in self.non_idempotent_classes
         return (
             f"[profiles.{declared.name}]\n"
             f"tier = {self.tier_by_class[declared.name]}\n"
@@ -154,9 +155,9 @@
     )
 
 
-# Capacity of a pool in tokens a second: runners x 8 slots / step. The portal
-# gives 2,400 and the transcription pool 4,000; the bursts bring what is asked
-# of each to three times that.
+# Capacity of a pool in tokens per second: runners x 8 slots / step. The portal
+# pool has 2,400 and the transcription pool 4,000; the bursts raise the demand
+# on each to three times its capacity.
 CONSORTIUM = User(
     name="consortium",
     step_seconds=0.010,
@@ -242,7 +243,7 @@
     frozen_pool="transcription",
 )
 
-# The gauge pool gives 2,667 tokens a second and the report pool 6,000.
+# The gauge pool has 2,667 tokens per second and the report pool 6,000.
 TRUST = User(
     name="trust",
     step_seconds=0.012,
@@ -341,7 +342,7 @@
         "question": 3,
         "digest": 5,
     },
-    once_only=frozenset({"warning"}),
+    non_idempotent_classes=frozenset({"warning"}),
     straggler="report-2",
     crashing="report-4",
     silent="gauge-2",
--- a/packages/standins/src/lagoonrun_standins/traffic.py
+++ b/packages/standins/src/lagoonrun_standins/traffic.py
@@ -1,4 +1,4 @@
-"""What callers send and when: classes, organisations and seeded arrivals."""
+"""Generates seeded arrivals of requests by class and organisation."""
 
 import dataclasses
 import json
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Burst:
-    """A stretch of time in which a class's rate is multiplied."""
+    """An interval in which the arrival rate of a class is multiplied."""
 
     start_seconds: float
     end_seconds: float
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Caller:
-    """An organisation as a caller.
+    """An organisation that sends requests.
 
     Parameters
     ----------
     key
-        Bearer key.
+        Bearer token.
     weight
         Share of the arrivals, relative to the other callers.
     """
@@ -44,25 +44,25 @@
     Parameters
     ----------
     target
-        Model name, or path of a plain service, which begins with a slash.
+        Model name, or the path of a plain service, which starts with a slash.
     rate
-        Arrivals a second outside bursts.
+        Arrivals per second outside bursts.
     target_seconds, limit_seconds, target_kind
-        What attainment and goodput count; as in the class's profile.
+        Criteria of attainment and goodput, as in the profile of the class.
     median_tokens, tokens_sigma
-        Lognormal length of answers; unknown to the router.
+        Lognormal distribution of answer lengths; unknown to the router.
     longest_tokens
-        Largest length of an answer.
+        Maximum length of an answer.
     prompt_bytes
-        Length of a prompt.
+        Length of a prompt, without the id of its arrival.
     prefix_groups
-        Number of different beginnings of each organisation's prompts.
+        Number of distinct prompt prefixes per organisation.
     streams
         Whether answers are streamed.
     sends_keys
         Whether requests carry an Idempotency-Key.
     patience_seconds
-        Time after which a caller goes away; 0 for twice the limit.
+        Time after which a caller disconnects; 0 for twice the limit.
     """
 
     name: str
@@ -88,11 +88,11 @@
 
     @property
     def patience(self) -> float:
-        """Return the time after which a caller goes away, in seconds."""
+        """Return the time after which a caller disconnects, in seconds."""
         return self.patience_seconds or 2 * self.limit_seconds
 
     def rate_at(self, seconds: float) -> float:
-        """Return the arrivals a second at that time."""
+        """Return the arrivals per second at `seconds` from the start."""
         rate = self.rate
         for burst in self.bursts:
             if burst.start_seconds <= seconds < burst.end_seconds:
@@ -101,7 +101,7 @@
 
     @property
     def highest_rate(self) -> float:
-        """Return a bound of `rate_at`."""
+        """Return an upper bound of `rate_at`."""
         rate = self.rate
         for burst in self.bursts:
             rate *= max(1.0, burst.factor)
@@ -110,14 +110,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """One request, ready to send at its time.
+    """One request and the time to send it at.
 
     Parameters
     ----------
     at_seconds
-        Intended time, from the start of the run.
+        Intended send time, from the start of the run.
     id
-        Unique within the run; sent as Idempotency-Key and within the prompt.
+        Unique within the run; sent as Idempotency-Key and in the prompt.
     answer_tokens
         Length of the whole answer; 0 for a plain service.
     """
@@ -139,38 +139,38 @@
     duration_seconds: float,
     seed: int,
 ) -> list[Arrival]:
-    """Return the arrivals of all classes, by time.
+    """Return the arrivals of all classes, sorted by time.
 
-    Each class draws from a generator of its own, so that changing one class
-    leaves the others' arrivals as they are.
+    Each class has a random number generator of its own, so that changing one
+    class does not change the arrivals of the others.
     """
     found = []
     for traffic_class in classes:
-        draws = random.Random(f"{seed}:{traffic_class.name}")
-        times = _times(traffic_class, duration_seconds, draws)
+        rng = random.Random(f"{seed}:{traffic_class.name}")
+        times = _times(traffic_class, duration_seconds, rng)
         for number, at_seconds in enumerate(times):
-            (caller,) = draws.choices(
+            (caller,) = rng.choices(
                 callers, weights=[c.weight for c in callers]
             )
             arrival_id = f"{seed}-{traffic_class.name}-{number}"
             found.append(
-                _arrival(arrival_id, at_seconds, traffic_class, caller, draws)
+                _arrival(arrival_id, at_seconds, traffic_class, caller, rng)
             )
     return sorted(found, key=lambda arrival: arrival.at_seconds)
 
 
 def _times(
-    traffic_class: TrafficClass, duration_seconds: float, draws: random.Random
+    traffic_class: TrafficClass, duration_seconds: float, rng: random.Random
 ) -> list[float]:
-    highest = traffic_class.highest_rate
+    max_rate = traffic_class.highest_rate
     times: list[float] = []
-    if highest <= 0:
+    if max_rate <= 0:
         return times
-    seconds = draws.expovariate(highest)
+    seconds = rng.expovariate(max_rate)
     while seconds < duration_seconds:
-        if draws.random() * highest < traffic_class.rate_at(seconds):
+        if rng.random() * max_rate < traffic_class.rate_at(seconds):
             times.append(seconds)
-        seconds += draws.expovariate(highest)
+        seconds += rng.expovariate(max_rate)
     return times
 
 
@@ -179,14 +179,14 @@
     at_seconds: float,
     traffic_class: TrafficClass,
     caller: Caller,
-    draws: random.Random,
+    rng: random.Random,
 ) -> Arrival:
-    group = draws.randrange(max(1, traffic_class.prefix_groups))
-    beginning = f"{caller.organisation}/{traffic_class.name}/{group} "
-    room = max(0, traffic_class.prompt_bytes - len(beginning))
-    filler = (_FILLER * (room // len(_FILLER) + 1))[:room]
-    content = f"{beginning}{filler} {arrival_id}"
-    length = traffic_class.median_tokens * draws.lognormvariate(
+    group = rng.randrange(max(1, traffic_class.prefix_groups))
+    prefix = f"{caller.organisation}/{traffic_class.name}/{group} "
+    filler_length = max(0, traffic_class.prompt_bytes - len(prefix))
+    filler = (_FILLER * (filler_length // len(_FILLER) + 1))[:filler_length]
+    content = f"{prefix}{filler} {arrival_id}"
+    length = traffic_class.median_tokens * rng.lognormvariate(
         0.0, traffic_class.tokens_sigma
     )
     tokens = max(1, min(traffic_class.longest_tokens, round(length)))
