--- a/packages/standins/src/lagoonrun_standins/reference_pages.py
+++ b/packages/standins/src/lagoonrun_standins/reference_pages.py
@@ -1,10 +1,10 @@
-"""`make docs`: writes the pages under docs/reference from the code.
+"""`make docs`: generates the pages under docs/reference from the code.
 
-The catalogue of log events gets its column of fields besides.
+It also updates the fields column in the catalogue of log events.
 
-The pages follow the checked types, the readers of the TOML files, the
-registry of subcommands and the registry of metrics; a test compares what is
-committed with what this module writes.
+The pages are generated from the typed models, the readers of the TOML files,
+the registry of subcommands and the registry of metrics. A test compares the
+committed pages with the output of this module.
 """
 
 import dataclasses
@@ -26,63 +26,77 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Section:
-    """One table of keys: heading, words before it, type and probe."""
+    """One table of keys.
+
+    Parameters
+    ----------
+    introduction
+        Text between the heading and the table.
+    kind
+        Dataclass whose fields are the keys.
+    excluded_fields
+        Fields that are not keys.
+    probe
+        Returns the faults of a table of this section.
+    """
 
     heading: str
-    words: str
+    introduction: str
     kind: type
-    without: tuple[str, ...]
+    excluded_fields: tuple[str, ...]
     probe: value_rules.Probe
 
 
 _DECLARATION_SECTIONS = (
     _Section(
         heading="`[profiles.NAME]`",
-        words="A class of requests. Where `idempotent` is false, "
+        introduction="A class of requests. Where `idempotent` is false, "
         "`retry_ratio` is 0 and `maximum_attempts` is 1 by default, and "
         "nothing else is valid.",
         kind=model.Profile,
-        without=("name",),
+        excluded_fields=("name",),
         probe=value_rules.probe_named("profiles"),
     ),
     _Section(
         heading="`[organisations.ID]`",
-        words="A customer. `lagoonrun keys` makes a key and its digest.",
+        introduction="A customer. `lagoonrun keys` makes a key and its digest.",
         kind=model.Organisation,
-        without=("id",),
+        excluded_fields=("id",),
         probe=value_rules.probe_named("organisations"),
     ),
     _Section(
         heading="`[services.NAME]`",
-        words="What callers ask for. A `model` service has `models` and no "
+        introduction="What callers ask for. A `model` service has `models` "
+        "and no "
         "`path_prefix`; a `plain` one the other way round.",
         kind=model.Service,
-        without=("name",),
+        excluded_fields=("name",),
         probe=value_rules.probe_service,
     ),
     _Section(
         heading="`[[pools.NAME.upstreams]]`",
-        words="One upstream of a pool. `[pools.NAME]` itself may hold "
+        introduction="One upstream of a pool. `[pools.NAME]` itself may hold "
         "`port`, `slots`, `resumes`, `cancels` and `checks_fencing` for all "
         "its upstreams that do not say otherwise.",
         kind=model.Upstream,
-        without=("pool",),
+        excluded_fields=("pool",),
         probe=value_rules.probe_upstream,
     ),
     _Section(
         heading="`[[placements]]`",
-        words="How many upstreams of a pool in a domain hold a model.",
+        introduction="How many upstreams of a pool in a domain hold a model.",
         kind=model.Placement,
-        without=(),
+        excluded_fields=(),
         probe=value_rules.probe_placement,
     ),
     _Section(
         heading="`[domains.NAME]`",
-        words="A failure domain. It need not be declared; without "
+        introduction="A failure domain. It need not be declared; "
+        "without "
         "declarations all domains are one region. "
         "See [regions](../how-to/declare-regions.md).",
         kind=model.Domain,
-        without=("name",),
+        excluded_fields=("name",),
         probe=value_rules.probe_named("domains"),
     ),
 )
@@ -99,12 +113,12 @@
 
 
 def settings_page() -> str:
-    """Return the page of a daemon's settings file."""
+    """Return the page on the settings file of a daemon."""
     section = _Section(
         heading="Keys",
-        words="",
+        introduction="",
         kind=settings.Settings,
-        without=("experiment",),
+        excluded_fields=("experiment",),
         probe=value_rules.probe_settings,
     )
     lines = [
@@ -131,7 +145,7 @@
 
 
 def declarations_page() -> str:
-    """Return the page of operators' declarations."""
+    """Return the page on the declarations."""
     lines = [
         "# Declarations",
         "",
@@ -146,13 +160,13 @@
         "`lagoonrun get` writes, says what the files started from.",
     ]
     for section in _DECLARATION_SECTIONS:
-        lines += ["", f"## {section.heading}", "", section.words, ""]
+        lines += ["", f"## {section.heading}", "", section.introduction, ""]
         lines += _key_table(section)
     return "\n".join(lines) + "\n"
 
 
 def command_line_page() -> str:
-    """Return the page of the operators' command line."""
+    """Return the page on the command line of operators."""
     lines = [
         "# Command line",
         "",
@@ -175,13 +189,13 @@
         f"| {int(code)} | {code.name.lower()} | {exit_codes.describe(code)} |"
         for code in exit_codes.ExitCode
     ]
-    for one in registry.COMMANDS:
-        lines += _command_lines(one)
+    for subcommand in registry.COMMANDS:
+        lines += _command_lines(subcommand)
     return "\n".join(lines) + "\n"
 
 
 def metrics_page() -> str:
-    """Return the page of a daemon's metrics."""
+    """Return the page on the metrics of a daemon."""
     lines = [
         "# Metrics",
         "",
@@ -213,7 +227,7 @@
 
 
 def metric_families() -> Sequence[MetricFamily]:
-    """Return all metrics of a daemon, by name."""
+    """Return all metrics of a daemon, sorted by name."""
     found = []
     for value in vars(metrics.DaemonMetrics()).values():
         if hasattr(value, "describe"):
@@ -232,17 +246,17 @@
 
 def _labels_of(value: Any) -> tuple[str, ...]:
     own = getattr(value, "label_names", None)
-    # The library shows the labels of its own metrics nowhere else.
+    # prometheus_client has no public attribute for the labels of its metrics.
     return tuple(own if own is not None else value._labelnames)
 
 
-def _command_lines(one: command.Command) -> list[str]:
+def _command_lines(subcommand: command.Command) -> list[str]:
     return [
         "",
-        f"## `lagoonrun {one.name}`",
+        f"## `lagoonrun {subcommand.name}`",
         "",
         "```",
-        command_line.help_text(one).rstrip(),
+        command_line.help_text(subcommand).rstrip(),
         "```",
     ]
 
@@ -251,7 +265,7 @@
     fields = [
         field
         for field in dataclasses.fields(section.kind)
-        if field.name not in section.without
+        if field.name not in section.excluded_fields
     ]
     rules = value_rules.rules_by_key(
         [field.name for field in fields], section.probe
@@ -268,14 +282,14 @@
 
 
 def parameter_texts(kind: type) -> Mapping[str, str]:
-    """Return the text of each parameter in a NumPy-style docstring."""
+    """Return the description of each parameter of a NumPy-style docstring."""
     doc = inspect.getdoc(kind) or ""
     _, _, section = doc.partition("Parameters\n----------\n")
     texts: dict[str, str] = {}
     for match in re.finditer(r"^(\S.*)\n((?:    .*\n?)+)", section, re.M):
-        words = " ".join(match.group(2).split())
+        description = " ".join(match.group(2).split())
         for name in match.group(1).split(", "):
-            texts[name] = words
+            texts[name] = description
     return texts
 
 
