--- a/packages/standins/src/lagoonrun_standins/router_samples.py
+++ b/packages/standins/src/lagoonrun_standins/router_samples.py
@@ -1,4 +1,4 @@
-"""Declarations, upstreams and calls of the router, for tests."""
+"""Factories of the router's declarations, upstreams and calls, for tests."""
 
 import dataclasses
 import hashlib
@@ -12,7 +12,7 @@
 
 
 def make_profile(**changes) -> model.Profile:
-    """Return a class of requests that may run once."""
+    """Return a profile whose requests may run at most once."""
     values = {
         "name": "lookup",
         "tier": 1,
@@ -25,7 +25,10 @@
 
 
 def make_route(**changes) -> declarations.Route:
-    """Return a route of the pool `portal`; profile fields go by their name."""
+    """Return a route to the pool `portal`.
+
+    `changes` may name fields of the route and of its profile.
+    """
     fields = {one.name for one in dataclasses.fields(model.Profile)} - {"name"}
     profile = {key: changes.pop(key) for key in fields & changes.keys()}
     values = {
@@ -39,7 +42,7 @@
 
 
 def make_stream_route(**changes) -> declarations.Route:
-    """Return a route whose answers are events."""
+    """Return a route whose answers are event streams."""
     values = {
         "answer_kind": declarations.AnswerKind.EVENTS,
         "longest_pause_seconds": 0.5,
@@ -48,7 +51,7 @@
 
 
 def make_declarations(*routes, **changes) -> declarations.Declarations:
-    """Return a revision with the given routes and one organisation."""
+    """Return declarations with the given routes and one organisation."""
     values = {
         "revision": 1,
         "routes": routes or (make_route(),),
@@ -72,7 +75,7 @@
 
 
 def make_registration(id: str = "u-1", **changes) -> upstreams.Registration:
-    """Return an upstream of the pool `portal`."""
+    """Return the registration of an upstream of the pool `portal`."""
     values = {
         "pool": "portal",
         "domain": "north",
@@ -84,7 +87,7 @@
 
 
 def make_call(**changes) -> call.Call:
-    """Return a resolved call; the fields of its route and attributes by `call`."""
+    """Return a resolved call; `changes` name fields of `call.Call`."""
     values = {
         "attributes": call.CallAttributes(request_id="r-1", host="portal.test"),
         "head": http_messages.RequestHead(method="GET", target="/lookups/1"),
--- a/packages/standins/src/lagoonrun_standins/router_upstream.py
+++ b/packages/standins/src/lagoonrun_standins/router_upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams on loopback whose answers a test writes as functions."""
+"""Upstreams on loopback whose answers a test defines as functions."""
 
 import asyncio
 
@@ -11,12 +11,16 @@
 
 
 class Upstream:
-    """A real listener whose answers a test writes as a function.
+    """An HTTP server whose answers a test defines as a function.
 
     Attributes
     ----------
-    heads
-        Request heads in order of arrival.
+    heads, bodies
+        Request heads and bodies in order of arrival.
+    arrived
+        Set once a request has arrived.
+    cancelled
+        Set once an answer has ended after its caller disconnected.
     """
 
     def __init__(self, answer, *, id: str):
@@ -35,11 +39,11 @@
         )
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self):
-        """Stop at once."""
+        """Stop listening."""
         await self._server.close()
 
     @property
@@ -48,7 +52,7 @@
         return self._server.port
 
     async def handle(self, exchange: exchanges.Exchange):
-        """Keep the request and answer by the test's function."""
+        """Record the request and answer it with the test's function."""
         self.heads.append(exchange.head)
         self.bodies.append(await exchange.read_body())
         self.arrived.set()
@@ -59,13 +63,17 @@
                 self.cancelled.set()
 
 
-def marked(exchange: exchanges.Exchange, **more) -> http_messages.Headers:
-    """Return the headers of a genuine answer to a request."""
+def marked(
+    exchange: exchanges.Exchange, **extra_headers
+) -> http_messages.Headers:
+    """Return the headers that `PlainDialect` accepts as a genuine answer's."""
     pairs = [
         ("X-Request-Id", exchange.head.headers.get("X-Request-Id") or ""),
         ("Mark", "genuine"),
     ]
-    pairs += [(name.replace("_", "-"), value) for name, value in more.items()]
+    pairs += [
+        (name.replace("_", "-"), value) for name, value in extra_headers.items()
+    ]
     return http_messages.Headers(pairs=pairs)
 
 
@@ -75,24 +83,31 @@
 
 
 async def answer_500(exchange: exchanges.Exchange):
-    """Answer that the work failed."""
+    """Answer that the request failed."""
     await exchange.respond(status=500, headers=marked(exchange), body=b"oops")
 
 
 async def answer_not_run(exchange: exchanges.Exchange):
-    """Answer that nothing was run."""
+    """Answer that the request was not run."""
     await exchange.respond(
         status=503, headers=marked(exchange, Not_Run="1"), body=b""
     )
 
 
 async def answer_never(exchange: exchanges.Exchange):
-    """Stay silent until the caller leaves."""
+    """Send nothing until the caller disconnects."""
     await exchange.caller_left.wait()
 
 
 def answer_events(*events: bytes, then: str = "finish"):
-    """Return an answer of events; `then` is finish, abort or hang."""
+    """Return a function that answers with `events`.
+
+    Parameters
+    ----------
+    then
+        What follows the events: `finish`, `abort`, or `hang` until the caller
+        disconnects.
+    """
 
     async def answer(exchange: exchanges.Exchange):
         await exchange.start(
--- a/packages/standins/src/lagoonrun_standins/router_words.py
+++ b/packages/standins/src/lagoonrun_standins/router_words.py
@@ -1,4 +1,4 @@
-"""A platform's manner of speaking with few words, for tests of the router."""
+"""Minimal dialect and store layout of a platform, for tests of the router."""
 
 import dataclasses
 import json
@@ -8,10 +8,10 @@
 
 
 class PlainDialect:
-    """A dialect with few words, for tests."""
+    """Minimal dialect with one header per attribute."""
 
     def read_attributes(self, head):
-        """Read the id, the host, the key and the patience."""
+        """Read the call's attributes from the request headers."""
         id = head.headers.get("X-Request-Id")
         if not id:
             raise format_error.FormatError(
@@ -31,7 +31,7 @@
     def upstream_head(
         self, call, *, upstream, remaining_seconds, resume_after, urgency
     ):
-        """Name the upstream, the time left and where to go on."""
+        """Add the upstream, the remaining time and the resume position."""
         headers = call.head.headers.without(("Authorization", "Resume-After"))
         headers = headers.with_added("Expected", upstream.id)
         headers = headers.with_added("Left", f"{remaining_seconds:.3f}")
@@ -40,19 +40,19 @@
         return dataclasses.replace(call.head, headers=headers)
 
     def says_not_run(self, head):
-        """Return whether the answer has the word for it."""
+        """Return whether the answer has the header `Not-Run`."""
         return "Not-Run" in head.headers
 
     def is_misdirected(self, head):
-        """Return whether the status says so."""
+        """Return whether the status is 421."""
         return head.status == 421
 
     def is_genuine(self, head):
-        """Return whether the answer has a mark."""
+        """Return whether the answer has the header `Mark`."""
         return "Mark" in head.headers
 
     def read_notice(self, head):
-        """Return what the answer says of its upstream."""
+        """Return the upstream's rate limit, leaving state and back-off."""
         limit = head.headers.get("Limit")
         rest = head.headers.get("Retry-After") if head.status == 503 else None
         return upstream_notice.UpstreamNotice(
@@ -63,7 +63,10 @@
 
 
 class PlainLayout:
-    """A layout whose values name revisions and upstreams of the test."""
+    """Layout of a store whose values are revision numbers and JSON.
+
+    The test puts the declarations of a revision in `declared_by_revision`.
+    """
 
     declarations_key = "declared"
     upstreams_prefix = "upstreams/"
@@ -74,7 +77,7 @@
         self.declared_by_revision = {}
 
     def decode_declarations(self, value):
-        """Return what the test put for the revision in `value`."""
+        """Return the test's declarations for the revision number `value`."""
         try:
             return self.declared_by_revision[int(value)]
         except (ValueError, KeyError) as error:
@@ -83,7 +86,7 @@
             ) from error
 
     def decode_upstream(self, key, value):
-        """Return the registration in JSON."""
+        """Return the registration that `value` has as JSON."""
         try:
             return upstreams.Registration(**json.loads(value))
         except (ValueError, TypeError) as error:
--- a/packages/standins/src/lagoonrun_standins/router_world.py
+++ b/packages/standins/src/lagoonrun_standins/router_world.py
@@ -1,4 +1,4 @@
-"""A router process on loopback with its store, upstreams and callers."""
+"""Test environment of a router: its store, upstreams and callers."""
 
 import asyncio
 import dataclasses
@@ -19,12 +19,12 @@
 from lagoonrun_standins.router_words import PlainLayout
 
 WAIT_SECONDS = 10.0
-_LOOK_SECONDS = 0.005
+_POLL_SECONDS = 0.005
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """What a caller got: status 0 where the connection broke."""
+    """Answer received by a caller; status 0 if the connection broke."""
 
     status: int
     headers: dict[str, str]
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class World:
-    """One router process with what surrounds it."""
+    """One router with its store and upstreams."""
 
     router: router.Router
     store: memory_store.MemoryStore
@@ -42,7 +42,7 @@
     settings: settings.RouterSettings
     make_upstream: Callable[..., Awaitable[Upstream]]
     closing: list[asyncio.Task] = dataclasses.field(default_factory=list)
-    """Upstreams that are about to end; kept from being collected."""
+    """Tasks that stop upstreams; referenced here so they are not collected."""
 
     async def declare(self, *routes, revision: int = 1, **changes):
         """Write declarations into the store."""
@@ -52,43 +52,43 @@
         await self.put(self.layout.declarations_key, str(revision).encode())
 
     async def put(self, key: str, value: bytes):
-        """Write one key."""
+        """Write one key into the store."""
         await self.store.transact(
             comparisons=(), puts=[store_module.Put(key=key, value=value)]
         )
 
     async def keys(self, prefix: str) -> tuple[str, ...]:
-        """Return the keys of the store that begin so."""
+        """Return the keys of the store that start with `prefix`."""
         listing = await self.store.list_prefix(prefix, keys_only=True)
         return tuple(item.key for item in listing.items)
 
     async def remove(self, key: str):
-        """Delete one key."""
+        """Delete one key from the store."""
         await self.store.transact(comparisons=(), deletes=[key])
 
     async def register_at(self, id: str, port: int, **changes):
-        """Write the entry of whatever listens at `port`."""
+        """Write the registration of an upstream that listens on `port`."""
         entry = make_registration(id, port=port, **changes)
         value = json.dumps(dataclasses.asdict(entry)).encode()
         await self.put(f"{self.layout.upstreams_prefix}{id}", value)
 
     async def register(self, upstream: Upstream, **changes):
-        """Write an upstream's entry."""
+        """Write the registration of an upstream."""
         await self.register_at(upstream.id, upstream.port, **changes)
 
     async def add_upstream(self, answer=answer_whole, id: str = "u-1", **more):
-        """Start an upstream and write its entry."""
-        made = await self.make_upstream(answer, id)
-        await self.register(made, **more)
+        """Start and register an upstream; wait until the router has it."""
+        upstream = await self.make_upstream(answer, id)
+        await self.register(upstream, **more)
         await wait_for(lambda: self.knows(id))
-        return made
+        return upstream
 
     def knows(self, id: str) -> bool:
-        """Return whether the router has an upstream."""
+        """Return whether the router has the registration of an upstream."""
         return any(one.id == id for one in self.router.directory.registrations)
 
     async def ready(self):
-        """Wait until the router takes callers."""
+        """Wait until the router is ready for callers."""
         await wait_for(lambda: self.router.ready)
 
     async def ask(self, path="/lookups/1", **options) -> Answer:
@@ -109,13 +109,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Caller:
-    """One connection of a caller."""
+    """A caller with one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     def send(self, path, *, method="GET", id="r-1", body=b"", headers=()):
-        """Write a request."""
+        """Send a request."""
         lines = [
             f"{method} {path} HTTP/1.1",
             "Host: portal.test",
@@ -134,7 +134,7 @@
             return await self.answer()
 
     async def answer(self) -> Answer:
-        """Read one answer."""
+        """Read one answer, fixed-length or chunked."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -166,14 +166,14 @@
 
 
 async def wait_for(condition, seconds: float = WAIT_SECONDS):
-    """Wait until a condition holds, for a bounded time."""
+    """Wait until `condition` holds; raise TimeoutError after `seconds`."""
     async with asyncio.timeout(seconds):
         while True:
             if condition():
                 return
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on."""
+    """Return reserved ports on which nothing listens."""
     return [reserved_ports.reserve(HOST) for _ in range(count)]
