--- a/packages/membership/src/lagoonrun_membership/composer.py
+++ b/packages/membership/src/lagoonrun_membership/composer.py
@@ -81,7 +81,7 @@
         )
 
     def digests(self) -> tuple[int, ...]:
-        """Return a digest per part of the member table and the upstreams'."""
+        """Return the digest of each member table part, then the upstreams'."""
         return (*self._members.records.digests, self._upstreams.digest)
 
     def is_accused(self, entry_vm: types.EntryVmId) -> bool:
@@ -122,7 +122,7 @@
             self._member_news.discard(entry_vm)
 
     def collect_summaries(self, *, now: float) -> list[messages.ShardSummary]:
-        """Queue other domains' shards for the members of the own domain."""
+        """Queue other domains' new summaries for the own domain; return them."""
         collected = []
         for shard in self._shards.pop_changed():
             summary = self._shards.other_domain_summary(shard, now)
@@ -244,11 +244,12 @@
     def _select_shards(
         self, target: types.EntryVmId | None, size: int, now: float
     ) -> tuple[list[messages.ShardSummary], int]:
-        """Return summaries, which are forwarded in the own domain only."""
+        """Return summaries, if `target` is in the own domain, and bytes left."""
         view = self._members.view(target) if target is not None else None
         if view is None or view.domain != self._members.own.domain:
             return [], size
-        # Updates that each member sends this often have reached the domain.
+        # A summary that each member has sent this often has reached all of the
+        # domain.
         peers = len(self._members.others_in(view.domain))
         queued = self._shard_news.select(
             size=min(size, _SHARD_BYTES),
--- a/packages/membership/src/lagoonrun_membership/digests.py
+++ b/packages/membership/src/lagoonrun_membership/digests.py
@@ -2,7 +2,7 @@
 
 A table is split into a fixed number of parts by the hash of the entry's name.
 The digest of a part is the XOR of its entries' hashes, so that a changed entry
-costs two operations.
+costs two XOR operations.
 """
 
 from collections.abc import Iterable
--- a/packages/membership/src/lagoonrun_membership/members.py
+++ b/packages/membership/src/lagoonrun_membership/members.py
@@ -61,7 +61,7 @@
         self.refutations = 0
         self.records.add(records.Record(update=own))
 
-    # Reading.
+    # Queries.
 
     def __len__(self) -> int:
         """Return the number of members that are not dead, self included."""
@@ -122,7 +122,7 @@
             )
         )
 
-    # Results of the events.
+    # Pending results of earlier events.
 
     def pop_news(self) -> tuple[types.EntryVmId, ...]:
         """Return and clear the members with updates to be sent."""
--- a/packages/membership/src/lagoonrun_membership/membership.py
+++ b/packages/membership/src/lagoonrun_membership/membership.py
@@ -260,7 +260,7 @@
             await asyncio.sleep(0)
 
     async def _sleep(self, seconds: float) -> None:
-        """Sleep until a datagram makes the next deadline earlier."""
+        """Sleep for `seconds`, or until the next deadline becomes earlier."""
         self._deadline_moved.clear()
         try:
             async with asyncio.timeout(seconds):
--- a/packages/membership/src/lagoonrun_membership/prober.py
+++ b/packages/membership/src/lagoonrun_membership/prober.py
@@ -75,7 +75,7 @@
         self._period = 0
 
     def next_deadline(self) -> float:
-        """Return when `check_deadlines` or `sync` is due next."""
+        """Return the clock reading at which a deadline or sync is due next."""
         return min(self._next_sync_at, self._pending.next_deadline())
 
     def restart(self) -> None:
@@ -134,9 +134,9 @@
         """Probe members at once that others report dead.
 
         After a network partition heals, each side reports members of the
-        other dead. Those members would otherwise learn of it too late to
-        refute it. The number is limited so that one datagram doesn't cause a
-        burst of probes.
+        other dead. Without a probe, those members would learn of the report
+        too late to refute it. The number is limited so that one datagram
+        doesn't cause a burst of probes.
         """
         disputed = self._table.pop_disputed()
         for target in disputed[:_MAXIMUM_DISPUTED_PROBES]:
@@ -146,8 +146,8 @@
         """Schedule a sync if this process lacks much of the table.
 
         A process that has just joined or resumed syncs until its table is
-        complete, instead of getting one part of it per period. A process that
-        has joined doesn't sync over a few updates, which reach it anyway;
+        complete, instead of getting one part of it per period. After that, it
+        doesn't sync for a few missing updates, which reach it anyway;
         otherwise one join would make the whole fleet sync.
         """
         if not differing:
@@ -234,7 +234,7 @@
         Dead members are not probed otherwise. After a network partition that
         outlasted the suspicion timeout, each side would consider the other
         dead forever. With these probes, either side finds the other again, and
-        the answer carries the state that the other side has for the prober.
+        the answer contains the record of this process that it has to refute.
         """
         is_alone = len(self._table) == 1
         if not is_alone and self._period % self._timing.rejoin_periods:
--- a/packages/membership/src/lagoonrun_membership/probes.py
+++ b/packages/membership/src/lagoonrun_membership/probes.py
@@ -21,9 +21,9 @@
     Parameters
     ----------
     sent_at
-        When it was sent.
+        Clock reading in seconds when it was sent.
     direct_deadline
-        When other members are asked to probe; None once they were.
+        When other members are asked to probe; None once they were asked.
     deadline
         When the target is suspected.
     """
@@ -188,11 +188,11 @@
         return self._indirect_by_sequence.pop(sequence, None)
 
     def record_miss(self) -> None:
-        """Record an unexpected failure or a suspicion of this process."""
+        """Record an unexpected missing answer or a suspicion of this process."""
         self._score = min(_MAXIMUM_HEALTH_SCORE, self._score + 1)
 
     def pop_direct_timeouts(self, now: float) -> list[Probe]:
-        """Return each probe once that is due for indirect probes."""
+        """Return the probes newly due for indirect probes, each only once."""
         late = [
             probe
             for probe in self._probes_by_sequence.values()
--- a/packages/membership/src/lagoonrun_membership/ranking.py
+++ b/packages/membership/src/lagoonrun_membership/ranking.py
@@ -29,7 +29,7 @@
 ) -> tuple[types.EntryVmId, ...]:
     """Return the entry VMs of `domain` that watch the configuration.
 
-    There are two, if there are as many candidates, so that the loss of one
+    Two are chosen, if there are enough candidates, so that the loss of one
     causes no delay.
     """
     ranked = _ranked(_WATCHER_PREFIX + domain, candidates)
--- a/packages/membership/src/lagoonrun_membership/records.py
+++ b/packages/membership/src/lagoonrun_membership/records.py
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Record:
-    """State of one member; the other fields replace `update.state`.
+    """One member; the other fields, not `update.state`, give its state.
 
     Parameters
     ----------
@@ -19,9 +19,10 @@
     leaving
         Whether the member announced that it is leaving.
     suspect_until
-        When the suspected member is marked dead; None if it isn't suspected.
+        Clock reading in seconds at which the suspected member is marked dead;
+        None if it isn't suspected.
     dead_since
-        When it was marked dead; None if it is alive.
+        Clock reading when it was marked dead; None if it isn't dead.
     digest
         Its hash in the digest of its part.
     """
--- a/packages/membership/src/lagoonrun_membership/shards.py
+++ b/packages/membership/src/lagoonrun_membership/shards.py
@@ -31,7 +31,7 @@
     """Looks up the region of a domain."""
 
     def __call__(self, domain: types.FailureDomain, /) -> types.Region:
-        """Return the region of `domain`; the same one for all if unknown."""
+        """Return the region of `domain`; domains of unknown region share one."""
 
 
 def receiving_domains(
--- a/packages/membership/src/lagoonrun_membership/updates.py
+++ b/packages/membership/src/lagoonrun_membership/updates.py
@@ -18,7 +18,7 @@
 
 
 class UpdateQueue(Generic[_Item]):
-    """Updates by key; the least often sent, then the newest, go first.
+    """Updates by key, least often sent first, among equals the newest first.
 
     A newer update of a key replaces the older, so that the queue has at most
     one entry per member, upstream or shard. When it is full, the entry that
--- a/packages/membership/src/lagoonrun_membership/upstreams.py
+++ b/packages/membership/src/lagoonrun_membership/upstreams.py
@@ -2,8 +2,8 @@
 
 The platform's list, an upstream's own report and updates from peers are
 applied alike. Within one incarnation, *leaving* from any source wins and is
-never revoked: the list lags, so its "live" may be older. Only a newer
-incarnation, which is a new process of the upstream, is not leaving.
+never revoked: the list lags, so it may still show the upstream as live. Only a
+higher incarnation, that of a new process of the upstream, can end it.
 """
 
 import collections
@@ -56,7 +56,7 @@
         )
 
     def page(self, *, size: int) -> list[messages.UpstreamUpdate]:
-        """Return the next leaving upstreams that fit into `size` bytes."""
+        """Return the next leaving upstreams, in rotation, up to `size` bytes."""
         leaving = tuple(self._leaving)
         page = []
         for _ in leaving:
