--- a/packages/cli/src/lagoonrun_cli/entry_vms.py
+++ b/packages/cli/src/lagoonrun_cli/entry_vms.py
@@ -51,7 +51,7 @@
 
     @property
     def state(self) -> str:
-        """Membership state recorded by other entry VMs."""
+        """Membership state from gossip; without one, whether it responded."""
         if self.gossip is not None:
             return str(self.gossip.get("state", ""))
         return _ALIVE if self.status is not None else "unreachable"
@@ -177,19 +177,19 @@
 
 
 def _merge_gossip(responses: _Responses) -> dict[str, dict[str, Any]]:
-    """Return the newest record of each member, by its incarnation."""
+    """Return each member's newest record, by incarnation and revision."""
     merged: dict[str, dict[str, Any]] = {}
     for response in responses.values():
         if not _is_status(response):
             continue
         for member in response.value.get("members", ()):
             known = merged.get(member["entry_vm"])
-            if known is None or _age_key(member) > _age_key(known):
+            if known is None or _recency_key(member) > _recency_key(known):
                 merged[member["entry_vm"]] = member
     return merged
 
 
-def _age_key(member: dict[str, Any]) -> tuple[int, int]:
+def _recency_key(member: dict[str, Any]) -> tuple[int, int]:
     return (int(member["incarnation"]), int(member["revision"]))
 
 
--- a/packages/cli/src/lagoonrun_cli/explain_sections.py
+++ b/packages/cli/src/lagoonrun_cli/explain_sections.py
@@ -91,7 +91,7 @@
 
 
 def _service(record: dict[str, Any]) -> str:
-    """Format the expected service time; too few samples give none."""
+    """Format the expected service time; it is 0 with too few samples."""
     seconds = record["expected_service_seconds"]
     samples = record["expected_samples"]
     if seconds == 0:
--- a/packages/cli/src/lagoonrun_cli/log_causes.py
+++ b/packages/cli/src/lagoonrun_cli/log_causes.py
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CauseGroup:
-    """Attributes that requests are counted by; `moment` is the interval."""
+    """Attributes to count requests by; `moment` is an interval's start."""
 
     cause: Cause
     profile: str
@@ -65,7 +65,8 @@
         Number of requests without a response in time, by group.
     reread_tokens
         Tokens of shared prompt parts that were prefilled again, because the
-        request went to another upstream than the one that had just done so.
+        request went to another upstream than the one that had just prefilled
+        them.
     """
 
     requests: int
--- a/packages/cli/src/lagoonrun_cli/log_explanation.py
+++ b/packages/cli/src/lagoonrun_cli/log_explanation.py
@@ -60,9 +60,9 @@
     request_lines
         Lines with the request's id, of all entry VMs.
     state_changes
-        The latest lines before its end in which the entry VMs that processed
-        it logged a state change of its upstreams, their peers, the store or
-        the configuration.
+        The latest state changes before its end that the entry VMs that
+        processed it logged: of its upstreams, their peers, the store or the
+        configuration. Also the crashes of upstreams that ran it or a copy.
     causes
         Sentences made from the fields of those lines, most likely first.
     """
--- a/packages/cli/src/lagoonrun_cli/main.py
+++ b/packages/cli/src/lagoonrun_cli/main.py
@@ -81,7 +81,7 @@
 
 
 def main(arguments: Sequence[str]) -> exit_codes.ExitCode:
-    """Run one command line of the shell."""
+    """Run one command line on the standard streams; return its exit code."""
     # Log lines of the libraries are for daemons; operators get one line.
     logging.getLogger("lagoonrun").addHandler(logging.NullHandler())
     logging.getLogger("lagoonrun").propagate = False
--- a/packages/cli/src/lagoonrun_cli/operator_settings.py
+++ b/packages/cli/src/lagoonrun_cli/operator_settings.py
@@ -25,7 +25,7 @@
     platform
         Addresses of the platform's gateway, tried in order.
     entry_vms
-        Admin addresses of some entry VMs; these return the others.
+        Admin addresses of some entry VMs; the others are discovered from them.
     admin_token
         Bearer token of the admin addresses; empty for none. Never printed.
     operator
--- a/packages/cli/src/lagoonrun_cli/status_tables.py
+++ b/packages/cli/src/lagoonrun_cli/status_tables.py
@@ -191,7 +191,7 @@
 
 
 def _rank(shard: dict[str, Any]) -> tuple[bool, bool]:
-    """Rank the dispatcher that the ranking selects above a previous one."""
+    """Return a sort key, highest for the dispatcher that ranking selects."""
     here = bool(shard["dispatched_here"])
     return (here and shard["dispatcher"] == shard["told_by"], here)
 
