--- a/packages/membership/src/lagoonrun_membership/timing.py
+++ b/packages/membership/src/lagoonrun_membership/timing.py
@@ -32,12 +32,14 @@
     rejoin_periods
         Periods between two probes of dead members and seeds.
     fan_out_own_domain, fan_out_other_domains
-        Number of members that urgent updates are sent to at once.
+        Number of members of the own domain, and of other domains, that urgent
+        updates are sent to at once.
     urgent_burst
         Maximum number of urgent fan-outs in a burst; one more is allowed each
         period.
     sync_interval_seconds
-        Interval between two syncs of a process whose table differs much.
+        Interval between two syncs of a process whose table lacks much of its
+        peers'.
     summary_maximum_age_seconds
         Age from which a shard's summary is no longer used.
     summary_domains
