--- a/packages/daemon/src/lagoonrun_daemon/__init__.py
+++ b/packages/daemon/src/lagoonrun_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The router process of an entry VM."""
+"""The `lagoonrund` daemon, the process of an entry VM."""
--- a/packages/daemon/src/lagoonrun_daemon/daemon.py
+++ b/packages/daemon/src/lagoonrun_daemon/daemon.py
@@ -44,7 +44,7 @@
 from lagoonrun_protocol import hub, messages
 
 _CLAIMS_SHARE = 0.4
-"""Part of the budget of calls to the platform that claims may use."""
+"""Fraction of the budget of platform calls that claims may use."""
 
 _HUB_FLUSH_SECONDS = 1.0
 
@@ -56,9 +56,9 @@
 _STALLED_BODY_SECONDS = 15.0
 """Idle time within a response body after which the response counts as lost.
 
-A stopped engine keeps its connections open. After the first token, the time
-limit of such profiles no longer applies, so nothing else would detect the
-stall and the caller would be left with a truncated response.
+A stopped engine keeps its connections open. If the target of a profile is the
+first token, its time limit no longer applies after that token: nothing else
+would detect the stall, and the caller would be left with a truncated response.
 """
 
 
@@ -477,7 +477,7 @@
         """Ignore the summary: it is read from the membership when needed."""
 
     def is_watcher(self) -> bool:
-        """Return whether this entry VM watches the head for its domain."""
+        """Return whether this entry VM watches the platform for its domain."""
         live = self.members.eligible_in(self._settings.domain)
         chosen = ranking.choose_watchers(self._settings.domain, live)
         return self._settings.entry_vm in chosen
--- a/packages/daemon/src/lagoonrun_daemon/dispatcher.py
+++ b/packages/daemon/src/lagoonrun_daemon/dispatcher.py
@@ -136,8 +136,8 @@
     ) -> None:
         """Forward an upstream's state to the scheduler of its shard.
 
-        A new policy does not suffice: it has no liveness, so an upstream that
-        has returned would get no requests until a handover.
+        A new policy does not suffice: it never makes a leaving runner live
+        again, so a returned upstream would get no requests until a handover.
         """
         state = (
             policy_messages.UpstreamState.LEAVING
@@ -241,7 +241,7 @@
         """Return whether the profile is from a revision not yet known here.
 
         An ingress may receive a new revision first. A refusal would tell
-        callers that a class in force does not exist; instead the ingress
+        callers that a profile in force does not exist; instead the ingress
         repeats its request, here or elsewhere, until the revision arrives.
         """
         configuration = self._configuration
@@ -331,7 +331,7 @@
         return owned
 
     def _release(self, shard_id: types.ShardId) -> None:
-        """Redirect all waiting requests to the next dispatcher."""
+        """Stop dispatching a shard; redirect its waiting requests."""
         owned = self._owned_by_id.pop(shard_id)
         if owned.timer:
             owned.timer.cancel()
@@ -368,9 +368,9 @@
         leaving = self._view.leaving_upstreams()
         returned = owned.leaving - leaving
         owned.leaving = leaving
-        # A policy never makes a leaving runner live again, because its default
-        # does not state liveness: without this event, an upstream that has
-        # returned or whose drain has ended would never get requests again.
+        # A policy never makes a leaving runner live again, because LIVE is
+        # only its default: without this event, an upstream that has returned
+        # or whose drain has ended would never get requests again.
         for upstream in sorted(returned):
             self._apply_event(
                 shard_id,
--- a/packages/daemon/src/lagoonrun_daemon/execution.py
+++ b/packages/daemon/src/lagoonrun_daemon/execution.py
@@ -56,7 +56,7 @@
 
     @property
     def first_token_at(self) -> float | None:
-        """Time of the first streamed part; None if there was none."""
+        """Monotonic time of the first streamed part; None if there was none."""
         return self._delivery.relay.first_token_at
 
     @property
@@ -89,6 +89,7 @@
             self._once.settle(outcome)
 
     async def _try_once(self) -> outcomes.Ending | None:
+        """Make one attempt; return None if the call needs another one."""
         permit = await self._obtain_permit()
         if isinstance(permit, permit_types.PermitRefusal):
             return await self._refuse(permit)
@@ -186,7 +187,7 @@
             self._add_step("ended-past-limit", outcome.value)
 
     async def _after_loss(self, lost: attempt.Lost) -> outcomes.Ending | None:
-        """Retry if that is safe, else report the loss to the caller."""
+        """Return None if a retry is allowed, else report the loss."""
         self._add_step("lost", f"{lost.upstream}: {lost.detail}")
         if lost.reason is outcomes.Reason.UPSTREAM_MISMATCH:
             logs.emit(
@@ -215,7 +216,7 @@
         )
 
     async def _may_try_again(self, lost: attempt.Lost) -> bool:
-        """Use a retry if one is allowed, and wait for its backoff."""
+        """Return whether a retry is allowed, after waiting for its backoff."""
         self._attempts += 1
         profile = self._call.resolved.profile
         decided = self._services.budget.decide(
--- a/packages/daemon/src/lagoonrun_daemon/fleet.py
+++ b/packages/daemon/src/lagoonrun_daemon/fleet.py
@@ -164,9 +164,9 @@
         Parameters
         ----------
         spread_by
-            Hash key that selects two shards if there are more: requests
-            with the same prefix get the same two, and requests do not all
-            ask the one shard whose summary looks best.
+            Hash key that selects two shards if there are more, so that
+            requests with the same prefix get the same two, and not all
+            requests ask the one shard whose summary looks best.
         """
         shards_here = [
             shard.id
--- a/packages/daemon/src/lagoonrun_daemon/loads.py
+++ b/packages/daemon/src/lagoonrun_daemon/loads.py
@@ -79,8 +79,8 @@
     def _begin_read(self, upstream: model.Upstream) -> None:
         """Start reading a report, unless the previous read is pending.
 
-        Reads run concurrently: otherwise a frozen upstream would delay the
-        reports of other upstreams that they are leaving by its timeout.
+        Reads run concurrently: otherwise the timeout of a frozen upstream
+        would delay the reports of other upstreams that they are leaving.
         """
         if upstream.id in self._reads_by_id:
             return
@@ -132,8 +132,8 @@
         except ValueError:
             return
         if _LEAVING in values:
-            # A restarted upstream has a later start time, by which it returns
-            # to service after its previous process was leaving.
+            # A restarted upstream has a later start time, which returns it to
+            # service although its previous process was leaving.
             milliseconds = int(values.get(_STARTED_AT, 0.0) * 1000)
             self._on_leaving(
                 upstream,
--- a/packages/daemon/src/lagoonrun_daemon/lost_ingresses.py
+++ b/packages/daemon/src/lagoonrun_daemon/lost_ingresses.py
@@ -18,7 +18,7 @@
     If an entry VM is replaced quickly under the same name, the membership may
     never consider it dead, and the new process does not know the permits of
     the old one: their slots would stay occupied. A lost connection that no
-    digest follows reveals this.
+    message follows reveals this.
 
     Parameters
     ----------
--- a/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
+++ b/packages/daemon/src/lagoonrun_daemon/peer_snapshots.py
@@ -86,7 +86,7 @@
         revision: types.Revision,
         digest: snapshot.Digest,
     ) -> snapshot.Snapshot | None:
-        """Return a peer's snapshot, or None if it is not available.
+        """Return a peer's snapshot; None if unavailable or of another digest.
 
         The caller must set a timeout: a frozen peer does not reply.
         """
--- a/packages/daemon/src/lagoonrun_daemon/permit_types.py
+++ b/packages/daemon/src/lagoonrun_daemon/permit_types.py
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptKey:
-    """Identifies one permit request; the attempt number increases."""
+    """Identifies one permit request; later attempts have higher numbers."""
 
     request_id: types.RequestId
     attempt_id: types.AttemptId
--- a/packages/daemon/src/lagoonrun_daemon/permits.py
+++ b/packages/daemon/src/lagoonrun_daemon/permits.py
@@ -171,11 +171,10 @@
     ) -> bool:
         """Return whether the permit is recent enough to be used.
 
-        The upstream may be leaving by the time a process uses its permit if
-        it was frozen after the grant or waited long for a claim. A grant that
-        arrived while the process was frozen looks new when it is read, so no
-        permit is used that was requested before a stall. A permit requested
-        after the stall is valid as usual.
+        If the process was frozen after the grant or waited long for a claim,
+        the upstream may be leaving by now. A grant that arrived during the
+        freeze looks new when it is read, so a permit that was requested
+        before a stall is never used. One requested after it is valid as usual.
         """
         if self._stalls.stalled_since(permit.asked_at):
             return False
@@ -183,7 +182,7 @@
         return age <= maximum_age_seconds
 
     def on_member_gone(self, entry_vm: types.EntryVmId) -> None:
-        """Ask other dispatchers for all requests waiting at a dead one."""
+        """Send the requests that wait at a dead dispatcher to other ones."""
         for pending in list(self._pending_by_key.values()):
             if pending.dispatcher == entry_vm:
                 pending.settle(permit_types.DispatcherSilent())
@@ -474,8 +473,8 @@
     def send_periodic_digests(self) -> None:
         """Send all digests and skip dispatchers that reply to none.
 
-        If a dispatcher freezes after it has acknowledged requests, their own
-        timers are cancelled; only its missing replies to digests reveal it.
+        The timers of acknowledged requests are cancelled: if their dispatcher
+        freezes, only its missing replies to digests reveal it.
         """
         due = self._due_digests()
         dispatchers = [addressed.dispatcher for addressed in due]
--- a/packages/daemon/src/lagoonrun_daemon/reach.py
+++ b/packages/daemon/src/lagoonrun_daemon/reach.py
@@ -24,8 +24,8 @@
     skip_seconds
         How long the domain is skipped.
     until
-        Time at which it may be asked again; infinity while too few
-        dispatchers were silent.
+        Reading of the monotonic clock at which it may be asked again;
+        infinity while too few dispatchers were silent.
     """
 
     dispatchers: set[types.EntryVmId] = dataclasses.field(default_factory=set)
--- a/packages/daemon/src/lagoonrun_daemon/resolution.py
+++ b/packages/daemon/src/lagoonrun_daemon/resolution.py
@@ -45,6 +45,9 @@
 
     Parameters
     ----------
+    prefix_hash
+        Hash of the organisation and the start of the messages; 0 for a plain
+        service.
     model
         Model that the upstream must have loaded; empty if no placement of
         the service's pool names it.
--- a/packages/daemon/src/lagoonrun_daemon/shard_search.py
+++ b/packages/daemon/src/lagoonrun_daemon/shard_search.py
@@ -62,7 +62,7 @@
     ) -> permit_types.SilenceLimit | None:
         """Start to ask `shard`; return how long it may stay silent.
 
-        None, that is no limit, in the own domain.
+        Returns None in the own domain, where silence is not limited.
         """
         domain = membership_shards.domain_of(shard)
         fleet = self._services.fleet
@@ -71,7 +71,7 @@
             return None
         self._services.reach.begin_ask(domain)
         distance = fleet.distance_to(domain)
-        # A limit below the round trip would find each distant domain silent.
+        # Below its round-trip time, every distant domain would seem silent.
         allowed = max(
             self._silence_budget_seconds / 2, _ROUND_TRIPS_TO_REPLY * distance
         )
--- a/packages/daemon/src/lagoonrun_daemon/shards.py
+++ b/packages/daemon/src/lagoonrun_daemon/shards.py
@@ -100,7 +100,7 @@
 def class_policies(
     configuration: model.Configuration,
 ) -> dict[types.ProfileName, policy_messages.ClassPolicy]:
-    """Return the scheduling policies of all classes of `configuration`."""
+    """Return the scheduling policies of all profiles, by profile name."""
     return {
         profile.name: _class_policy(profile)
         for profile in configuration.profiles_by_name.values()
--- a/packages/daemon/src/lagoonrun_daemon/transport.py
+++ b/packages/daemon/src/lagoonrun_daemon/transport.py
@@ -11,7 +11,7 @@
     """Sends messages to entry VMs, including this one."""
 
     def send(self, to: types.EntryVmId, message: messages.Message) -> bool:
-        """Queue `message`; return False where it certainly will not go."""
+        """Queue `message`; return False if it will certainly not be sent."""
 
 
 class Receiver(Protocol):
@@ -44,7 +44,7 @@
         self._receiver = receiver
 
     def send(self, to: types.EntryVmId, message: messages.Message) -> bool:
-        """Queue `message`; return False where it certainly will not go."""
+        """Queue `message`; return False if it will certainly not be sent."""
         if to != self._entry_vm:
             return self._remote.send(to, message)
         if self._receiver is None:
--- a/packages/daemon/src/lagoonrun_daemon/upstream_reports.py
+++ b/packages/daemon/src/lagoonrun_daemon/upstream_reports.py
@@ -1,4 +1,4 @@
-"""Selection and distribution of the upstream reports read here."""
+"""Select the upstreams whose reports are read here; forward the reports."""
 
 from collections.abc import Sequence
 
--- a/packages/daemon/src/lagoonrun_daemon/work_digests.py
+++ b/packages/daemon/src/lagoonrun_daemon/work_digests.py
@@ -79,7 +79,7 @@
 
 
 class EmptyDigests:
-    """Send empty digests after the last request at a dispatcher has ended.
+    """Empty digests to send after the last request at a dispatcher ended.
 
     An ingress without requests at a dispatcher would send it no digest, and a
     permit whose end message was lost would occupy its slot indefinitely.
