--- a/packages/soak/src/lagoonrun_soak/caller.py
+++ b/packages/soak/src/lagoonrun_soak/caller.py
@@ -11,9 +11,9 @@
 from lagoonrun_standins import router_world
 from lagoonrun_users_platform import standin_messages
 
-_LONGEST_PAUSE_SECONDS = 0.25
+_MAX_PAUSE_SECONDS = 0.25
 _CONNECT_SECONDS = 1.0
-_PATIENCE_SLACK_SECONDS = 1.0
+_TIME_LIMIT_SLACK_SECONDS = 1.0
 _KEY_AGES_SECONDS = (None, 0.0, 2.5)
 """Keys that callers use: the one that is always there, the newest, and the
 newest that has to be in force everywhere (two seconds by the platform's
@@ -46,15 +46,15 @@
         name: str,
         kind: layout.RequestKind,
         target: vm.EntryVm,
-        seen: record.Record,
+        history: record.History,
         rng: random.Random,
-        crashing: str = "",
+        crashing_request: str = "",
     ) -> None:
-        self._crashing = crashing
+        self._crashing_request = crashing_request
         self._name = name
         self._kind = kind
         self._target = target
-        self._seen = seen
+        self._history = history
         self._rng = rng
         self._numbers = itertools.count()
         self._task: asyncio.Task[None] | None = None
@@ -77,10 +77,10 @@
             with contextlib.suppress(OSError, TimeoutError):
                 # A refused connection is no request; the next one follows.
                 await self._use_connection()
-            await asyncio.sleep(_LONGEST_PAUSE_SECONDS * self._rng.random())
+            await asyncio.sleep(_MAX_PAUSE_SECONDS * self._rng.random())
 
     async def _use_connection(self) -> None:
-        address = self._target.configured.caller
+        address = self._target.vm_settings.caller
         async with asyncio.timeout(_CONNECT_SECONDS):
             reader, writer = await asyncio.open_connection(
                 address.host, address.port
@@ -88,57 +88,61 @@
         connection = router_world.Caller(reader=reader, writer=writer)
         boot = self._target.boot
         try:
-            while await self._ask(connection, boot):
-                pause = _LONGEST_PAUSE_SECONDS * self._rng.random()
+            while await self._send_request(connection, boot):
+                pause = _MAX_PAUSE_SECONDS * self._rng.random()
                 await asyncio.sleep(pause)
         finally:
             writer.transport.abort()
 
-    async def _ask(self, connection: router_world.Caller, boot: int) -> bool:
+    async def _send_request(
+        self, connection: router_world.Caller, boot: int
+    ) -> bool:
         """Send one request; return whether the connection may be used on."""
-        ask, limit_seconds = self._write(connection, boot)
+        request, limit_seconds = self._write_request(connection, boot)
         try:
             async with asyncio.timeout(limit_seconds):
-                answer = await connection.answer()
+                response = await connection.answer()
         except (TimeoutError, OSError, ValueError):
-            ask.ended_at = time.monotonic()
+            request.ended_at = time.monotonic()
             return False
-        ask.ended_at = time.monotonic()
-        ask.status = answer.status
-        ask.body = answer.body
-        ask.whole = answer.whole
-        ask.reason = answer.headers.get(answers.REASON_HEADER.lower(), "")
-        ask.genuine = standin_messages.is_genuine(answer.headers)
-        closes = answer.headers.get("connection", "").lower() == "close"
-        return answer.whole and answer.status > 0 and not closes
+        request.ended_at = time.monotonic()
+        request.status = response.status
+        request.body = response.body
+        request.whole = response.whole
+        request.reason = response.headers.get(answers.REASON_HEADER.lower(), "")
+        request.genuine = standin_messages.is_genuine(response.headers)
+        closes = response.headers.get("connection", "").lower() == "close"
+        return response.whole and response.status > 0 and not closes
 
-    def _write(
+    def _write_request(
         self, connection: router_world.Caller, boot: int
-    ) -> tuple[record.Ask, float]:
+    ) -> tuple[record.CallerRequest, float]:
         now = time.monotonic()
         age = self._rng.choice(_KEY_AGES_SECONDS)
-        revision = 0 if age is None else self._seen.revision_at(now - age)
+        revision = 0 if age is None else self._history.revision_at(now - age)
         profile = self._kind.route.profile
-        ask = record.Ask(
+        request = record.CallerRequest(
             id=f"{self._name}-{next(self._numbers)}",
             kind=self._kind.name,
             vm=self._target.name,
             boot=boot,
             key_revision=revision,
             sent_at=now,
-            crashing=self._crashing,
+            crashing_request=self._crashing_request,
         )
-        self._seen.asks_by_id[ask.id] = ask
+        self._history.requests_by_id[request.id] = request
         connection.writer.write(
             standin_messages.request_bytes(
                 method="GET" if profile.idempotent else "POST",
                 host=layout.HOST,
                 path=f"{self._kind.route.path_prefix}x",
-                request_id=ask.id,
-                key=layout.key_of(revision) if revision else layout.STABLE_KEY,
+                request_id=request.id,
+                key=layout.added_key(revision)
+                if revision
+                else layout.STABLE_KEY,
                 patience_seconds=profile.limit_seconds,
                 prompt_tokens=self._kind.prompt_tokens,
-                body=upstream.crashing_body(self._crashing),
+                body=upstream.crashing_body(self._crashing_request),
             )
         )
-        return ask, profile.limit_seconds + _PATIENCE_SLACK_SECONDS
+        return request, profile.limit_seconds + _TIME_LIMIT_SLACK_SECONDS
--- a/packages/soak/src/lagoonrun_soak/checks.py
+++ b/packages/soak/src/lagoonrun_soak/checks.py
@@ -8,7 +8,7 @@
 from lagoonrun_core import outcomes
 from lagoonrun_soak import layout, notice_checks, record, upstream
 
-CONTACT_SECONDS = 3.0
+RECOVERY_SECONDS = 3.0
 """How long a fault goes on to excuse what depends on time."""
 
 _DRAIN_SECONDS = 2.0
@@ -19,28 +19,28 @@
 """For the way of a request and a busy machine."""
 
 _ROLLBACK_SECONDS = 0.5
-_LEAVE_TAKING_SECONDS = 1.0
+_STOP_GRACE_SECONDS = 1.0
 """After the signal to stop, requests of the callers that are still there are
 served for this time at least."""
 
-_CROSSING_SECONDS = 0.2
+_ASSUMED_READ_SECONDS = 0.2
 """After so long without an answer a request was read, as the platform counts."""
 
 _TIER_WINDOW_SECONDS = 3.0
 _TIER_REQUESTS = 8
 """Refused urgent requests, and less urgent ones begun, in one window."""
 
-_CRASHES_BEFORE = 3
-_MOST_RETRIES = 3
+_CRASHES_TO_BLOCK = 3
+_MAX_LATE_RUNS = 3
 """Upstreams that a request may end before the entry VMs know of it, and that it may
 reach later than they have to know."""
 
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _UNAUTHORIZED = 401
 _OK = 200
 
 
-class Promise(enum.Enum):
+class Guarantee(enum.Enum):
     """What the product answers for."""
 
     ONCE = "once"
@@ -61,249 +61,282 @@
 class Violation:
     """A promise that was not kept."""
 
-    promise: Promise
+    guarantee: Guarantee
     request_id: str
     detail: str
 
 
-def check(seen: record.Record) -> list[Violation]:
+def check(history: record.History) -> list[Violation]:
     """Return all promises that were not kept."""
     return [
-        *_once(seen),
-        *_own_answer(seen),
-        *_not_run(seen),
-        *_leaving(seen),
-        *_planned_stop(seen),
-        *_in_force(seen),
-        *_no_revert(seen),
-        *_tiers(seen),
-        *_crashing(seen),
-        *_notices(seen),
+        *_once(history),
+        *_own_answer(history),
+        *_not_run(history),
+        *_leaving(history),
+        *_planned_stop(history),
+        *_in_force(history),
+        *_no_revert(history),
+        *_tiers(history),
+        *_crashing(history),
+        *_notices(history),
     ]
 
 
-def _notices(seen: record.Record) -> Iterator[Violation]:
+def _notices(history: record.History) -> Iterator[Violation]:
     """Check what upstreams said of themselves in their answers."""
-    ids_by_promise = {
-        Promise.LIMITS: notice_checks.over_limits(
-            seen, contact_seconds=CONTACT_SECONDS
+    ids_by_guarantee = {
+        Guarantee.LIMITS: notice_checks.requests_over_limit(
+            history, recovery_seconds=RECOVERY_SECONDS
         ),
-        Promise.RESTS: notice_checks.in_rests(seen),
-        Promise.OWN_LEAVING: notice_checks.after_leaving(seen),
+        Guarantee.RESTS: notice_checks.requests_during_rest(history),
+        Guarantee.OWN_LEAVING: notice_checks.requests_after_leaving(history),
     }
-    for promise, ids in ids_by_promise.items():
+    for guarantee, ids in ids_by_guarantee.items():
         for id in ids:
             detail = "reached an upstream that had said otherwise"
-            yield Violation(promise=promise, request_id=id, detail=detail)
+            yield Violation(guarantee=guarantee, request_id=id, detail=detail)
 
 
-def _once(seen: record.Record) -> Iterator[Violation]:
-    for id, runs in seen.runs_by_id.items():
-        ask = seen.asks_by_id.get(id)
-        if ask is None:
+def _once(history: record.History) -> Iterator[Violation]:
+    for id, runs in history.runs_by_id.items():
+        request = history.requests_by_id.get(id)
+        if request is None:
             yield Violation(
-                promise=Promise.ONCE, request_id=id, detail="nobody sent it"
+                guarantee=Guarantee.ONCE, request_id=id, detail="nobody sent it"
             )
-        elif len(runs) > 1 and layout.KINDS_BY_NAME[ask.kind].once:
+        elif len(runs) > 1 and layout.KINDS_BY_NAME[request.kind].runs_once:
             yield Violation(
-                promise=Promise.ONCE,
+                guarantee=Guarantee.ONCE,
                 request_id=id,
-                detail=f"{ask.kind} ran {len(runs)} times",
+                detail=f"{request.kind} ran {len(runs)} times",
             )
 
 
-def _own_answer(seen: record.Record) -> Iterator[Violation]:
-    for ask in seen.asks_by_id.values():
-        if ask.status != _OK:
+def _own_answer(history: record.History) -> Iterator[Violation]:
+    for request in history.requests_by_id.values():
+        if request.status != _OK:
             continue
-        fault = _fault_of_answer(ask)
-        if fault:
+        defect = _response_defect(request)
+        if defect:
             yield Violation(
-                promise=Promise.OWN_ANSWER, request_id=ask.id, detail=fault
+                guarantee=Guarantee.OWN_ANSWER,
+                request_id=request.id,
+                detail=defect,
             )
 
 
-def _fault_of_answer(ask: record.Ask) -> str:
-    if not ask.genuine:
+def _response_defect(request: record.CallerRequest) -> str:
+    if not request.genuine:
         return "no upstream made it"
-    if not layout.KINDS_BY_NAME[ask.kind].streamed:
-        right = ask.body == upstream.whole_body(ask.id)
-        return "" if right or not ask.whole else f"wrong body {ask.body!r}"
+    if not layout.KINDS_BY_NAME[request.kind].streamed:
+        is_expected = request.body == upstream.whole_body(request.id)
+        return (
+            ""
+            if is_expected or not request.whole
+            else f"wrong body {request.body!r}"
+        )
     events = [
-        upstream.event(ask.id, number) for number in range(1, layout.EVENTS + 1)
+        upstream.event(request.id, number)
+        for number in range(1, layout.EVENTS + 1)
     ]
-    everything = b"".join(events)
-    if ask.whole:
-        return "" if ask.body == everything else "looks whole and is not"
-    return "" if everything.startswith(ask.body) else "events are missing"
+    whole_stream = b"".join(events)
+    if request.whole:
+        return "" if request.body == whole_stream else "looks whole and is not"
+    return "" if whole_stream.startswith(request.body) else "events are missing"
 
 
-def _not_run(seen: record.Record) -> Iterator[Violation]:
-    for ask in seen.asks_by_id.values():
-        if ask.status in _PROMISES_NOT_RUN and seen.runs_by_id.get(ask.id):
+def _not_run(history: record.History) -> Iterator[Violation]:
+    for request in history.requests_by_id.values():
+        if request.status in _NOT_RUN_STATUSES and history.runs_by_id.get(
+            request.id
+        ):
             yield Violation(
-                promise=Promise.NOT_RUN,
-                request_id=ask.id,
-                detail=f"answered {ask.status} and ran",
+                guarantee=Guarantee.NOT_RUN,
+                request_id=request.id,
+                detail=f"answered {request.status} and ran",
             )
 
 
-def _leaving(seen: record.Record) -> Iterator[Violation]:
-    for id, runs in seen.runs_by_id.items():
-        ask = seen.asks_by_id.get(id)
+def _leaving(history: record.History) -> Iterator[Violation]:
+    for id, runs in history.runs_by_id.items():
+        request = history.requests_by_id.get(id)
         for run in runs:
-            left_at = seen.left_at_by_upstream.get(run.upstream)
-            if ask is None or left_at is None:
+            left_at = history.left_at_by_upstream.get(run.upstream)
+            if request is None or left_at is None:
                 continue
             late = run.at - left_at - _DRAIN_SECONDS
-            calm_from = left_at - CONTACT_SECONDS
-            if late > _SLACK_SECONDS and _is_calm(seen, ask.vm, calm_from, run):
+            undisturbed_from = left_at - RECOVERY_SECONDS
+            if late > _SLACK_SECONDS and _is_undisturbed(
+                history, request.vm, undisturbed_from, run
+            ):
                 yield Violation(
-                    promise=Promise.LEAVING,
+                    guarantee=Guarantee.LEAVING,
                     request_id=id,
                     detail=f"{run.upstream} got it {late:.2f} s too late",
                 )
 
 
-def _is_calm(
-    seen: record.Record, vm: str, start: float, run: record.Run
+def _is_undisturbed(
+    history: record.History, vm: str, start: float, run: record.Run
 ) -> bool:
     subjects = (vm, record.STORE, str(run.upstream))
-    return all(seen.is_calm(one, start, run.at) for one in subjects)
+    return all(
+        history.is_undisturbed(subject, start, run.at) for subject in subjects
+    )
 
 
-def _planned_stop(seen: record.Record) -> Iterator[Violation]:
-    for ask in seen.asks_by_id.values():
-        stops = seen.stops_by_vm[ask.vm]
-        end = ask.ended_at
+def _planned_stop(history: record.History) -> Iterator[Violation]:
+    for request in history.requests_by_id.values():
+        stops = history.stop_times_by_vm[request.vm]
+        end = request.ended_at
         if end is None or not stops:
             continue
-        near = [
+        stops_during = [
             at
             for at in stops
-            if ask.sent_at <= at + _LEAVE_TAKING_SECONDS and at <= end
+            if request.sent_at <= at + _STOP_GRACE_SECONDS and at <= end
         ]
-        complete = ask.status > 0 and ask.whole
+        complete = request.status > 0 and request.whole
         # One that crossed the close of its connection was not read; its
         # caller may send it again.
-        taken = ask.id in seen.runs_by_id or (
-            end - ask.sent_at > _CROSSING_SECONDS
+        was_read = request.id in history.runs_by_id or (
+            end - request.sent_at > _ASSUMED_READ_SECONDS
         )
-        if near and taken and not complete and _was_calm(seen, ask, end):
+        if (
+            stops_during
+            and was_read
+            and not complete
+            and _is_undisturbed_but_stop(history, request, end)
+        ):
             yield Violation(
-                promise=Promise.PLANNED_STOP,
-                request_id=ask.id,
-                detail=f"{ask.kind} was cut, {end - near[0]:.2f} s after",
+                guarantee=Guarantee.PLANNED_STOP,
+                request_id=request.id,
+                detail=f"{request.kind} was cut, "
+                f"{end - stops_during[0]:.2f} s after",
             )
 
 
-def _was_calm(seen: record.Record, ask: record.Ask, end: float) -> bool:
+def _is_undisturbed_but_stop(
+    history: record.History, request: record.CallerRequest, end: float
+) -> bool:
     """Return whether only the stop can have cut a request."""
-    start = ask.sent_at - CONTACT_SECONDS
-    runs = seen.runs_by_id.get(ask.id, [])
-    subjects = [f"{ask.vm} unplanned", *(str(run.upstream) for run in runs)]
-    return all(seen.is_calm(one, start, end) for one in subjects)
+    start = request.sent_at - RECOVERY_SECONDS
+    runs = history.runs_by_id.get(request.id, [])
+    subjects = [f"{request.vm} unplanned", *(str(run.upstream) for run in runs)]
+    return all(
+        history.is_undisturbed(subject, start, end) for subject in subjects
+    )
 
 
-def _in_force(seen: record.Record) -> Iterator[Violation]:
-    for ask in seen.asks_by_id.values():
-        if ask.status != _UNAUTHORIZED or not ask.key_revision:
+def _in_force(history: record.History) -> Iterator[Violation]:
+    for request in history.requests_by_id.values():
+        if request.status != _UNAUTHORIZED or not request.key_revision:
             continue
-        declared_at = seen.declared_at_by_revision[ask.key_revision]
-        since = ask.sent_at - declared_at
-        start = declared_at - CONTACT_SECONDS
-        calm = all(
-            seen.is_calm(one, start, ask.sent_at)
-            for one in (ask.vm, record.STORE)
+        declared_at = history.declared_at_by_revision[request.key_revision]
+        since = request.sent_at - declared_at
+        start = declared_at - RECOVERY_SECONDS
+        undisturbed = all(
+            history.is_undisturbed(subject, start, request.sent_at)
+            for subject in (request.vm, record.STORE)
         )
-        if calm and since > _IN_FORCE_SECONDS + _SLACK_SECONDS:
+        if undisturbed and since > _IN_FORCE_SECONDS + _SLACK_SECONDS:
             yield Violation(
-                promise=Promise.IN_FORCE,
-                request_id=ask.id,
-                detail=f"revision {ask.key_revision} is {since:.2f} s old",
+                guarantee=Guarantee.IN_FORCE,
+                request_id=request.id,
+                detail=f"revision {request.key_revision} is {since:.2f} s old",
             )
 
 
-def _no_revert(seen: record.Record) -> Iterator[Violation]:
+def _no_revert(history: record.History) -> Iterator[Violation]:
     accepted: dict[tuple[str, int], tuple[float, int]] = {}
-    for ask in sorted(seen.asks_by_id.values(), key=lambda one: one.sent_at):
-        place = (ask.vm, ask.boot)
-        at, revision = accepted.get(place, (0.0, 0))
-        if ask.status == _OK and ask.key_revision > revision:
-            accepted[place] = (ask.ended_at or ask.sent_at, ask.key_revision)
-        denied = ask.status == _UNAUTHORIZED and ask.key_revision
-        later = ask.sent_at > at + _ROLLBACK_SECONDS
-        if denied and later and ask.key_revision <= revision:
+    for request in sorted(
+        history.requests_by_id.values(), key=lambda request: request.sent_at
+    ):
+        process = (request.vm, request.boot)
+        at, revision = accepted.get(process, (0.0, 0))
+        if request.status == _OK and request.key_revision > revision:
+            accepted[process] = (
+                request.ended_at or request.sent_at,
+                request.key_revision,
+            )
+        denied = request.status == _UNAUTHORIZED and request.key_revision
+        later = request.sent_at > at + _ROLLBACK_SECONDS
+        if denied and later and request.key_revision <= revision:
             yield Violation(
-                promise=Promise.NO_REVERT,
-                request_id=ask.id,
-                detail=f"{ask.vm} had revision {revision} in force",
+                guarantee=Guarantee.NO_REVERT,
+                request_id=request.id,
+                detail=f"{request.vm} had revision {revision} in force",
             )
 
 
-def _tiers(seen: record.Record) -> Iterator[Violation]:
-    refused = sorted(
-        ask.sent_at
-        for ask in seen.asks_by_id.values()
-        if ask.kind == layout.ASK.name and ask.status in _PROMISES_NOT_RUN
+def _tiers(history: record.History) -> Iterator[Violation]:
+    refused_at = sorted(
+        request.sent_at
+        for request in history.requests_by_id.values()
+        if request.kind == layout.ASK.name
+        and request.status in _NOT_RUN_STATUSES
     )
-    begun = [
+    lower_started_at = [
         run.at
-        for runs in seen.runs_by_id.values()
+        for runs in history.runs_by_id.values()
         for run in runs
         if run.kind == layout.SUMMARY.name
     ]
-    for first in refused:
+    for first in refused_at:
         end = first + _TIER_WINDOW_SECONDS
-        count = sum(first <= at <= end for at in refused)
-        lower = sum(first <= at <= end for at in begun)
+        count = sum(first <= at <= end for at in refused_at)
+        lower = sum(first <= at <= end for at in lower_started_at)
         if min(count, lower) < _TIER_REQUESTS:
             continue
-        subjects = list(seen.spans_by_subject)
-        start = first - CONTACT_SECONDS
-        if all(seen.is_calm(one, start, end) for one in subjects):
+        subjects = list(history.disturbances_by_subject)
+        start = first - RECOVERY_SECONDS
+        if all(
+            history.is_undisturbed(subject, start, end) for subject in subjects
+        ):
             yield Violation(
-                promise=Promise.TIERS,
+                guarantee=Guarantee.TIERS,
                 request_id="",
                 detail=f"{count} urgent ones refused, {lower} others begun",
             )
             return
 
 
-def _crashing(seen: record.Record) -> Iterator[Violation]:
+def _crashing(history: record.History) -> Iterator[Violation]:
     runs_by_name: dict[str, list[record.Run]] = collections.defaultdict(list)
-    for ask in seen.asks_by_id.values():
-        if ask.crashing:
-            runs_by_name[ask.crashing].extend(seen.runs_by_id.get(ask.id, ()))
-        elif ask.reason == outcomes.Reason.CRASHED_UPSTREAMS.value:
+    for request in history.requests_by_id.values():
+        if request.crashing_request:
+            runs_by_name[request.crashing_request].extend(
+                history.runs_by_id.get(request.id, ())
+            )
+        elif request.reason == outcomes.Reason.CRASHED_UPSTREAMS.value:
             yield Violation(
-                promise=Promise.CRASHING,
-                request_id=ask.id,
+                guarantee=Guarantee.CRASHING,
+                request_id=request.id,
                 detail="turned away for what another request did",
             )
     for name, runs in runs_by_name.items():
-        late = _late_retries(seen, sorted(runs, key=lambda one: one.at))
-        if len(late) > _MOST_RETRIES:
+        late = _late_runs(history, sorted(runs, key=lambda run: run.at))
+        if len(late) > _MAX_LATE_RUNS:
             yield Violation(
-                promise=Promise.CRASHING,
+                guarantee=Guarantee.CRASHING,
                 request_id=late[-1].id,
                 detail=f"{name} reached {len(late)} more, {len(runs)} in all",
             )
 
 
-def _late_retries(
-    seen: record.Record, runs: list[record.Run]
+def _late_runs(
+    history: record.History, runs: list[record.Run]
 ) -> list[record.Run]:
     """Return the runs that entry VMs in touch should have prevented."""
-    if len(runs) <= _CRASHES_BEFORE:
+    if len(runs) <= _CRASHES_TO_BLOCK:
         return []
-    known_at = runs[_CRASHES_BEFORE - 1].at + CONTACT_SECONDS
+    known_at = runs[_CRASHES_TO_BLOCK - 1].at + RECOVERY_SECONDS
     return [
         run
         for run in runs
         if run.at > known_at
         and all(
-            seen.is_calm(one, run.at - CONTACT_SECONDS, run.at)
-            for one in (seen.asks_by_id[run.id].vm, record.STORE)
+            history.is_undisturbed(subject, run.at - RECOVERY_SECONDS, run.at)
+            for subject in (history.requests_by_id[run.id].vm, record.STORE)
         )
     ]
--- a/packages/soak/src/lagoonrun_soak/faults.py
+++ b/packages/soak/src/lagoonrun_soak/faults.py
@@ -22,20 +22,20 @@
 _MEAN_PAUSE_SECONDS = 0.9
 """Time between the beginnings of two faults; most last longer, and overlap."""
 
-_SERIES = (1, 1, 1, 2, 4)
+_SERIES_LENGTHS = (1, 1, 1, 2, 4)
 """How many times a fault comes in a row, drawn at random."""
 
 _SERIES_PAUSE_SECONDS = 0.4
-_SETTLING_SECONDS = checks.CONTACT_SECONDS
+_RECOVERY_SECONDS = checks.RECOVERY_SECONDS
 _RESTART_SECONDS = 0.3
-_LEAST_OF_POOL = 2
-_COPY_SECONDS = 4.0
+_MIN_POOL_UPSTREAMS = 2
+_MAX_BACKUP_AGE_SECONDS = 4.0
 """Age that the copy has at most from which the store comes back."""
 
-_LIMITED_SECONDS = (4.0, 7.0)
+_LIMIT_SECONDS_RANGE = (4.0, 7.0)
 _BURST_CALLERS = 24
 _BURST_SECONDS = 2.5
-_CRASHING_SECONDS = 2.0 * checks.CONTACT_SECONDS
+_CRASHING_SECONDS = 2.0 * checks.RECOVERY_SECONDS
 
 
 class FaultKind(enum.Enum):
@@ -61,8 +61,8 @@
     UPSTREAM_SAYS_IT_LEAVES = "upstream-says-it-leaves"
 
 
-_FAULTY = tuple(
-    one for one in link.LinkState if one is not link.LinkState.SOUND
+_FAULTY_STATES = tuple(
+    state for state in link.LinkState if state is not link.LinkState.SOUND
 )
 
 
@@ -82,17 +82,17 @@
     def __init__(
         self,
         *,
-        world: fleet.Fleet,
+        deployment: fleet.Deployment,
         rng: random.Random,
         kinds: tuple[FaultKind, ...] = tuple(FaultKind),
     ) -> None:
-        self._world = world
-        self._seen = world.seen
+        self._deployment = deployment
+        self._history = deployment.history
         self._rng = rng
         self._kinds = kinds
         self._task: asyncio.Task[None] | None = None
         self._busy_vms: set[str] = set()
-        self._crashing = 0
+        self._crashing_count = 0
         self._running: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
@@ -121,7 +121,7 @@
             pause = self._rng.expovariate(1.0 / _MEAN_PAUSE_SECONDS)
             await asyncio.sleep(pause)
             kind = self._rng.choice(self._kinds)
-            for _ in range(self._rng.choice(_SERIES)):
+            for _ in range(self._rng.choice(_SERIES_LENGTHS)):
                 task = asyncio.create_task(self._inject(kind))
                 self._running.add(task)
                 await asyncio.sleep(_SERIES_PAUSE_SECONDS)
@@ -133,134 +133,142 @@
             FaultKind.VM_PAUSED: self._pause_vm,
             FaultKind.SETTINGS_WRITTEN: self._write_settings,
             FaultKind.STORE_LINK: self._break_store_link,
-            FaultKind.STORE_AWAY: self._break_store,
-            FaultKind.STORE_FORGETS: self._forget,
-            FaultKind.STORE_RESTORED: self._restore,
+            FaultKind.STORE_AWAY: self._break_all_store_links,
+            FaultKind.STORE_FORGETS: self._compact_store,
+            FaultKind.STORE_RESTORED: self._restore_store,
             FaultKind.UPSTREAM_LINK: self._break_upstream_link,
             FaultKind.UPSTREAM_CRASHED: self._crash_upstream,
             FaultKind.UPSTREAM_LEAVES: self._drain_upstream,
             FaultKind.UPSTREAM_VANISHES: self._remove_upstream,
-            FaultKind.DECLARED: self._world.declare,
+            FaultKind.DECLARED: self._deployment.declare,
             FaultKind.BURST: self._burst,
             FaultKind.CRASHING_REQUEST: self._send_crashing,
             FaultKind.UPSTREAM_LIMITS: self._limit_upstream,
             FaultKind.POOL_RESTS: self._rest_pool,
-            FaultKind.UPSTREAM_SAYS_IT_LEAVES: self._leave_by_word,
+            FaultKind.UPSTREAM_SAYS_IT_LEAVES: self._announce_leaving,
         }
         now = time.monotonic()
-        self._seen.faults.append(f"{now:.3f} {kind.value}")
+        self._history.faults.append(f"{now:.3f} {kind.value}")
         await actions[kind]()
 
     # Entry VMs.
 
-    def _take_vm(self) -> vm.EntryVm | None:
+    def _reserve_vm(self) -> vm.EntryVm | None:
         """Return an entry VM to disturb; at least one is left alone."""
         free = [
-            one for one in self._world.vms if one.name not in self._busy_vms
+            entry_vm
+            for entry_vm in self._deployment.vms
+            if entry_vm.name not in self._busy_vms
         ]
         if len(free) < 2:
             return None
-        taken = self._rng.choice(free)
-        self._busy_vms.add(taken.name)
-        return taken
+        entry_vm = self._rng.choice(free)
+        self._busy_vms.add(entry_vm.name)
+        return entry_vm
 
-    def _free_vm(
-        self, taken: vm.EntryVm, since: float, *, planned: bool
+    def _release_vm(
+        self, entry_vm: vm.EntryVm, since: float, *, planned: bool
     ) -> None:
-        self._busy_vms.discard(taken.name)
-        end = time.monotonic() + _SETTLING_SECONDS
-        self._seen.disturb(taken.name, since, end)
+        self._busy_vms.discard(entry_vm.name)
+        end = time.monotonic() + _RECOVERY_SECONDS
+        self._history.record_disturbance(entry_vm.name, since, end)
         if not planned:
-            self._seen.disturb(f"{taken.name} unplanned", since, end)
+            self._history.record_disturbance(
+                f"{entry_vm.name} unplanned", since, end
+            )
 
     async def _kill_vm(self) -> None:
-        taken = self._take_vm()
-        if taken is None:
+        entry_vm = self._reserve_vm()
+        if entry_vm is None:
             return
         since = time.monotonic()
-        self._seen.disturb(f"{taken.name} unplanned", since, since)
-        taken.send(signal.SIGKILL)
-        await taken.ended(_RESTART_SECONDS)
+        self._history.record_disturbance(
+            f"{entry_vm.name} unplanned", since, since
+        )
+        entry_vm.send(signal.SIGKILL)
+        await entry_vm.wait_for_exit(_RESTART_SECONDS)
         await asyncio.sleep(_RESTART_SECONDS)
-        await taken.start()
-        self._free_vm(taken, since, planned=False)
+        await entry_vm.start()
+        self._release_vm(entry_vm, since, planned=False)
 
     async def _stop_vm(self) -> None:
-        taken = self._take_vm()
-        if taken is None:
+        entry_vm = self._reserve_vm()
+        if entry_vm is None:
             return
         since = time.monotonic()
-        self._seen.stops_by_vm[taken.name].append(since)
-        taken.send(signal.SIGTERM)
-        if not await taken.ended(layout.STOP_SECONDS):
-            taken.send(signal.SIGKILL)
-            await taken.ended(_RESTART_SECONDS)
-        await taken.start()
-        self._free_vm(taken, since, planned=True)
+        self._history.stop_times_by_vm[entry_vm.name].append(since)
+        entry_vm.send(signal.SIGTERM)
+        if not await entry_vm.wait_for_exit(layout.STOP_SECONDS):
+            entry_vm.send(signal.SIGKILL)
+            await entry_vm.wait_for_exit(_RESTART_SECONDS)
+        await entry_vm.start()
+        self._release_vm(entry_vm, since, planned=True)
 
     async def _pause_vm(self) -> None:
-        taken = self._take_vm()
-        if taken is None:
+        entry_vm = self._reserve_vm()
+        if entry_vm is None:
             return
         since = time.monotonic()
-        self._seen.disturb(f"{taken.name} unplanned", since, since)
-        taken.send(signal.SIGSTOP)
+        self._history.record_disturbance(
+            f"{entry_vm.name} unplanned", since, since
+        )
+        entry_vm.send(signal.SIGSTOP)
         await asyncio.sleep(self._rng.uniform(0.2, 3.0))
-        taken.send(signal.SIGCONT)
-        self._free_vm(taken, since, planned=False)
+        entry_vm.send(signal.SIGCONT)
+        self._release_vm(entry_vm, since, planned=False)
 
     async def _write_settings(self) -> None:
-        taken = self._rng.choice(self._world.vms)
-        taken.write_settings(f"changed {self._rng.random()}")
+        entry_vm = self._rng.choice(self._deployment.vms)
+        entry_vm.write_settings(f"changed {self._rng.random()}")
         if self._rng.random() < 0.5:
-            taken.send(signal.SIGHUP)
+            entry_vm.send(signal.SIGHUP)
 
     # The store.
 
     async def _break_store_link(self) -> None:
-        index = self._rng.randrange(len(self._world.vms))
+        index = self._rng.randrange(len(self._deployment.vms))
         await self._break_links(
-            [self._world.store_links[index]],
-            subjects=(self._world.vms[index].name,),
+            [self._deployment.store_links[index]],
+            subjects=(self._deployment.vms[index].name,),
         )
 
-    async def _break_store(self) -> None:
+    async def _break_all_store_links(self) -> None:
         await self._break_links(
-            self._world.store_links, subjects=(record.STORE,)
+            self._deployment.store_links, subjects=(record.STORE,)
         )
 
     async def _break_links(
         self, links: list[link.FaultyLink], *, subjects: tuple[str, ...]
     ) -> None:
         since = time.monotonic()
-        state = self._rng.choice(_FAULTY)
-        for one in links:
-            one.use(state)
+        state = self._rng.choice(_FAULTY_STATES)
+        for faulty_link in links:
+            faulty_link.set_state(state)
         await asyncio.sleep(self._rng.uniform(0.3, 4.0))
-        for one in links:
-            one.use(link.LinkState.SOUND)
-        end = time.monotonic() + _SETTLING_SECONDS
+        for faulty_link in links:
+            faulty_link.set_state(link.LinkState.SOUND)
+        end = time.monotonic() + _RECOVERY_SECONDS
         for subject in subjects:
-            self._seen.disturb(subject, since, end)
+            self._history.record_disturbance(subject, since, end)
 
-    async def _forget(self) -> None:
+    async def _compact_store(self) -> None:
         since = time.monotonic()
-        self._world.store.compacted = True
+        self._deployment.store.compacted = True
         await asyncio.sleep(1.0)
-        self._world.store.compacted = False
-        self._seen.disturb(
-            record.STORE, since, time.monotonic() + _SETTLING_SECONDS
+        self._deployment.store.compacted = False
+        self._history.record_disturbance(
+            record.STORE, since, time.monotonic() + _RECOVERY_SECONDS
         )
 
-    async def _restore(self) -> None:
+    async def _restore_store(self) -> None:
         """Have the store come back from a copy that is some seconds old."""
         since = time.monotonic()
-        copy = self._world.store.memory.revision
-        await asyncio.sleep(self._rng.uniform(0.0, _COPY_SECONDS))
-        self._world.store.restore(copy)
-        await self._world.write_again()
-        self._seen.disturb(
-            record.STORE, since, time.monotonic() + _SETTLING_SECONDS
+        backup_revision = self._deployment.store.memory.revision
+        await asyncio.sleep(self._rng.uniform(0.0, _MAX_BACKUP_AGE_SECONDS))
+        self._deployment.store.restore(backup_revision)
+        await self._deployment.rewrite_after_restore()
+        self._history.record_disturbance(
+            record.STORE, since, time.monotonic() + _RECOVERY_SECONDS
         )
 
     # Upstreams.
@@ -271,48 +279,51 @@
         The router gathers requests of a class at few upstreams; a link that
         carries nothing breaks without anybody noticing.
         """
-        upstreams = sorted(self._world.upstreams)
+        upstreams = sorted(self._deployment.upstreams)
         if not upstreams:
             # Requests have ended them all; others come in a moment.
             return
-        id = self._choose_at_work(upstreams)
-        self._seen.disturb(str(id), time.monotonic(), float("inf"))
-        broken = self._world.upstream_links[id]
-        broken.use(self._rng.choice(_FAULTY))
+        id = self._choose_busy(upstreams)
+        self._history.record_disturbance(
+            str(id), time.monotonic(), float("inf")
+        )
+        faulty_link = self._deployment.upstream_links[id]
+        faulty_link.set_state(self._rng.choice(_FAULTY_STATES))
         await asyncio.sleep(self._rng.uniform(0.1, 2.0))
-        broken.use(link.LinkState.SOUND)
+        faulty_link.set_state(link.LinkState.SOUND)
 
-    def _choose_at_work(
-        self, ids: Sequence[types.UpstreamId]
-    ) -> types.UpstreamId:
+    def _choose_busy(self, ids: Sequence[types.UpstreamId]) -> types.UpstreamId:
         """Return an upstream that has a request, if any has."""
-        upstreams = self._world.upstreams
-        busy = [one for one in ids if upstreams[one].busy]
+        upstreams = self._deployment.upstreams
+        busy = [id for id in ids if upstreams[id].busy]
         return self._rng.choice(busy or ids)
 
-    async def _take_upstream(self) -> types.UpstreamId | None:
+    async def _choose_removable_upstream(self) -> types.UpstreamId | None:
         """Return an upstream that may go, after another has come."""
         free = [
-            one
-            for one in sorted(self._world.upstreams)
-            if one not in self._seen.left_at_by_upstream
+            id
+            for id in sorted(self._deployment.upstreams)
+            if id not in self._history.left_at_by_upstream
         ]
         if not free:
             return None
-        taken = self._choose_at_work(free)
-        pool = self._world.upstreams[taken].registration.pool
-        await self._world.add_upstream(pool)
+        upstream_id = self._choose_busy(free)
+        pool = self._deployment.upstreams[upstream_id].registration.pool
+        await self._deployment.add_upstream(pool)
         others = [
-            one
-            for one in free
-            if self._world.upstreams[one].registration.pool == pool
+            id
+            for id in free
+            if self._deployment.upstreams[id].registration.pool == pool
         ]
-        return taken if len(others) >= _LEAST_OF_POOL else None
+        return upstream_id if len(others) >= _MIN_POOL_UPSTREAMS else None
 
     async def _crash_upstream(self) -> None:
-        taken = await self._take_upstream()
-        if taken is not None and taken in self._world.upstreams:
-            await self._world.crash(taken)
+        upstream_id = await self._choose_removable_upstream()
+        if (
+            upstream_id is not None
+            and upstream_id in self._deployment.upstreams
+        ):
+            await self._deployment.crash(upstream_id)
 
     async def _drain_upstream(self) -> None:
         await self._leave(silently=False)
@@ -321,81 +332,93 @@
         await self._leave(silently=True)
 
     async def _leave(self, *, silently: bool) -> None:
-        taken = await self._take_upstream()
-        if taken is not None and taken in self._world.upstreams:
-            await self._world.drain(taken, silently=silently)
+        upstream_id = await self._choose_removable_upstream()
+        if (
+            upstream_id is not None
+            and upstream_id in self._deployment.upstreams
+        ):
+            await self._deployment.drain(upstream_id, silently=silently)
 
     # What upstreams say of themselves.
 
     async def _limit_upstream(self) -> None:
         """Have an upstream name a limit, another one, and none again."""
-        upstreams = self._world.upstreams
+        upstreams = self._deployment.upstreams
         if not upstreams:
             return
-        made = upstreams[self._choose_at_work(sorted(upstreams))]
+        limited = upstreams[self._choose_busy(sorted(upstreams))]
         since = time.monotonic()
         for _ in range(self._rng.choice((1, 1, 2))):
             per_second = self._rng.choice((0.5, 1.0, 1.4))
-            made.notice = notices.Notice(per_second=per_second)
-            await asyncio.sleep(self._rng.uniform(*_LIMITED_SECONDS))
-        self._end_notice(made, since)
+            limited.notice = notices.Notice(per_second=per_second)
+            await asyncio.sleep(self._rng.uniform(*_LIMIT_SECONDS_RANGE))
+        self._clear_notice(limited, since)
 
     async def _rest_pool(self) -> None:
         """Have all upstreams of a pool turn requests away and ask for rest."""
         pool = self._rng.choice((layout.PLAIN, layout.ENGINES))
         seconds = self._rng.choice((0.5, 1.5, 2.5))
-        resting = [
-            one
-            for one in self._world.upstreams.values()
-            if one.registration.pool == pool
+        resting_upstreams = [
+            resting
+            for resting in self._deployment.upstreams.values()
+            if resting.registration.pool == pool
         ]
         since = time.monotonic()
-        for one in resting:
-            one.notice = notices.Notice(rest_seconds=seconds)
+        for resting in resting_upstreams:
+            resting.notice = notices.Notice(rest_seconds=seconds)
         await asyncio.sleep(1.5 * seconds)
-        for one in resting:
-            self._end_notice(one, since)
+        for resting in resting_upstreams:
+            self._clear_notice(resting, since)
 
-    def _end_notice(self, made: upstream.SoakUpstream, since: float) -> None:
+    def _clear_notice(
+        self, sender: upstream.SoakUpstream, since: float
+    ) -> None:
         """End what an upstream says of itself.
 
         Requests that found no place before begin beside those that come now.
         """
-        made.notice = notices.NO_NOTICE
-        end = time.monotonic() + _SETTLING_SECONDS
-        self._seen.disturb(str(made.registration.id), since, end)
+        sender.notice = notices.NO_NOTICE
+        end = time.monotonic() + _RECOVERY_SECONDS
+        self._history.record_disturbance(
+            str(sender.registration.id), since, end
+        )
 
-    async def _leave_by_word(self) -> None:
+    async def _announce_leaving(self) -> None:
         """Have an upstream leave that can't tell the store."""
-        taken = await self._take_upstream()
-        if taken is not None and taken in self._world.upstreams:
-            self._world.upstreams[taken].notice = notices.Notice(leaving=True)
-            await self._world.end_later(taken)
+        upstream_id = await self._choose_removable_upstream()
+        if (
+            upstream_id is not None
+            and upstream_id in self._deployment.upstreams
+        ):
+            self._deployment.upstreams[upstream_id].notice = notices.Notice(
+                leaving=True
+            )
+            await self._deployment.stop_later(upstream_id)
 
     # Callers.
 
     async def _burst(self) -> None:
         """Have many ask for summaries at once."""
-        made = [
-            await self._world.add_caller(
-                layout.SUMMARY, self._rng.choice(self._world.vms)
+        callers = [
+            await self._deployment.add_caller(
+                layout.SUMMARY, self._rng.choice(self._deployment.vms)
             )
             for _ in range(_BURST_CALLERS)
         ]
         await asyncio.sleep(_BURST_SECONDS)
-        for one in made:
-            await one.close()
+        for caller in callers:
+            await caller.close()
 
     async def _send_crashing(self) -> None:
         """Send a request that ends upstreams at all entry VMs for a while."""
-        self._crashing += 1
+        self._crashing_count += 1
         kind = self._rng.choice(tuple(layout.KINDS_BY_NAME.values()))
-        made = [
-            await self._world.add_caller(
-                kind, target, crashing=f"request-{self._crashing}"
+        callers = [
+            await self._deployment.add_caller(
+                kind, target, crashing_request=f"request-{self._crashing_count}"
             )
-            for target in self._world.vms
+            for target in self._deployment.vms
         ]
         await asyncio.sleep(_CRASHING_SECONDS)
-        for one in made:
-            await one.close()
+        for caller in callers:
+            await caller.close()
--- a/packages/soak/src/lagoonrun_soak/fleet.py
+++ b/packages/soak/src/lagoonrun_soak/fleet.py
@@ -14,21 +14,21 @@
 from lagoonrun_users_platform import layout as platform_layout
 from lagoonrun_users_platform import standin_messages, standin_store
 
-_FIRST_UPSTREAMS = (layout.PLAIN,) * 2 + (layout.ENGINES,) * 3
-_LEAVING_SERVES_SECONDS = 3.0
+_INITIAL_UPSTREAM_POOLS = (layout.PLAIN,) * 2 + (layout.ENGINES,) * 3
+_SERVE_AFTER_LEAVING_SECONDS = 3.0
 """How long an upstream serves on after it has said that it leaves: longer
 than the two seconds that the platform promises."""
 
-_SILENCE_SECONDS = 1.5
+_ENTRY_EXPIRY_SECONDS = 1.5
 """After so long the store drops the entry of an upstream that has crashed."""
 
-_REPLACED_SECONDS = 1.0
+_REPLACEMENT_DELAY_SECONDS = 1.0
 """After so long another comes for one that a request has ended."""
 
 _READY_SECONDS = 20.0
 
 
-class Fleet:
+class Deployment:
     """Everything that a soak starts.
 
     Parameters
@@ -54,7 +54,7 @@
         rng: random.Random,
         planted: str = "",
     ) -> None:
-        self.seen = record.Record()
+        self.history = record.History()
         self.network = network
         self.rng = rng
         store = network.store
@@ -63,7 +63,7 @@
         )
         self.vms = [
             vm.EntryVm(
-                configured=network.settings_of(index, vms=vms),
+                vm_settings=network.settings_of(index, vms=vms),
                 folder=folder,
                 planted=planted,
             )
@@ -78,7 +78,7 @@
         self.upstream_links: dict[types.UpstreamId, link.FaultyLink] = {}
         self.upstreams: dict[types.UpstreamId, upstream.SoakUpstream] = {}
         self._callers: list[caller.Caller] = []
-        self._made_upstreams = 0
+        self._upstream_count = 0
         self._revision = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -87,12 +87,12 @@
         self.store.era = 1
         await self.store.start()
         await self.declare()
-        for pool in _FIRST_UPSTREAMS:
+        for pool in _INITIAL_UPSTREAM_POOLS:
             await self.add_upstream(pool)
-        for one in self.store_links:
-            await one.start()
-        for one in self.vms:
-            await one.start()
+        for store_link in self.store_links:
+            await store_link.start()
+        for entry_vm in self.vms:
+            await entry_vm.start()
         await vm.wait_until_ready(self.vms, seconds=_READY_SECONDS)
         for target in self.vms:
             for kind in layout.KINDS_BY_NAME.values():
@@ -103,22 +103,22 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(one.close() for one in self._callers))
-        await asyncio.gather(*(one.close() for one in self.vms))
-        for one in (*self.store_links, *self.upstream_links.values()):
-            await one.close()
-        for one in self.upstreams.values():
-            await one.close()
+        await asyncio.gather(*(sender.close() for sender in self._callers))
+        await asyncio.gather(*(entry_vm.close() for entry_vm in self.vms))
+        for open_link in (*self.store_links, *self.upstream_links.values()):
+            await open_link.close()
+        for running in self.upstreams.values():
+            await running.close()
         await self.store.close()
 
-    def later(
-        self, seconds: float, work: Callable[[], Awaitable[None]]
+    def schedule(
+        self, seconds: float, action: Callable[[], Awaitable[None]]
     ) -> None:
         """Do some work after a time, if the soak still runs then."""
 
         async def run() -> None:
             await asyncio.sleep(seconds)
-            await work()
+            await action()
 
         task = asyncio.create_task(run())
         self._tasks.add(task)
@@ -129,20 +129,20 @@
         kind: layout.RequestKind,
         target: vm.EntryVm,
         *,
-        crashing: str = "",
+        crashing_request: str = "",
     ) -> caller.Caller:
         """Start another caller; of a request that ends upstreams, if named."""
-        made = caller.Caller(
+        new_caller = caller.Caller(
             name=f"c{len(self._callers)}-{kind.name}",
             kind=kind,
             target=target,
-            seen=self.seen,
+            history=self.history,
             rng=random.Random(self.rng.random()),
-            crashing=crashing,
+            crashing_request=crashing_request,
         )
-        self._callers.append(made)
-        await made.start()
-        return made
+        self._callers.append(new_caller)
+        await new_caller.start()
+        return new_caller
 
     # What operators do.
 
@@ -150,7 +150,7 @@
         """Put the next revision of the declarations into the store."""
         self._revision += 1
         await self._put_declarations()
-        self.seen.declared_at_by_revision[self._revision] = time.monotonic()
+        self.history.declared_at_by_revision[self._revision] = time.monotonic()
 
     async def _put_declarations(self) -> None:
         value = standin_messages.declarations_value(
@@ -161,25 +161,25 @@
         )
         await self._put(platform_layout.PlatformLayout.declarations_key, value)
 
-    async def write_again(self) -> None:
+    async def rewrite_after_restore(self) -> None:
         """Write what operators and upstreams wrote and a restored store lacks."""
         await self._put_declarations()
-        for made in tuple(self.upstreams.values()):
-            id = made.registration.id
-            if id not in self.seen.left_at_by_upstream:
-                await self._register(made.registration)
+        for running in tuple(self.upstreams.values()):
+            id = running.registration.id
+            if id not in self.history.left_at_by_upstream:
+                await self._register(running.registration)
 
     # What upstreams do.
 
     async def add_upstream(self, pool: types.PoolName) -> None:
         """Start an upstream with a link before it, and register it."""
-        index = self._made_upstreams
-        self._made_upstreams += 1
+        index = self._upstream_count
+        self._upstream_count += 1
         registration = self.network.registration(index, pool)
-        made = upstream.SoakUpstream(
+        new_upstream = upstream.SoakUpstream(
             registration=registration,
             address=self.network.upstream(index),
-            seen=self.seen,
+            history=self.history,
             on_crash=self._crash_and_replace,
         )
         self.upstream_links[registration.id] = link.FaultyLink(
@@ -187,9 +187,9 @@
             target=self.network.upstream(index),
             rng=self.rng,
         )
-        await made.start()
+        await new_upstream.start()
         await self.upstream_links[registration.id].start()
-        self.upstreams[registration.id] = made
+        self.upstreams[registration.id] = new_upstream
         await self._register(registration)
 
     async def drain(self, id: types.UpstreamId, *, silently: bool) -> None:
@@ -201,40 +201,44 @@
             await self._register(
                 dataclasses.replace(registration, leaving=True)
             )
-        self.seen.left_at_by_upstream[id] = time.monotonic()
-        self.later(_LEAVING_SERVES_SECONDS, lambda: self._end_upstream(id))
+        self.history.left_at_by_upstream[id] = time.monotonic()
+        self.schedule(
+            _SERVE_AFTER_LEAVING_SECONDS, lambda: self._stop_upstream(id)
+        )
 
-    async def end_later(self, id: types.UpstreamId) -> None:
+    async def stop_later(self, id: types.UpstreamId) -> None:
         """Have an upstream end that has told its callers only that it leaves."""
-        self.later(
-            2.0 * _LEAVING_SERVES_SECONDS, lambda: self._end_upstream(id)
+        self.schedule(
+            2.0 * _SERVE_AFTER_LEAVING_SECONDS, lambda: self._stop_upstream(id)
         )
 
     async def crash(self, id: types.UpstreamId) -> None:
         """End an upstream at once; its entry runs out later."""
-        self.seen.disturb(str(id), time.monotonic(), float("inf"))
+        self.history.record_disturbance(str(id), time.monotonic(), float("inf"))
         await self._close_upstream(id)
-        self.later(_SILENCE_SECONDS, lambda: self._remove_entry(id))
+        self.schedule(_ENTRY_EXPIRY_SECONDS, lambda: self._remove_entry(id))
 
     def _crash_and_replace(self, id: types.UpstreamId) -> None:
         """Have an upstream crash, and another come a while later."""
-        made = self.upstreams.get(id)
-        if made is None:
+        crashed = self.upstreams.get(id)
+        if crashed is None:
             return
-        pool = made.registration.pool
-        self.later(0.0, lambda: self.crash(id))
-        self.later(_REPLACED_SECONDS, lambda: self.add_upstream(pool))
+        pool = crashed.registration.pool
+        self.schedule(0.0, lambda: self.crash(id))
+        self.schedule(
+            _REPLACEMENT_DELAY_SECONDS, lambda: self.add_upstream(pool)
+        )
 
-    async def _end_upstream(self, id: types.UpstreamId) -> None:
+    async def _stop_upstream(self, id: types.UpstreamId) -> None:
         await self._remove_entry(id)
-        self.seen.disturb(str(id), time.monotonic(), float("inf"))
+        self.history.record_disturbance(str(id), time.monotonic(), float("inf"))
         await self._close_upstream(id)
 
     async def _close_upstream(self, id: types.UpstreamId) -> None:
-        made = self.upstreams.pop(id, None)
-        if made is not None:
+        closed = self.upstreams.pop(id, None)
+        if closed is not None:
             await self.upstream_links.pop(id).close()
-            await made.close()
+            await closed.close()
 
     async def _register(self, registration: upstreams.Registration) -> None:
         await self._put(
--- a/packages/soak/src/lagoonrun_soak/layout.py
+++ b/packages/soak/src/lagoonrun_soak/layout.py
@@ -43,7 +43,7 @@
         return self.route.name
 
     @property
-    def once(self) -> bool:
+    def runs_once(self) -> bool:
         """Whether a request runs once at most."""
         return not (self.route.profile.idempotent or self.route.resumable)
 
@@ -101,14 +101,17 @@
 KINDS_BY_NAME = {kind.name: kind for kind in (LOOKUP, CHECK, ASK, SUMMARY)}
 
 
-def key_of(revision: int) -> str:
+def added_key(revision: int) -> str:
     """Return the key that a revision of the declarations adds."""
     return f"key-of-{revision}"
 
 
 def keys_at(revision: int) -> tuple[str, ...]:
     """Return all keys of a revision: each adds one, none goes."""
-    return (STABLE_KEY, *(key_of(one) for one in range(1, revision + 1)))
+    return (
+        STABLE_KEY,
+        *(added_key(number) for number in range(1, revision + 1)),
+    )
 
 
 def declarations_at(revision: int) -> declarations.Declarations:
@@ -200,7 +203,7 @@
             readiness=self._address(0, vm, READINESS_PORT),
             peer=self.peer(vm),
             metrics=None,
-            seeds=tuple(self.peer(one) for one in range(min(vms, 3))),
+            seeds=tuple(self.peer(seed) for seed in range(min(vms, 3))),
             store=self.store_link(vm),
             stop_seconds=STOP_SECONDS,
             retry_allowance=retry_budget.Allowance(
--- a/packages/soak/src/lagoonrun_soak/link.py
+++ b/packages/soak/src/lagoonrun_soak/link.py
@@ -9,7 +9,7 @@
 from lagoonrun_router import settings
 
 _READ_BYTES = 65_536
-_LONGEST_DELAY_SECONDS = 0.15
+_MAX_DELAY_SECONDS = 0.15
 
 
 class LinkState(enum.Enum):
@@ -64,13 +64,13 @@
             self._server.close()
         self._reset_all()
 
-    def use(self, state: LinkState) -> None:
+    def set_state(self, state: LinkState) -> None:
         """Change what becomes of the bytes."""
         self.state = state
         if state is LinkState.RESET:
             self._reset_all()
         for connection in self._connections:
-            connection.mark(state)
+            connection.apply_state(state)
 
     def _reset_all(self) -> None:
         for connection in list(self._connections):
@@ -83,14 +83,16 @@
             tcp_reset.reset(writer.transport)
             return
         try:
-            far = await asyncio.open_connection(
+            outbound = await asyncio.open_connection(
                 self._target.host, self._target.port
             )
         except OSError:
             tcp_reset.reset(writer.transport)
             return
-        connection = _Connection(near=(reader, writer), far=far, owner=self)
-        connection.mark(self.state)
+        connection = _Connection(
+            inbound=(reader, writer), outbound=outbound, owner=self
+        )
+        connection.apply_state(self.state)
         self._connections.add(connection)
         # The loop ends while connections are open; asyncio logs a handler
         # that is cancelled as an error.
@@ -98,10 +100,10 @@
             await connection.run()
         self._connections.discard(connection)
 
-    async def delay(self) -> None:
+    async def wait_delay(self) -> None:
         """Wait for as long as the link's state asks for."""
         if self.state is LinkState.DELAYED:
-            await asyncio.sleep(_LONGEST_DELAY_SECONDS * self._rng.random())
+            await asyncio.sleep(_MAX_DELAY_SECONDS * self._rng.random())
 
 
 _Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -111,55 +113,65 @@
     """One forwarded connection."""
 
     def __init__(
-        self, *, near: _Streams, far: _Streams, owner: FaultyLink
+        self, *, inbound: _Streams, outbound: _Streams, owner: FaultyLink
     ) -> None:
-        self._near = near
-        self._far = far
-        self._owner = owner
+        self._inbound = inbound
+        self._outbound = outbound
+        self._link = owner
         self._drops_requests = False
-        self._drops_answers = False
+        self._drops_responses = False
 
-    def mark(self, state: LinkState) -> None:
+    def apply_state(self, state: LinkState) -> None:
         """Remember a fault that lasts for as long as the connection."""
         self._drops_requests |= state is LinkState.SILENT
-        self._drops_answers |= state in (LinkState.SILENT, LinkState.ONE_WAY)
+        self._drops_responses |= state in (LinkState.SILENT, LinkState.ONE_WAY)
 
     def abort(self) -> None:
         """Reset both ends."""
-        for _, writer in (self._near, self._far):
+        for _, writer in (self._inbound, self._outbound):
             tcp_reset.reset(writer.transport)
 
     async def run(self) -> None:
         """Forward both ways until one end is gone."""
-        pumps = [
+        tasks = [
             asyncio.create_task(
-                self._pump(self._near[0], self._far[1], answers=False)
+                self._forward(
+                    self._inbound[0], self._outbound[1], is_response=False
+                )
             ),
             asyncio.create_task(
-                self._pump(self._far[0], self._near[1], answers=True)
+                self._forward(
+                    self._outbound[0], self._inbound[1], is_response=True
+                )
             ),
         ]
         try:
-            await asyncio.gather(*pumps)
+            await asyncio.gather(*tasks)
         finally:
-            for pump in pumps:
-                pump.cancel()
+            for task in tasks:
+                task.cancel()
             self.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        answers: bool,
+        is_response: bool,
     ) -> None:
         # An end that is gone ends the other; resets look the same to it.
         with contextlib.suppress(OSError):
             while data := await reader.read(_READ_BYTES):
-                await self._owner.delay()
-                if self._drops_answers if answers else self._drops_requests:
+                await self._link.wait_delay()
+                if (
+                    self._drops_responses
+                    if is_response
+                    else self._drops_requests
+                ):
                     continue
                 writer.write(data)
                 await writer.drain()
-            if not (self._drops_answers if answers else self._drops_requests):
+            if not (
+                self._drops_responses if is_response else self._drops_requests
+            ):
                 writer.write_eof()
--- a/packages/soak/src/lagoonrun_soak/main.py
+++ b/packages/soak/src/lagoonrun_soak/main.py
@@ -18,33 +18,40 @@
 _PLANTED = flags.DEFINE_enum(
     "planted",
     "",
-    ["", *(one.value for one in planted.Planted)],
+    ["", *(defect.value for defect in planted.PlantedDefect)],
     "Promise that is broken on purpose.",
 )
 _FAULTS = flags.DEFINE_multi_enum(
     "fault",
     [],
-    [one.value for one in faults.FaultKind],
+    [kind.value for kind in faults.FaultKind],
     "Only these faults; may be given several times.",
 )
 _FOLDER = flags.DEFINE_string("folder", "", "Where logs go; empty for /tmp.")
 
-_MOST_SHOWN = 10
+_MAX_SHOWN = 10
 
 
-def _show(plan: soak.Plan, found: soak.Outcome, folder: pathlib.Path) -> None:
-    asks = ", ".join(f"{key}: {n}" for key, n in sorted(found.asks.items()))
-    print(f"seed {plan.seed}: {len(found.faults)} faults; {asks}")
-    for one in found.violations[:_MOST_SHOWN]:
-        print(f"  {one.promise.value} {one.request_id}: {one.detail}")
-    if found.violations:
-        print(f"  {len(found.violations)} violations; logs in {folder}")
-        print("  " + "\n  ".join(found.faults))
+def _print_result(
+    plan: soak.Plan, result: soak.SoakResult, folder: pathlib.Path
+) -> None:
+    counts = ", ".join(
+        f"{key}: {n}" for key, n in sorted(result.request_counts.items())
+    )
+    print(f"seed {plan.seed}: {len(result.faults)} faults; {counts}")
+    for violation in result.violations[:_MAX_SHOWN]:
+        print(
+            f"  {violation.guarantee.value} {violation.request_id}: "
+            f"{violation.detail}"
+        )
+    if result.violations:
+        print(f"  {len(result.violations)} violations; logs in {folder}")
+        print("  " + "\n  ".join(result.faults))
 
 
 def _main(arguments: list[str]) -> int:
     del arguments
-    broken = 0
+    failed_count = 0
     for seed in range(_FIRST_SEED.value, _FIRST_SEED.value + _SEEDS.value):
         plan = soak.Plan(
             seed=seed,
@@ -57,11 +64,11 @@
         folder = pathlib.Path(
             tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=_FOLDER.value or None)
         )
-        found = asyncio.run(soak.run(plan, folder=folder))
-        _show(plan, found, folder)
-        broken += bool(found.violations)
-    print(f"{_SEEDS.value} soaks, {broken} with a broken promise")
-    return 1 if broken else 0
+        result = asyncio.run(soak.run(plan, folder=folder))
+        _print_result(plan, result, folder)
+        failed_count += bool(result.violations)
+    print(f"{_SEEDS.value} soaks, {failed_count} with a broken promise")
+    return 1 if failed_count else 0
 
 
 if __name__ == "__main__":
--- a/packages/soak/src/lagoonrun_soak/notice_checks.py
+++ b/packages/soak/src/lagoonrun_soak/notice_checks.py
@@ -6,7 +6,7 @@
 from lagoonrun_core import types
 from lagoonrun_soak import notices, record
 
-_TOLD_SECONDS = 0.5
+_NOTICE_EFFECTIVE_SECONDS = 0.5
 """Time from which an answer binds the entry VM that passed it on."""
 
 _DRAIN_SECONDS = 2.0
@@ -18,115 +18,125 @@
 _LIMIT_SLACK = 5
 """Requests in a window above what a limit allows, with the factor before."""
 
-_MOST_IN_A_REST = 2
+_MAX_DURING_REST = 2
 
 
-def over_limits(
-    seen: record.Record, *, contact_seconds: float
+def requests_over_limit(
+    history: record.History, *, recovery_seconds: float
 ) -> Iterator[str]:
     """Yield the ids of requests that were too many for a limit.
 
     Counted are those of entry VMs that were told, from some seconds after the
     limit was first named on.
     """
-    for upstream, arrivals in _by_upstream(seen.arrivals).items():
-        count = _LimitCount(seen=seen, contact_seconds=contact_seconds)
-        given = [one for one in seen.given_notices if one.upstream == upstream]
-        for event in sorted([*given, *arrivals], key=lambda one: one.at):
-            if isinstance(event, notices.GivenNotice):
-                count.take_notice(event)
-            elif count.is_too_many(event):
+    for upstream, arrivals in _by_upstream(history.arrivals).items():
+        counter = _LimitCounter(
+            history=history, recovery_seconds=recovery_seconds
+        )
+        sent = [
+            notice
+            for notice in history.sent_notices
+            if notice.upstream == upstream
+        ]
+        for event in sorted([*sent, *arrivals], key=lambda event: event.at):
+            if isinstance(event, notices.SentNotice):
+                counter.apply_notice(event)
+            elif counter.exceeds_limit(event):
                 yield event.id
 
 
-class _LimitCount:
+class _LimitCounter:
     """Counts the requests that reach one upstream within its limits."""
 
-    def __init__(self, *, seen: record.Record, contact_seconds: float) -> None:
-        self._seen = seen
-        self._contact_seconds = contact_seconds
+    def __init__(
+        self, *, history: record.History, recovery_seconds: float
+    ) -> None:
+        self._history = history
+        self._recovery_seconds = recovery_seconds
         self._limit: float | None = None
-        self._named_at = 0.0
-        self._told_at_by_vm: dict[str, float] = {}
+        self._limit_sent_at = 0.0
+        self._notified_at_by_vm: dict[str, float] = {}
         self._counted: collections.deque[float] = collections.deque()
 
-    def take_notice(self, given: notices.GivenNotice) -> None:
+    def apply_notice(self, sent_notice: notices.SentNotice) -> None:
         """Take in what an answer says of the limit."""
-        if given.notice.per_second != self._limit:
-            self._limit = given.notice.per_second
-            self._named_at = given.at
-            self._told_at_by_vm.clear()
+        if sent_notice.notice.per_second != self._limit:
+            self._limit = sent_notice.notice.per_second
+            self._limit_sent_at = sent_notice.at
+            self._notified_at_by_vm.clear()
             self._counted.clear()
         if self._limit is not None:
-            vm = _vm_of(self._seen, given.id)
-            self._told_at_by_vm.setdefault(vm, given.at)
+            vm = _vm_of(self._history, sent_notice.id)
+            self._notified_at_by_vm.setdefault(vm, sent_notice.at)
 
-    def is_too_many(self, arrival: notices.Arrival) -> bool:
+    def exceeds_limit(self, arrival: notices.Arrival) -> bool:
         """Count a request; return whether it is above what is allowed."""
         if self._limit is None or not self._is_bound(arrival):
             return False
         self._counted.append(arrival.at)
         while self._counted[0] <= arrival.at - _LIMIT_WINDOW_SECONDS:
             self._counted.popleft()
-        most = _LIMIT_FACTOR * self._limit * _LIMIT_WINDOW_SECONDS
-        return len(self._counted) > most + _LIMIT_SLACK
+        max_count = _LIMIT_FACTOR * self._limit * _LIMIT_WINDOW_SECONDS
+        return len(self._counted) > max_count + _LIMIT_SLACK
 
     def _is_bound(self, arrival: notices.Arrival) -> bool:
         """Return whether the limit binds whoever sent a request."""
-        vm = _vm_of(self._seen, arrival.id)
-        told_at = self._told_at_by_vm.get(vm, arrival.at)
-        if arrival.at - told_at < _TOLD_SECONDS:
+        vm = _vm_of(self._history, arrival.id)
+        notified_at = self._notified_at_by_vm.get(vm, arrival.at)
+        if arrival.at - notified_at < _NOTICE_EFFECTIVE_SECONDS:
             return False
-        if arrival.at - self._named_at < self._contact_seconds:
+        if arrival.at - self._limit_sent_at < self._recovery_seconds:
             return False
-        return self._seen.is_calm(vm, told_at, arrival.at)
+        return self._history.is_undisturbed(vm, notified_at, arrival.at)
 
 
-def in_rests(seen: record.Record) -> Iterator[str]:
+def requests_during_rest(history: record.History) -> Iterator[str]:
     """Yield the ids of requests that reached an upstream in its rest."""
-    arrivals_by_upstream = _by_upstream(seen.arrivals)
-    for one in seen.given_notices:
-        if one.notice.rest_seconds is None:
+    arrivals_by_upstream = _by_upstream(history.arrivals)
+    for sent_notice in history.sent_notices:
+        if sent_notice.notice.rest_seconds is None:
             continue
-        vm = _vm_of(seen, one.id)
-        since = one.at + _TOLD_SECONDS
-        until = one.at + one.notice.rest_seconds
+        vm = _vm_of(history, sent_notice.id)
+        since = sent_notice.at + _NOTICE_EFFECTIVE_SECONDS
+        until = sent_notice.at + sent_notice.notice.rest_seconds
         within = [
             arrival
-            for arrival in arrivals_by_upstream[one.upstream]
-            if since < arrival.at < until and _vm_of(seen, arrival.id) == vm
+            for arrival in arrivals_by_upstream[sent_notice.upstream]
+            if since < arrival.at < until and _vm_of(history, arrival.id) == vm
         ]
-        if len(within) > _MOST_IN_A_REST and seen.is_calm(vm, one.at, until):
+        if len(within) > _MAX_DURING_REST and history.is_undisturbed(
+            vm, sent_notice.at, until
+        ):
             yield within[-1].id
 
 
-def after_leaving(seen: record.Record) -> Iterator[str]:
+def requests_after_leaving(history: record.History) -> Iterator[str]:
     """Yield the ids of requests sent after an answer that told of leaving."""
-    told_at_by_place: dict[tuple[types.UpstreamId, str], float] = {}
-    for one in seen.given_notices:
-        if one.notice.leaving:
-            place = (one.upstream, _vm_of(seen, one.id))
-            told_at_by_place.setdefault(place, one.at)
-    for one in seen.arrivals:
-        vm = _vm_of(seen, one.id)
-        told_at = told_at_by_place.get((one.upstream, vm))
-        ask = seen.asks_by_id.get(one.id)
-        if told_at is None or ask is None:
+    notified_at_by_pair: dict[tuple[types.UpstreamId, str], float] = {}
+    for sent_notice in history.sent_notices:
+        if sent_notice.notice.leaving:
+            pair = (sent_notice.upstream, _vm_of(history, sent_notice.id))
+            notified_at_by_pair.setdefault(pair, sent_notice.at)
+    for arrival in history.arrivals:
+        vm = _vm_of(history, arrival.id)
+        notified_at = notified_at_by_pair.get((arrival.upstream, vm))
+        request = history.requests_by_id.get(arrival.id)
+        if notified_at is None or request is None:
             continue
-        late = ask.sent_at > told_at + _DRAIN_SECONDS + _SLACK_SECONDS
-        if late and seen.is_calm(vm, told_at, one.at):
-            yield one.id
+        late = request.sent_at > notified_at + _DRAIN_SECONDS + _SLACK_SECONDS
+        if late and history.is_undisturbed(vm, notified_at, arrival.at):
+            yield arrival.id
 
 
 def _by_upstream(
     arrivals: Iterable[notices.Arrival],
 ) -> dict[types.UpstreamId, list[notices.Arrival]]:
-    found = collections.defaultdict(list)
-    for one in arrivals:
-        found[one.upstream].append(one)
-    return found
+    arrivals_by_upstream = collections.defaultdict(list)
+    for arrival in arrivals:
+        arrivals_by_upstream[arrival.upstream].append(arrival)
+    return arrivals_by_upstream
 
 
-def _vm_of(seen: record.Record, id: str) -> str:
-    ask = seen.asks_by_id.get(id)
-    return ask.vm if ask else ""
+def _vm_of(history: record.History, id: str) -> str:
+    request = history.requests_by_id.get(id)
+    return request.vm if request else ""
--- a/packages/soak/src/lagoonrun_soak/notices.py
+++ b/packages/soak/src/lagoonrun_soak/notices.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GivenNotice:
+class SentNotice:
     """An answer that said something, or the first that said nothing again.
 
     Parameters
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -28,7 +28,7 @@
 _REVERT_SECONDS = 1.0
 
 
-class Planted(enum.Enum):
+class PlantedDefect(enum.Enum):
     """Which promise is broken."""
 
     ONCE = "once"
@@ -45,9 +45,9 @@
     OWN_LEAVING = "own-leaving"
 
 
-def plant(planted: Planted) -> None:
+def plant(defect: PlantedDefect) -> None:
     """Break one promise in this process."""
-    _BREAKS[planted]()
+    _PLANTERS[defect]()
 
 
 def _break_once() -> None:
@@ -64,7 +64,7 @@
 
 def _break_own_answer() -> None:
     """Cut the last byte off, as if the answer were whole."""
-    sound = answers.pass_on
+    original = answers.pass_on
 
     async def pass_on(
         exchange: exchanges.Exchange, answer: attempt_result.WholeAnswer, **more
@@ -72,7 +72,7 @@
         cut = attempt_result.WholeAnswer(
             head=answer.head, body=answer.body[:-1]
         )
-        return await sound(exchange, cut, **more)
+        return await original(exchange, cut, **more)
 
     answers.pass_on = pass_on
 
@@ -80,7 +80,7 @@
 def _break_not_run() -> None:
     """Say of each failed request that it has not run."""
 
-    def unanswered(self, reason, detail, upstream):
+    def end_as_not_run(self, reason, detail, upstream):
         del self
         return outcomes.Ending(
             outcome=outcomes.Outcome.NOT_RUN,
@@ -90,7 +90,7 @@
             retry_after_seconds=0.1,
         )
 
-    execution.CallExecution._ending_without_answer = unanswered
+    execution.CallExecution._ending_without_answer = end_as_not_run
 
 
 def _break_leaving() -> None:
@@ -98,7 +98,9 @@
     directory = upstreams.UpstreamDirectory
     directory.may_send = lambda self, upstream, *, now: True
     directory.usable = lambda self, pool, *, now: tuple(
-        one for one in self.registrations if one.pool == pool
+        registration
+        for registration in self.registrations
+        if registration.pool == pool
     )
     directory.apply_removal = lambda self, upstream, *, now: None
 
@@ -115,12 +117,12 @@
 
 def _break_no_revert() -> None:
     """Put the declarations of before into force again after a while."""
-    sound = store_replica.StoreReplica.__init__
+    original = store_replica.StoreReplica.__init__
 
     def init(self, *, on_declarations, **more) -> None:
         before: list[declarations.Declarations] = []
 
-        def take(declared: declarations.Declarations) -> None:
+        def apply_and_revert(declared: declarations.Declarations) -> None:
             on_declarations(declared)
             if before:
                 asyncio.get_running_loop().call_later(
@@ -128,30 +130,30 @@
                 )
             before.append(declared)
 
-        sound(self, on_declarations=take, **more)
+        original(self, on_declarations=apply_and_revert, **more)
 
     store_replica.StoreReplica.__init__ = init
 
 
 def _break_in_force() -> None:
     """Take only the first declarations."""
-    sound = store_replica.StoreReplica.take_declarations
+    original = store_replica.StoreReplica.take_declarations
 
-    def take(self, value, *, source) -> None:
+    def apply_first(self, value, *, source) -> None:
         if not self.revision:
-            sound(self, value, source=source)
+            original(self, value, source=source)
 
-    store_replica.StoreReplica.take_declarations = take
+    store_replica.StoreReplica.take_declarations = apply_first
 
 
 def _break_tiers() -> None:
     """Leave the most room to the lowest tier."""
-    sound = admission.share_of
+    original = admission.share_of
 
     def share_of(tier, tiers):
         ordered = sorted({*tiers, tier})
         mirrored = ordered[-1 - ordered.index(tier)]
-        return sound(mirrored, tiers) if mirrored != ordered[0] else 1.0
+        return original(mirrored, tiers) if mirrored != ordered[0] else 1.0
 
     def admit(standing, ranked):
         if standing.tier == min(standing.tiers):
@@ -185,22 +187,22 @@
     )
 
 
-_BREAKS = {
-    Planted.ONCE: _break_once,
-    Planted.OWN_ANSWER: _break_own_answer,
-    Planted.NOT_RUN: _break_not_run,
-    Planted.LEAVING: _break_leaving,
-    Planted.PLANNED_STOP: _break_planned_stop,
-    Planted.NO_REVERT: _break_no_revert,
-    Planted.IN_FORCE: _break_in_force,
-    Planted.TIERS: _break_tiers,
-    Planted.CRASHING: _break_crashing,
-    Planted.LIMITS: _break_limits,
-    Planted.RESTS: _break_rests,
-    Planted.OWN_LEAVING: _break_own_leaving,
+_PLANTERS = {
+    PlantedDefect.ONCE: _break_once,
+    PlantedDefect.OWN_ANSWER: _break_own_answer,
+    PlantedDefect.NOT_RUN: _break_not_run,
+    PlantedDefect.LEAVING: _break_leaving,
+    PlantedDefect.PLANNED_STOP: _break_planned_stop,
+    PlantedDefect.NO_REVERT: _break_no_revert,
+    PlantedDefect.IN_FORCE: _break_in_force,
+    PlantedDefect.TIERS: _break_tiers,
+    PlantedDefect.CRASHING: _break_crashing,
+    PlantedDefect.LIMITS: _break_limits,
+    PlantedDefect.RESTS: _break_rests,
+    PlantedDefect.OWN_LEAVING: _break_own_leaving,
 }
 
 
 if __name__ == "__main__":
-    plant(Planted(sys.argv[1]))
+    plant(PlantedDefect(sys.argv[1]))
     sys.exit(main.run())
--- a/packages/soak/src/lagoonrun_soak/record.py
+++ b/packages/soak/src/lagoonrun_soak/record.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Ask:
+class CallerRequest:
     """One request of a caller.
 
     Parameters
@@ -44,7 +44,7 @@
     whole: bool = False
     genuine: bool = False
     reason: str = ""
-    crashing: str = ""
+    crashing_request: str = ""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Span:
+class Disturbance:
     """A time during which something was not as it should be."""
 
     start: float
@@ -66,14 +66,16 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Record:
+class History:
     """Everything that the checks rest on; times are of one steady clock."""
 
-    asks_by_id: dict[str, Ask] = dataclasses.field(default_factory=dict)
+    requests_by_id: dict[str, CallerRequest] = dataclasses.field(
+        default_factory=dict
+    )
     runs_by_id: dict[str, list[Run]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
-    spans_by_subject: dict[str, list[Span]] = dataclasses.field(
+    disturbances_by_subject: dict[str, list[Disturbance]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
     left_at_by_upstream: dict[types.UpstreamId, float] = dataclasses.field(
@@ -82,29 +84,35 @@
     declared_at_by_revision: dict[int, float] = dataclasses.field(
         default_factory=dict
     )
-    stops_by_vm: dict[str, list[float]] = dataclasses.field(
+    stop_times_by_vm: dict[str, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
-    given_notices: list[notices.GivenNotice] = dataclasses.field(
+    sent_notices: list[notices.SentNotice] = dataclasses.field(
         default_factory=list
     )
     arrivals: list[notices.Arrival] = dataclasses.field(default_factory=list)
     faults: list[str] = dataclasses.field(default_factory=list)
 
-    def disturb(self, subject: str, start: float, end: float) -> None:
+    def record_disturbance(
+        self, subject: str, start: float, end: float
+    ) -> None:
         """Note that a subject is not as it should be from start to end."""
-        self.spans_by_subject[subject].append(Span(start=start, end=end))
+        self.disturbances_by_subject[subject].append(
+            Disturbance(start=start, end=end)
+        )
 
-    def is_calm(self, subject: str, start: float, end: float) -> bool:
+    def is_undisturbed(self, subject: str, start: float, end: float) -> bool:
         """Return whether nothing disturbed a subject from start to end."""
         return not any(
-            span.start <= end and span.end >= start
-            for span in self.spans_by_subject[subject]
+            disturbance.start <= end and disturbance.end >= start
+            for disturbance in self.disturbances_by_subject[subject]
         )
 
     def revision_at(self, now: float) -> int:
         """Return the newest revision that the store had acknowledged."""
         revisions = sorted(self.declared_at_by_revision)
-        times = [self.declared_at_by_revision[one] for one in revisions]
+        times = [
+            self.declared_at_by_revision[revision] for revision in revisions
+        ]
         count = bisect.bisect_right(times, now)
         return revisions[count - 1] if count else 0
--- a/packages/soak/src/lagoonrun_soak/soak.py
+++ b/packages/soak/src/lagoonrun_soak/soak.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outcome:
+class SoakResult:
     """What a soak found.
 
     Parameters
@@ -47,39 +47,42 @@
     """
 
     violations: tuple[checks.Violation, ...]
-    asks: collections.Counter[str]
+    request_counts: collections.Counter[str]
     faults: tuple[str, ...]
 
 
-_CALM_SECONDS = 1.0
+_UNDISTURBED_SECONDS = 1.0
 """Before the first fault, and after the last for answers on their way."""
 
 
-async def run(plan: Plan, *, folder: pathlib.Path) -> Outcome:
+async def run(plan: Plan, *, folder: pathlib.Path) -> SoakResult:
     """Run one soak; its logs and settings are left in `folder`."""
     rng = random.Random(plan.seed)
-    world = fleet.Fleet(
+    deployment = fleet.Deployment(
         network=layout.Network.of_process(),
         vms=plan.vms,
         folder=folder,
         rng=rng,
         planted=plan.planted,
     )
-    injector = faults.FaultInjector(world=world, rng=rng, kinds=plan.kinds)
+    injector = faults.FaultInjector(
+        deployment=deployment, rng=rng, kinds=plan.kinds
+    )
     try:
-        await world.start()
-        await asyncio.sleep(_CALM_SECONDS)
+        await deployment.start()
+        await asyncio.sleep(_UNDISTURBED_SECONDS)
         await injector.start()
         await asyncio.sleep(plan.seconds)
         await injector.close()
-        await asyncio.sleep(_CALM_SECONDS)
+        await asyncio.sleep(_UNDISTURBED_SECONDS)
     finally:
-        await world.close()
-    seen = world.seen
-    return Outcome(
-        violations=tuple(checks.check(seen)),
-        asks=collections.Counter(
-            f"{ask.kind} {ask.status}" for ask in seen.asks_by_id.values()
+        await deployment.close()
+    history = deployment.history
+    return SoakResult(
+        violations=tuple(checks.check(history)),
+        request_counts=collections.Counter(
+            f"{request.kind} {request.status}"
+            for request in history.requests_by_id.values()
         ),
-        faults=tuple(seen.faults),
+        faults=tuple(history.faults),
     )
--- a/packages/soak/src/lagoonrun_soak/upstream.py
+++ b/packages/soak/src/lagoonrun_soak/upstream.py
@@ -16,13 +16,13 @@
 from lagoonrun_soak import layout, notices, record
 from lagoonrun_users_platform import standin_messages
 
-_PLAIN_WORK_SECONDS = 0.03
+_PLAIN_RUN_SECONDS = 0.03
 _EVENT_SECONDS = 0.06
-_CRASHING_WORD = b"crashes "
-_CRASH_SECONDS = 0.05
+_CRASHING_PREFIX = b"crashes "
+_CRASH_DELAY_SECONDS = 0.05
 """Time from the beginning of a run that ends the upstream to that end."""
 
-_QUEUED = 4
+_QUEUE_CAPACITY = 4
 """Requests above the slots that wait; further ones are refused as not run.
 
 Less urgent ones don't count: an engine lets more urgent ones in before them.
@@ -41,7 +41,7 @@
 
 def crashing_body(name: str) -> bytes:
     """Return the body of a request that ends upstreams; empty for no name."""
-    return _CRASHING_WORD + name.encode() if name else b""
+    return _CRASHING_PREFIX + name.encode() if name else b""
 
 
 class CrashListener(Protocol):
@@ -76,12 +76,12 @@
         *,
         registration: upstreams.Registration,
         address: settings.Address,
-        seen: record.Record,
+        history: record.History,
         on_crash: CrashListener,
     ) -> None:
         self._on_crash = on_crash
         self.registration = registration
-        self._seen = seen
+        self._history = history
         self._running_by_urgency: collections.Counter[int] = (
             collections.Counter()
         )
@@ -112,7 +112,7 @@
         """Run one request, or say that it was not run."""
         body = await exchange.read_body()
         request = standin_messages.read_request(exchange.head)
-        self._seen.arrivals.append(
+        self._history.arrivals.append(
             notices.Arrival(
                 upstream=self.registration.id,
                 id=request.request_id,
@@ -125,20 +125,20 @@
         if self.notice.rest_seconds is not None:
             await self._refuse(exchange, request.request_id, status=503)
             return
-        before = sum(
+        count_ahead = sum(
             count
             for urgency, count in self._running_by_urgency.items()
             if urgency <= request.urgency
         )
-        if before >= self.registration.slots + _QUEUED:
+        if count_ahead >= self.registration.slots + _QUEUE_CAPACITY:
             await self._refuse(exchange, request.request_id, status=503)
             return
         self._running_by_urgency[request.urgency] += 1
         try:
             async with self._slots:
-                self._note_run(exchange, request)
-                if body.startswith(_CRASHING_WORD):
-                    await asyncio.sleep(_CRASH_SECONDS)
+                self._record_run(exchange, request)
+                if body.startswith(_CRASHING_PREFIX):
+                    await asyncio.sleep(_CRASH_DELAY_SECONDS)
                     self._on_crash(self.registration.id)
                     await exchange.caller_left.wait()
                     return
@@ -166,8 +166,8 @@
     ) -> http_messages.Headers:
         """Return the headers with what it says of itself, and note that."""
         notice = self.notice
-        self._seen.given_notices.append(
-            notices.GivenNotice(
+        self._history.sent_notices.append(
+            notices.SentNotice(
                 upstream=self.registration.id,
                 id=request_id,
                 notice=notice,
@@ -181,13 +181,13 @@
             leaving=notice.leaving,
         )
 
-    def _note_run(
+    def _record_run(
         self,
         exchange: exchanges.Exchange,
         request: standin_messages.UpstreamRequest,
     ) -> None:
         id = request.request_id
-        self._seen.runs_by_id[id].append(
+        self._history.runs_by_id[id].append(
             record.Run(
                 id=id,
                 upstream=self.registration.id,
@@ -206,7 +206,7 @@
         if layout.KINDS_BY_NAME[_kind_of(exchange)].streamed:
             headers = self._with_notice(headers, id)
         if not layout.KINDS_BY_NAME[_kind_of(exchange)].streamed:
-            await asyncio.sleep(_PLAIN_WORK_SECONDS)
+            await asyncio.sleep(_PLAIN_RUN_SECONDS)
             await exchange.respond(
                 status=200,
                 headers=self._with_notice(headers, id),
--- a/packages/soak/src/lagoonrun_soak/vm.py
+++ b/packages/soak/src/lagoonrun_soak/vm.py
@@ -17,8 +17,8 @@
 
 _POLL_SECONDS = 0.5
 _POLL_TIMEOUT_SECONDS = 0.4
-_MISSES = 2
-_END_SECONDS = 3.0
+_UNHEALTHY_THRESHOLD = 2
+_EXIT_SECONDS = 3.0
 
 
 class EntryVm:
@@ -44,12 +44,12 @@
     def __init__(
         self,
         *,
-        configured: settings.RouterSettings,
+        vm_settings: settings.RouterSettings,
         folder: pathlib.Path,
         planted: str = "",
     ) -> None:
-        self.configured = configured
-        self.name = str(configured.entry_vm)
+        self.vm_settings = vm_settings
+        self.name = str(vm_settings.entry_vm)
         self._folder = folder
         self._planted = planted
         self._process: asyncio.subprocess.Process | None = None
@@ -88,7 +88,7 @@
 
     def write_settings(self, comment: str) -> None:
         """Write the settings file, with a comment that changes it."""
-        text = standin_messages.settings_text(self.configured)
+        text = standin_messages.settings_text(self.vm_settings)
         self._settings_path.write_text(f"# {comment}\n{text}", encoding="utf-8")
 
     def send(self, number: signal.Signals) -> None:
@@ -96,7 +96,7 @@
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
-    async def ended(self, seconds: float) -> bool:
+    async def wait_for_exit(self, seconds: float) -> bool:
         """Wait for the process's end; return whether it came in time."""
         if self._process is None:
             return True
@@ -114,18 +114,18 @@
             await asyncio.gather(self._poller, return_exceptions=True)
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
-        await self.ended(_END_SECONDS)
+        await self.wait_for_exit(_EXIT_SECONDS)
 
     async def _poll(self) -> None:
         """Ask whether callers may come, as the platform's balancer does."""
-        misses = _MISSES
+        failed_polls = _UNHEALTHY_THRESHOLD
         while True:
-            misses = 0 if await self._is_ready() else misses + 1
-            self.in_rotation = misses < _MISSES
+            failed_polls = 0 if await self._is_ready() else failed_polls + 1
+            self.in_rotation = failed_polls < _UNHEALTHY_THRESHOLD
             await asyncio.sleep(_POLL_SECONDS)
 
     async def _is_ready(self) -> bool:
-        address = self.configured.readiness
+        address = self.vm_settings.readiness
         writer = None
         try:
             async with asyncio.timeout(_POLL_TIMEOUT_SECONDS):
--- a/packages/soak/tests/test_link.py
+++ b/packages/soak/tests/test_link.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-async def faulty():
+async def faulty_link():
     """Return a link to a server that echoes what it gets."""
 
     async def echo(reader, writer):
@@ -23,54 +23,56 @@
 
     ports = free_ports(2)
     server = await asyncio.start_server(echo, HOST, ports[1])
-    made = FaultyLink(
+    link = FaultyLink(
         listen=settings.Address(host=HOST, port=ports[0]),
         target=settings.Address(host=HOST, port=ports[1]),
         rng=random.Random(1),
     )
-    await made.start()
-    made.port = ports[0]
-    yield made
-    await made.close()
+    await link.start()
+    link.port = ports[0]
+    yield link
+    await link.close()
     server.close()
 
 
-async def answer_of(reader, writer):
+async def echo_of(reader, writer):
     writer.write(b"x")
     async with asyncio.timeout(SHORT_SECONDS):
         return await reader.read(1)
 
 
-async def test_sound_and_delayed_links_pass_everything(faulty):
-    reader, writer = await asyncio.open_connection(HOST, faulty.port)
-    assert await answer_of(reader, writer) == b"x"
-    faulty.use(LinkState.DELAYED)
+async def test_sound_and_delayed_links_pass_everything(faulty_link):
+    reader, writer = await asyncio.open_connection(HOST, faulty_link.port)
+    assert await echo_of(reader, writer) == b"x"
+    faulty_link.set_state(LinkState.DELAYED)
     writer.write(b"y")
     assert await reader.read(1) == b"y"
     writer.close()
 
 
-async def test_reset_ends_open_connections_and_new_ones(faulty):
-    reader, writer = await asyncio.open_connection(HOST, faulty.port)
-    assert await answer_of(reader, writer) == b"x"
-    faulty.use(LinkState.RESET)
+async def test_reset_ends_open_connections_and_new_ones(faulty_link):
+    reader, writer = await asyncio.open_connection(HOST, faulty_link.port)
+    assert await echo_of(reader, writer) == b"x"
+    faulty_link.set_state(LinkState.RESET)
     with pytest.raises(ConnectionError):
-        await answer_of(reader, writer)
-    reader, writer = await asyncio.open_connection(HOST, faulty.port)
+        await echo_of(reader, writer)
+    reader, writer = await asyncio.open_connection(HOST, faulty_link.port)
     with pytest.raises(ConnectionError):
         await reader.readexactly(1)
 
 
 @pytest.mark.parametrize("state", [LinkState.SILENT, LinkState.ONE_WAY])
-async def test_silent_connection_stays_silent_and_new_ones_work(faulty, state):
+async def test_silent_connection_stays_silent_and_new_ones_work(
+    faulty_link, state
+):
     """A connection goes silent for good, without a reset."""
-    reader, writer = await asyncio.open_connection(HOST, faulty.port)
-    assert await answer_of(reader, writer) == b"x"
-    faulty.use(state)
-    faulty.use(LinkState.SOUND)
+    reader, writer = await asyncio.open_connection(HOST, faulty_link.port)
+    assert await echo_of(reader, writer) == b"x"
+    faulty_link.set_state(state)
+    faulty_link.set_state(LinkState.SOUND)
     with pytest.raises(TimeoutError):
-        await answer_of(reader, writer)
-    other = await asyncio.open_connection(HOST, faulty.port)
-    assert await answer_of(*other) == b"x"
-    for one in (writer, other[1]):
-        one.close()
+        await echo_of(reader, writer)
+    other_connection = await asyncio.open_connection(HOST, faulty_link.port)
+    assert await echo_of(*other_connection) == b"x"
+    for open_writer in (writer, other_connection[1]):
+        open_writer.close()
--- a/packages/soak/tests/test_soak.py
+++ b/packages/soak/tests/test_soak.py
@@ -8,55 +8,58 @@
 
 from lagoonrun_soak import checks, faults, soak
 from lagoonrun_soak.faults import FaultKind
-from lagoonrun_soak.planted import Planted
-
-FAULTS_BY_PLANTED = {
-    Planted.ONCE: (FaultKind.UPSTREAM_CRASHED,),
-    Planted.OWN_ANSWER: (FaultKind.DECLARED,),
-    Planted.NOT_RUN: (FaultKind.UPSTREAM_LINK, FaultKind.UPSTREAM_CRASHED),
-    Planted.LEAVING: (FaultKind.UPSTREAM_LEAVES,),
-    Planted.PLANNED_STOP: (FaultKind.VM_STOPPED,),
-    Planted.NO_REVERT: (FaultKind.DECLARED,),
-    Planted.IN_FORCE: (FaultKind.DECLARED,),
-    Planted.TIERS: (FaultKind.BURST,),
-    Planted.CRASHING: (FaultKind.CRASHING_REQUEST,),
-    Planted.LIMITS: (FaultKind.UPSTREAM_LIMITS,),
-    Planted.RESTS: (FaultKind.POOL_RESTS,),
-    Planted.OWN_LEAVING: (FaultKind.UPSTREAM_SAYS_IT_LEAVES,),
+from lagoonrun_soak.planted import PlantedDefect
+
+FAULTS_BY_DEFECT = {
+    PlantedDefect.ONCE: (FaultKind.UPSTREAM_CRASHED,),
+    PlantedDefect.OWN_ANSWER: (FaultKind.DECLARED,),
+    PlantedDefect.NOT_RUN: (
+        FaultKind.UPSTREAM_LINK,
+        FaultKind.UPSTREAM_CRASHED,
+    ),
+    PlantedDefect.LEAVING: (FaultKind.UPSTREAM_LEAVES,),
+    PlantedDefect.PLANNED_STOP: (FaultKind.VM_STOPPED,),
+    PlantedDefect.NO_REVERT: (FaultKind.DECLARED,),
+    PlantedDefect.IN_FORCE: (FaultKind.DECLARED,),
+    PlantedDefect.TIERS: (FaultKind.BURST,),
+    PlantedDefect.CRASHING: (FaultKind.CRASHING_REQUEST,),
+    PlantedDefect.LIMITS: (FaultKind.UPSTREAM_LIMITS,),
+    PlantedDefect.RESTS: (FaultKind.POOL_RESTS,),
+    PlantedDefect.OWN_LEAVING: (FaultKind.UPSTREAM_SAYS_IT_LEAVES,),
 }
 
 SECONDS = 7.0
 """Long enough for what takes three seconds to count as overdue."""
 
 
-SECONDS_BY_PLANTED = {Planted.LIMITS: 2 * SECONDS}
+SECONDS_BY_DEFECT = {PlantedDefect.LIMITS: 2 * SECONDS}
 """A limit binds after three seconds, and is checked over the four that follow."""
 
 
-async def run(tmp_path, seed=1, **changes):
+async def run_soak(tmp_path, seed=1, **changes):
     values = {"seed": seed, "seconds": SECONDS, "vms": 3}
     plan = soak.Plan(**{**values, **changes})
     return await soak.run(plan, folder=tmp_path)
 
 
-@pytest.mark.parametrize("planted", list(Planted))
+@pytest.mark.parametrize("planted", list(PlantedDefect))
 async def test_planted_fault_is_found(planted, tmp_path):
-    found = await run(
+    result = await run_soak(
         tmp_path,
         planted=planted.value,
-        kinds=FAULTS_BY_PLANTED[planted],
-        seconds=SECONDS_BY_PLANTED.get(planted, SECONDS),
+        kinds=FAULTS_BY_DEFECT[planted],
+        seconds=SECONDS_BY_DEFECT.get(planted, SECONDS),
     )
-    promise = checks.Promise(planted.value)
-    assert promise in {one.promise for one in found.violations}
+    guarantee = checks.Guarantee(planted.value)
+    assert guarantee in {violation.guarantee for violation in result.violations}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 async def test_short_soak_finds_nothing(seed, tmp_path):
-    found = await run(tmp_path, seed=seed)
-    assert found.violations == ()
-    assert len(found.faults) > 2
-    assert found.asks["lookup 200"] > 50
+    result = await run_soak(tmp_path, seed=seed)
+    assert result.violations == ()
+    assert len(result.faults) > 2
+    assert result.request_counts["lookup 200"] > 50
 
 
 @pytest.mark.parametrize(
@@ -72,8 +75,8 @@
     ],
 )
 async def test_single_fault_in_series_breaks_nothing(kind, tmp_path):
-    found = await run(tmp_path, kinds=(kind,))
-    assert found.violations == ()
+    result = await run_soak(tmp_path, kinds=(kind,))
+    assert result.violations == ()
 
 
 async def test_entry_vms_hear_each_other(tmp_path):
@@ -82,7 +85,7 @@
     Each reached the store at a host of its own and took the datagrams of the
     others for those of another fleet, for as long as there was a soak.
     """
-    await run(tmp_path, seconds=2.0, kinds=(FaultKind.DECLARED,))
+    await run_soak(tmp_path, seconds=2.0, kinds=(FaultKind.DECLARED,))
     logs = {path.name: path.read_text() for path in tmp_path.glob("*.log")}
     assert len(logs) == 3
     for text in logs.values():
@@ -91,10 +94,10 @@
 
 
 def test_every_planted_promise_is_checked():
-    assert {one.value for one in Planted} == {
-        one.value for one in checks.Promise
+    assert {defect.value for defect in PlantedDefect} == {
+        guarantee.value for guarantee in checks.Guarantee
     }
-    assert set(FAULTS_BY_PLANTED) == set(Planted)
+    assert set(FAULTS_BY_DEFECT) == set(PlantedDefect)
     assert (
         faults.FaultKind.VM_KILLED
         in soak.Plan(seed=1, seconds=1.0, vms=2).kinds
