--- a/packages/soak/src/lagoonrun_soak/notices.py
+++ b/packages/soak/src/lagoonrun_soak/notices.py
@@ -1,4 +1,4 @@
-"""What a soak's upstream says of itself in its answers, and to whom it said it."""
+"""Notices that upstreams send about themselves in response headers."""
 
 import dataclasses
 
@@ -7,17 +7,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Notice:
-    """What the answers of an upstream say.
+    """State that an upstream announces in its responses.
 
     Parameters
     ----------
     per_second
-        Requests a second that it takes of all entry VMs; None for any.
+        Requests per second that it accepts from all entry VMs together; None
+        for no limit.
     rest_seconds
-        Rest that it asks for with each refusal of a request; None where it
-        takes requests.
+        Back-off that it asks for with each rejected request; None while it
+        accepts requests.
     leaving
-        Whether it says that it leaves.
+        Whether it announces that it is leaving.
     """
 
     per_second: float | None = None
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SentNotice:
-    """An answer that said something, or the first that said nothing again.
+    """A notice in one response, which may be empty.
 
     Parameters
     ----------
     id
-        The request that was answered.
+        Id of the request that was answered.
     """
 
     upstream: types.UpstreamId
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """A request that reached an upstream, run or not."""
+    """A request that reached an upstream, whether or not it was run."""
 
     upstream: types.UpstreamId
     id: str
--- a/packages/soak/src/lagoonrun_soak/record.py
+++ b/packages/soak/src/lagoonrun_soak/record.py
@@ -1,4 +1,4 @@
-"""What callers, upstreams and operators of a soak saw and did."""
+"""History of a soak: requests, runs, notices, disturbances and changes."""
 
 import bisect
 import collections
@@ -13,23 +13,25 @@
 
 @dataclasses.dataclass(kw_only=True)
 class CallerRequest:
-    """One request of a caller.
+    """A request of a caller and its response.
 
     Parameters
     ----------
     key_revision
-        Revision that added the key; 0 for the one that is always there.
+        Revision that added the key; 0 for the key that every revision has.
     boot
-        Which start of the entry VM's process it went to.
+        Start number of the entry VM's process that received it.
     status
-        0 where there was no answer.
+        Status of the response; 0 for no response.
     whole
-        Whether the answer came to its end.
+        Whether the response is complete.
+    genuine
+        Whether the response's headers show that an upstream made it.
     reason
-        Why the router has no answer, as it says.
-    crashing
-        Name of the request that ends upstreams of which this is a copy; empty
-        for any other.
+        Reason that the router gives for a response of its own.
+    crashing_request
+        Name of the crashing request that this one repeats; empty for any
+        other.
     """
 
     id: str
@@ -49,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """One request that an upstream began to run."""
+    """The start of a request's execution at an upstream."""
 
     id: str
     upstream: types.UpstreamId
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Disturbance:
-    """A time during which something was not as it should be."""
+    """An interval in which a fault affected a subject."""
 
     start: float
     end: float
@@ -67,7 +69,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class History:
-    """Everything that the checks rest on; times are of one steady clock."""
+    """Everything that the checks use; times are of one monotonic clock."""
 
     requests_by_id: dict[str, CallerRequest] = dataclasses.field(
         default_factory=dict
@@ -96,13 +98,13 @@
     def record_disturbance(
         self, subject: str, start: float, end: float
     ) -> None:
-        """Note that a subject is not as it should be from start to end."""
+        """Record that a fault affects a subject from start to end."""
         self.disturbances_by_subject[subject].append(
             Disturbance(start=start, end=end)
         )
 
     def is_undisturbed(self, subject: str, start: float, end: float) -> bool:
-        """Return whether nothing disturbed a subject from start to end."""
+        """Return whether no fault affected a subject from start to end."""
         return not any(
             disturbance.start <= end and disturbance.end >= start
             for disturbance in self.disturbances_by_subject[subject]
