--- a/packages/soak/src/lagoonrun_soak/checks.py
+++ b/packages/soak/src/lagoonrun_soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked from what callers and upstreams saw."""
+"""Checks the guarantees against the recorded history of a soak."""
 
 import collections
 import dataclasses
@@ -9,31 +9,33 @@
 from lagoonrun_soak import layout, notice_checks, record, upstream
 
 RECOVERY_SECONDS = 3.0
-"""How long a fault goes on to excuse what depends on time."""
+"""Time after a fault during which timing guarantees are not checked."""
 
 _DRAIN_SECONDS = 2.0
-"""A leaving upstream gets nothing new from so long after the store says so."""
+"""Time after the store lists an upstream as leaving until it must receive no
+new requests."""
 
 _IN_FORCE_SECONDS = 2.0
 _SLACK_SECONDS = 0.4
-"""For the way of a request and a busy machine."""
+"""Allowance for the delivery of a request and for a busy machine."""
 
 _ROLLBACK_SECONDS = 0.5
 _STOP_GRACE_SECONDS = 1.0
-"""After the signal to stop, requests of the callers that are still there are
-served for this time at least."""
+"""Minimum time after the stop signal during which an entry VM still serves
+requests of its connected callers."""
 
 _ASSUMED_READ_SECONDS = 0.2
-"""After so long without an answer a request was read, as the platform counts."""
+"""Time without a response after which the platform counts a request as read."""
 
 _TIER_WINDOW_SECONDS = 3.0
 _TIER_REQUESTS = 8
-"""Refused urgent requests, and less urgent ones begun, in one window."""
+"""Number of refused urgent requests, and of started less urgent ones, in one
+window that violates the guarantee."""
 
 _CRASHES_TO_BLOCK = 3
 _MAX_LATE_RUNS = 3
-"""Upstreams that a request may end before the entry VMs know of it, and that it may
-reach later than they have to know."""
+"""Crashes after which entry VMs must block a request, and its runs that may
+still begin more than `RECOVERY_SECONDS` after those crashes."""
 
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _UNAUTHORIZED = 401
@@ -41,7 +43,7 @@
 
 
 class Guarantee(enum.Enum):
-    """What the product answers for."""
+    """Guarantees of the product that a soak checks."""
 
     ONCE = "once"
     OWN_ANSWER = "own-answer"
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Violation:
-    """A promise that was not kept."""
+    """A violated guarantee and the request that shows it."""
 
     guarantee: Guarantee
     request_id: str
@@ -67,7 +69,7 @@
 
 
 def check(history: record.History) -> list[Violation]:
-    """Return all promises that were not kept."""
+    """Return all violations in a history."""
     return [
         *_once(history),
         *_own_answer(history),
@@ -83,7 +85,7 @@
 
 
 def _notices(history: record.History) -> Iterator[Violation]:
-    """Check what upstreams said of themselves in their answers."""
+    """Check that entry VMs obey the notices in responses of upstreams."""
     ids_by_guarantee = {
         Guarantee.LIMITS: notice_checks.requests_over_limit(
             history, recovery_seconds=RECOVERY_SECONDS
@@ -197,8 +199,8 @@
             if request.sent_at <= at + _STOP_GRACE_SECONDS and at <= end
         ]
         complete = request.status > 0 and request.whole
-        # One that crossed the close of its connection was not read; its
-        # caller may send it again.
+        # A request sent while its connection was being closed was not read;
+        # its caller may repeat it.
         was_read = request.id in history.runs_by_id or (
             end - request.sent_at > _ASSUMED_READ_SECONDS
         )
@@ -219,7 +221,7 @@
 def _is_undisturbed_but_stop(
     history: record.History, request: record.CallerRequest, end: float
 ) -> bool:
-    """Return whether only the stop can have cut a request."""
+    """Return whether nothing but the planned stop can have cut a request."""
     start = request.sent_at - RECOVERY_SECONDS
     runs = history.runs_by_id.get(request.id, [])
     subjects = [f"{request.vm} unplanned", *(str(run.upstream) for run in runs)]
@@ -327,7 +329,7 @@
 def _late_runs(
     history: record.History, runs: list[record.Run]
 ) -> list[record.Run]:
-    """Return the runs that entry VMs in touch should have prevented."""
+    """Return the runs that entry VMs with working links should have blocked."""
     if len(runs) <= _CRASHES_TO_BLOCK:
         return []
     known_at = runs[_CRASHES_TO_BLOCK - 1].at + RECOVERY_SECONDS
--- a/packages/soak/src/lagoonrun_soak/notice_checks.py
+++ b/packages/soak/src/lagoonrun_soak/notice_checks.py
@@ -1,4 +1,4 @@
-"""Whether entry VMs keep to what upstreams say of themselves in their answers."""
+"""Checks that entry VMs obey the notices in responses of upstreams."""
 
 import collections
 from collections.abc import Iterable, Iterator
@@ -7,16 +7,17 @@
 from lagoonrun_soak import notices, record
 
 _NOTICE_EFFECTIVE_SECONDS = 0.5
-"""Time from which an answer binds the entry VM that passed it on."""
+"""Time after a response from which the entry VM that received it must obey its
+notice."""
 
 _DRAIN_SECONDS = 2.0
 _SLACK_SECONDS = 0.4
-"""For the way of a request and a busy machine."""
+"""Allowance for the delivery of a request and for a busy machine."""
 
 _LIMIT_WINDOW_SECONDS = 4.0
 _LIMIT_FACTOR = 1.5
 _LIMIT_SLACK = 5
-"""Requests in a window above what a limit allows, with the factor before."""
+"""Requests accepted in a window above the limit times `_LIMIT_FACTOR`."""
 
 _MAX_DURING_REST = 2
 
@@ -24,10 +25,10 @@
 def requests_over_limit(
     history: record.History, *, recovery_seconds: float
 ) -> Iterator[str]:
-    """Yield the ids of requests that were too many for a limit.
+    """Yield the ids of requests above the limit that an upstream announced.
 
-    Counted are those of entry VMs that were told, from some seconds after the
-    limit was first named on.
+    Only requests of entry VMs that received the limit count, beginning
+    `recovery_seconds` after the limit was first sent.
     """
     for upstream, arrivals in _by_upstream(history.arrivals).items():
         counter = _LimitCounter(
@@ -46,7 +47,7 @@
 
 
 class _LimitCounter:
-    """Counts the requests that reach one upstream within its limits."""
+    """Counts the requests at one upstream in a sliding window."""
 
     def __init__(
         self, *, history: record.History, recovery_seconds: float
@@ -59,7 +60,7 @@
         self._counted: collections.deque[float] = collections.deque()
 
     def apply_notice(self, sent_notice: notices.SentNotice) -> None:
-        """Take in what an answer says of the limit."""
+        """Apply the limit in a response of the upstream."""
         if sent_notice.notice.per_second != self._limit:
             self._limit = sent_notice.notice.per_second
             self._limit_sent_at = sent_notice.at
@@ -70,7 +71,7 @@
             self._notified_at_by_vm.setdefault(vm, sent_notice.at)
 
     def exceeds_limit(self, arrival: notices.Arrival) -> bool:
-        """Count a request; return whether it is above what is allowed."""
+        """Count a request; return whether it exceeds the limit."""
         if self._limit is None or not self._is_bound(arrival):
             return False
         self._counted.append(arrival.at)
@@ -80,7 +81,7 @@
         return len(self._counted) > max_count + _LIMIT_SLACK
 
     def _is_bound(self, arrival: notices.Arrival) -> bool:
-        """Return whether the limit binds whoever sent a request."""
+        """Return whether the sender of a request must obey the limit."""
         vm = _vm_of(self._history, arrival.id)
         notified_at = self._notified_at_by_vm.get(vm, arrival.at)
         if arrival.at - notified_at < _NOTICE_EFFECTIVE_SECONDS:
@@ -91,7 +92,7 @@
 
 
 def requests_during_rest(history: record.History) -> Iterator[str]:
-    """Yield the ids of requests that reached an upstream in its rest."""
+    """Yield the ids of requests that an upstream received in its back-off."""
     arrivals_by_upstream = _by_upstream(history.arrivals)
     for sent_notice in history.sent_notices:
         if sent_notice.notice.rest_seconds is None:
@@ -111,7 +112,7 @@
 
 
 def requests_after_leaving(history: record.History) -> Iterator[str]:
-    """Yield the ids of requests sent after an answer that told of leaving."""
+    """Yield the ids of requests sent long after a notice of leaving."""
     notified_at_by_pair: dict[tuple[types.UpstreamId, str], float] = {}
     for sent_notice in history.sent_notices:
         if sent_notice.notice.leaving:
--- a/packages/soak/tests/test_checks.py
+++ b/packages/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check on small records: what breaks a promise, and what does not."""
+"""Tests each check on small histories with and without a violation."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 def violated_guarantees(*requests, runs=(), **changes):
-    """Return the promises that a record breaks."""
+    """Return the guarantees that a history violates."""
     history = record.History(**changes)
     for request in requests:
         history.requests_by_id[request.id] = request
