--- a/packages/soak/src/lagoonrun_soak/link.py
+++ b/packages/soak/src/lagoonrun_soak/link.py
@@ -1,4 +1,4 @@
-"""A TCP link on loopback that delays, resets, cuts one way or goes silent."""
+"""TCP proxy on loopback that delays, resets or drops traffic."""
 
 import asyncio
 import contextlib
@@ -13,18 +13,18 @@
 
 
 class LinkState(enum.Enum):
-    """What becomes of the bytes."""
+    """How a link treats its connections."""
 
     SOUND = "sound"
     DELAYED = "delayed"
     RESET = "reset"
-    """Open connections are reset, and new ones at once."""
+    """Open connections are reset, and new ones once accepted."""
 
     ONE_WAY = "one-way"
-    """Requests arrive, answers don't; such a connection stays so for good."""
+    """Requests arrive, responses don't, for the rest of the connection."""
 
     SILENT = "silent"
-    """Nothing arrives; a connection that was open then stays so for good."""
+    """Nothing arrives in either direction, for the rest of the connection."""
 
 
 class FaultyLink:
@@ -33,9 +33,9 @@
     Parameters
     ----------
     listen, target
-        Where it accepts connections, and where they go.
+        Addresses at which it accepts connections and to which it forwards them.
     rng
-        Source of the delays.
+        Draws the delays.
     """
 
     def __init__(
@@ -53,19 +53,19 @@
         self.state = LinkState.SOUND
 
     async def start(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         self._server = await asyncio.start_server(
             self._accept, self._listen.host, self._listen.port
         )
 
     async def close(self) -> None:
-        """Reset all connections and stop."""
+        """Stop accepting connections and reset the open ones."""
         if self._server is not None:
             self._server.close()
         self._reset_all()
 
     def set_state(self, state: LinkState) -> None:
-        """Change what becomes of the bytes."""
+        """Change the treatment of open and new connections."""
         self.state = state
         if state is LinkState.RESET:
             self._reset_all()
@@ -94,14 +94,14 @@
         )
         connection.apply_state(self.state)
         self._connections.add(connection)
-        # The loop ends while connections are open; asyncio logs a handler
-        # that is cancelled as an error.
+        # The event loop stops while connections are open, and asyncio logs a
+        # cancelled connection callback as an error.
         with contextlib.suppress(asyncio.CancelledError):
             await connection.run()
         self._connections.discard(connection)
 
     async def wait_delay(self) -> None:
-        """Wait for as long as the link's state asks for."""
+        """Wait for a random delay while the link is delayed."""
         if self.state is LinkState.DELAYED:
             await asyncio.sleep(_MAX_DELAY_SECONDS * self._rng.random())
 
@@ -110,7 +110,7 @@
 
 
 class _Connection:
-    """One forwarded connection."""
+    """Forwards one connection in both directions."""
 
     def __init__(
         self, *, inbound: _Streams, outbound: _Streams, owner: FaultyLink
@@ -122,17 +122,17 @@
         self._drops_responses = False
 
     def apply_state(self, state: LinkState) -> None:
-        """Remember a fault that lasts for as long as the connection."""
+        """Apply a state whose effect lasts as long as the connection."""
         self._drops_requests |= state is LinkState.SILENT
         self._drops_responses |= state in (LinkState.SILENT, LinkState.ONE_WAY)
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset both sides of the connection."""
         for _, writer in (self._inbound, self._outbound):
             tcp_reset.reset(writer.transport)
 
     async def run(self) -> None:
-        """Forward both ways until one end is gone."""
+        """Forward until both directions have ended, then reset both sides."""
         tasks = [
             asyncio.create_task(
                 self._forward(
@@ -159,7 +159,7 @@
         *,
         is_response: bool,
     ) -> None:
-        # An end that is gone ends the other; resets look the same to it.
+        # A reset ends this direction just as an end of file does.
         with contextlib.suppress(OSError):
             while data := await reader.read(_READ_BYTES):
                 await self._link.wait_delay()
--- a/packages/soak/tests/test_link.py
+++ b/packages/soak/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Links on loopback: each state does to the bytes what its name says."""
+"""Tests the effect of each state of a link on its connections."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def faulty_link():
-    """Return a link to a server that echoes what it gets."""
+    """Return a link to a server that echoes its input."""
 
     async def echo(reader, writer):
         while data := await reader.read(100):
