--- a/packages/soak/src/lagoonrun_soak/upstream.py
+++ b/packages/soak/src/lagoonrun_soak/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream of the soak: answers by the request's id and notes each run."""
+"""Simulated upstream whose responses depend only on the request's id."""
 
 import asyncio
 import collections
@@ -20,55 +20,55 @@
 _EVENT_SECONDS = 0.06
 _CRASHING_PREFIX = b"crashes "
 _CRASH_DELAY_SECONDS = 0.05
-"""Time from the beginning of a run that ends the upstream to that end."""
+"""Time from the start of a crashing request's run to the crash."""
 
 _QUEUE_CAPACITY = 4
-"""Requests above the slots that wait; further ones are refused as not run.
+"""Requests that may wait for a slot; further ones are refused as not run.
 
-Less urgent ones don't count: an engine lets more urgent ones in before them.
+Less urgent requests don't count: an engine admits more urgent ones first.
 """
 
 
 def whole_body(request_id: str) -> bytes:
-    """Return the only right body of a plain answer."""
+    """Return the expected body of a response that is not streamed."""
     return f"answer to {request_id}".encode()
 
 
 def event(request_id: str, number: int) -> bytes:
-    """Return one event of a stream, the first is 1."""
+    """Return one event of a stream, numbered from 1."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
 
 def crashing_body(name: str) -> bytes:
-    """Return the body of a request that ends upstreams; empty for no name."""
+    """Return the body of a crashing request; empty for an empty name."""
     return _CRASHING_PREFIX + name.encode() if name else b""
 
 
 class CrashListener(Protocol):
-    """Ends an upstream at once."""
+    """Crashes the upstream that runs a crashing request."""
 
     def __call__(self, id: types.UpstreamId) -> None:
-        """Have the process end, whatever it runs."""
+        """Crash an upstream, whatever it is running."""
 
 
 class SoakUpstream:
-    """One upstream process's stand-in.
+    """Simulates one upstream process.
 
     Parameters
     ----------
     registration
-        What it says of itself.
+        Its entry in the store.
     address
-        Where it listens, behind its link.
-    seen
-        Where runs are noted.
+        Address at which it listens, behind its link.
+    history
+        Records arrivals, runs and notices.
     on_crash
-        Ends it when it runs what it can't bear.
+        Called while it runs a crashing request.
 
     Attributes
     ----------
     notice
-        What its answers say of itself.
+        Notice sent with each response.
     """
 
     def __init__(
@@ -97,19 +97,19 @@
 
     @property
     def busy(self) -> bool:
-        """Whether it has a request."""
+        """Whether a request is running or waiting."""
         return self._running_by_urgency.total() > 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """End at once, as a crash does."""
+        """Stop at once, like a crash."""
         await self._server.close()
 
     async def handle(self, exchange: exchanges.Exchange) -> None:
-        """Run one request, or say that it was not run."""
+        """Run one request or respond that it was not run."""
         body = await exchange.read_body()
         request = standin_messages.read_request(exchange.head)
         self._history.arrivals.append(
@@ -144,7 +144,7 @@
                     return
                 await self._run(exchange, request)
         except http_errors.CallerLeftError:
-            # Whoever sent it has gone; the work ends with the connection.
+            # The entry VM closed the connection, which cancels the request.
             return
         finally:
             self._running_by_urgency[request.urgency] -= 1
@@ -164,7 +164,7 @@
     def _with_notice(
         self, headers: http_messages.Headers, request_id: types.RequestId
     ) -> http_messages.Headers:
-        """Return the headers with what it says of itself, and note that."""
+        """Add the current notice to the headers and record that it was sent."""
         notice = self.notice
         self._history.sent_notices.append(
             notices.SentNotice(
--- a/packages/soak/src/lagoonrun_soak/vm.py
+++ b/packages/soak/src/lagoonrun_soak/vm.py
@@ -1,4 +1,4 @@
-"""One entry VM: the real program as a process, ended by its id only."""
+"""Runs the real entry VM program as a process."""
 
 import asyncio
 import contextlib
@@ -22,23 +22,23 @@
 
 
 class EntryVm:
-    """A process that is started, stopped, paused and killed by signals.
+    """An entry VM process, controlled by signals to its own process id only.
 
     Parameters
     ----------
-    configured
-        Its settings.
+    vm_settings
+        Settings of the entry VM.
     folder
-        Where its settings and its log are.
+        Directory of its settings file and log.
     planted
-        Fault that is planted into the program; empty for none.
+        Defect planted into the program; empty for none.
 
     Attributes
     ----------
     boot
-        How many times it was started.
+        Number of times that the process was started.
     in_rotation
-        Whether the balancer sends new connections here.
+        Whether the load balancer sends it new connections.
     """
 
     def __init__(
@@ -87,17 +87,17 @@
         return open(self._folder / f"{self.name}.log", "ab")
 
     def write_settings(self, comment: str) -> None:
-        """Write the settings file, with a comment that changes it."""
+        """Write the settings file with a comment that makes it differ."""
         text = standin_messages.settings_text(self.vm_settings)
         self._settings_path.write_text(f"# {comment}\n{text}", encoding="utf-8")
 
     def send(self, number: signal.Signals) -> None:
-        """Send the process a signal; one that has ended gets none."""
+        """Send the process a signal unless it has exited."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     async def wait_for_exit(self, seconds: float) -> bool:
-        """Wait for the process's end; return whether it came in time."""
+        """Wait for the process to exit; return whether it did so in time."""
         if self._process is None:
             return True
         try:
@@ -108,7 +108,7 @@
         return True
 
     async def close(self) -> None:
-        """End the process and the balancer's questions."""
+        """Kill the process and stop the readiness checks."""
         if self._poller is not None:
             self._poller.cancel()
             await asyncio.gather(self._poller, return_exceptions=True)
@@ -117,7 +117,7 @@
         await self.wait_for_exit(_EXIT_SECONDS)
 
     async def _poll(self) -> None:
-        """Ask whether callers may come, as the platform's balancer does."""
+        """Poll readiness as the platform's load balancer does."""
         failed_polls = _UNHEALTHY_THRESHOLD
         while True:
             failed_polls = 0 if await self._is_ready() else failed_polls + 1
@@ -143,12 +143,12 @@
 
 
 async def wait_until_ready(vms: list[EntryVm], *, seconds: float) -> None:
-    """Wait until all entry VMs take callers.
+    """Wait until all entry VMs are in rotation.
 
     Raises
     ------
     TimeoutError
-        If one does not in time.
+        If an entry VM is not ready in time.
     """
     ends_at = time.monotonic() + seconds
     while not all(vm.in_rotation for vm in vms):
