--- a/packages/soak/src/lagoonrun_soak/caller.py
+++ b/packages/soak/src/lagoonrun_soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they use their connections until these are gone."""
+"""Callers that send requests over kept-alive connections."""
 
 import asyncio
 import contextlib
@@ -15,29 +15,32 @@
 _CONNECT_SECONDS = 1.0
 _TIME_LIMIT_SLACK_SECONDS = 1.0
 _KEY_AGES_SECONDS = (None, 0.0, 2.5)
-"""Keys that callers use: the one that is always there, the newest, and the
-newest that has to be in force everywhere (two seconds by the platform's
-bounds, and the time of a request's way)."""
+"""Ages of the declarations whose key a caller uses.
+
+None is the key that every revision has, 0.0 the newest key, and 2.5 the newest
+key that must be in force everywhere: the platform allows two seconds, and half
+a second is left for the request's delivery.
+"""
 
 
 class Caller:
-    """One caller of one entry VM and one class.
+    """Sends requests of one class to one entry VM.
 
     Parameters
     ----------
     name
-        Beginning of its requests' ids.
+        Prefix of its request ids.
     kind
-        What it asks for.
+        Class of its requests.
     target
-        The entry VM.
-    seen
-        Where requests are noted.
+        Entry VM that receives them.
+    history
+        Records the requests.
     rng
-        Source of pauses.
-    crashing
-        Name of a request that ends upstreams, which this caller sends again and
-        again; empty for one that sends others.
+        Draws pauses and keys.
+    crashing_request
+        Name of a request that crashes upstreams and that this caller repeats;
+        empty for a caller of ordinary requests.
     """
 
     def __init__(
@@ -60,11 +63,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start sending requests."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Stop sending requests."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -75,7 +78,7 @@
                 await asyncio.sleep(0.1)
                 continue
             with contextlib.suppress(OSError, TimeoutError):
-                # A refused connection is no request; the next one follows.
+                # A refused connection carries no request, so try another one.
                 await self._use_connection()
             await asyncio.sleep(_MAX_PAUSE_SECONDS * self._rng.random())
 
@@ -97,7 +100,7 @@
     async def _send_request(
         self, connection: router_world.Caller, boot: int
     ) -> bool:
-        """Send one request; return whether the connection may be used on."""
+        """Send one request; return whether the connection can be reused."""
         request, limit_seconds = self._write_request(connection, boot)
         try:
             async with asyncio.timeout(limit_seconds):
--- a/packages/soak/src/lagoonrun_soak/layout.py
+++ b/packages/soak/src/lagoonrun_soak/layout.py
@@ -1,4 +1,4 @@
-"""Addresses, classes and declarations of the soak's deployment."""
+"""Addresses, request classes and declarations of a soak's deployment."""
 
 import dataclasses
 import hashlib
@@ -15,7 +15,7 @@
 UPSTREAM_PORT = 9000
 
 STOP_SECONDS = 8.0
-"""Time from the signal to stop until an entry VM is killed."""
+"""Time from the stop signal until an entry VM is killed."""
 
 HOST = "soak.test"
 PLAIN = types.PoolName("portal")
@@ -25,14 +25,14 @@
 DOMAINS = (types.FailureDomain("north"), types.FailureDomain("south"))
 
 EVENTS = 8
-"""Events of a stream: long enough that faults hit it on its way."""
+"""Number of events in a stream: enough that faults occur while it is sent."""
 
 ENGINE_SLOTS = 6
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestKind:
-    """One class of requests, as callers send it."""
+    """A class of requests with its route."""
 
     route: declarations.Route
     prompt_tokens: int = 0
@@ -44,12 +44,12 @@
 
     @property
     def runs_once(self) -> bool:
-        """Whether a request runs once at most."""
+        """Whether a request must run at most once."""
         return not (self.route.profile.idempotent or self.route.resumable)
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.route.answer_kind is declarations.AnswerKind.EVENTS
 
 
@@ -107,7 +107,7 @@
 
 
 def keys_at(revision: int) -> tuple[str, ...]:
-    """Return all keys of a revision: each adds one, none goes."""
+    """Return all keys of a revision: each adds one and removes none."""
     return (
         STABLE_KEY,
         *(added_key(number) for number in range(1, revision + 1)),
@@ -115,7 +115,7 @@
 
 
 def declarations_at(revision: int) -> declarations.Declarations:
-    """Return a revision of the declarations."""
+    """Return the declarations of a revision."""
     return declarations.Declarations(
         revision=types.Revision(revision),
         routes=tuple(kind.route for kind in KINDS_BY_NAME.values()),
@@ -149,12 +149,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Network:
-    """Loopback addresses of one soak; several run side by side.
+    """Loopback addresses of one soak, so that several can run concurrently.
 
     Parameters
     ----------
     octet
-        Second number of all addresses.
+        Second octet of all addresses.
     """
 
     octet: int
@@ -171,27 +171,27 @@
 
     @property
     def store(self) -> settings.Address:
-        """Where the store listens, behind the links."""
+        """Address at which the store listens, behind the links."""
         return self._address(1, 0, STORE_PORT)
 
     def store_link(self, vm: int) -> settings.Address:
-        """Return where one entry VM reaches the store.
+        """Return the address at which one entry VM reaches the store.
 
-        At the same host for all, as on the platform: by it they know that they
-        are of one fleet.
+        The host is the same for all entry VMs, as on the platform: it tells
+        them that they belong to one fleet.
         """
         return self._address(2, 0, STORE_PORT + vm)
 
     def upstream_link(self, index: int) -> settings.Address:
-        """Return where entry VMs reach an upstream."""
+        """Return the address at which entry VMs reach an upstream."""
         return self._address(3, index, UPSTREAM_PORT)
 
     def upstream(self, index: int) -> settings.Address:
-        """Return where an upstream listens, behind its link."""
+        """Return the address at which an upstream listens, behind its link."""
         return self._address(4, index, UPSTREAM_PORT)
 
     def peer(self, vm: int) -> settings.Address:
-        """Return where an entry VM hears the others."""
+        """Return the address at which an entry VM receives from its peers."""
         return self._address(0, vm, PEER_PORT)
 
     def settings_of(self, vm: int, *, vms: int) -> settings.RouterSettings:
@@ -215,7 +215,7 @@
     def registration(
         self, index: int, pool: types.PoolName
     ) -> upstreams.Registration:
-        """Return the registration of the upstream with a number."""
+        """Return the registration of the upstream with an index."""
         link = self.upstream_link(index)
         return upstreams.Registration(
             id=types.UpstreamId(f"u-{index}"),
