--- a/packages/soak/src/lagoonrun_soak/faults.py
+++ b/packages/soak/src/lagoonrun_soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, in series that overlap, by a seed."""
+"""Injects overlapping series of faults, drawn from a seed."""
 
 import asyncio
 import enum
@@ -20,17 +20,18 @@
 )
 
 _MEAN_PAUSE_SECONDS = 0.9
-"""Time between the beginnings of two faults; most last longer, and overlap."""
+"""Mean time between the starts of two series; most faults last longer, so that
+they overlap."""
 
 _SERIES_LENGTHS = (1, 1, 1, 2, 4)
-"""How many times a fault comes in a row, drawn at random."""
+"""Numbers of times that a fault is injected in a row, chosen at random."""
 
 _SERIES_PAUSE_SECONDS = 0.4
 _RECOVERY_SECONDS = checks.RECOVERY_SECONDS
 _RESTART_SECONDS = 0.3
 _MIN_POOL_UPSTREAMS = 2
 _MAX_BACKUP_AGE_SECONDS = 4.0
-"""Age that the copy has at most from which the store comes back."""
+"""Maximum age of the backup from which the store is restored."""
 
 _LIMIT_SECONDS_RANGE = (4.0, 7.0)
 _BURST_CALLERS = 24
@@ -39,7 +40,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What happens."""
+    """Kinds of faults that can be injected."""
 
     VM_KILLED = "vm-killed"
     VM_STOPPED = "vm-stopped"
@@ -67,16 +68,16 @@
 
 
 class FaultInjector:
-    """Injects faults until it is closed.
+    """Injects faults into a deployment until it is closed.
 
     Parameters
     ----------
-    world
-        Where they happen.
+    deployment
+        Deployment that the faults affect.
     rng
-        Source of all choices.
+        Draws kinds, targets and times.
     kinds
-        What may happen.
+        Kinds of faults that may be injected.
     """
 
     def __init__(
@@ -96,16 +97,16 @@
         self._running: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Begin."""
+        """Start injecting faults."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """End; what is broken stays broken.
+        """Stop without repairing the faults that are still active.
 
         Raises
         ------
         Exception
-            What went wrong in the injector itself.
+            If injecting a fault failed.
         """
         if self._task is None:
             return
@@ -154,7 +155,7 @@
     # Entry VMs.
 
     def _reserve_vm(self) -> vm.EntryVm | None:
-        """Return an entry VM to disturb; at least one is left alone."""
+        """Reserve an entry VM for a fault; at least one stays undisturbed."""
         free = [
             entry_vm
             for entry_vm in self._deployment.vms
@@ -261,7 +262,7 @@
         )
 
     async def _restore_store(self) -> None:
-        """Have the store come back from a copy that is some seconds old."""
+        """Restore the store from a backup that is some seconds old."""
         since = time.monotonic()
         backup_revision = self._deployment.store.memory.revision
         await asyncio.sleep(self._rng.uniform(0.0, _MAX_BACKUP_AGE_SECONDS))
@@ -274,14 +275,14 @@
     # Upstreams.
 
     async def _break_upstream_link(self) -> None:
-        """Break the link to an upstream at work.
+        """Break the link to an upstream that is running requests.
 
-        The router gathers requests of a class at few upstreams; a link that
-        carries nothing breaks without anybody noticing.
+        The router concentrates requests of a class on few upstreams, and a
+        fault on a link without traffic has no effect.
         """
         upstreams = sorted(self._deployment.upstreams)
         if not upstreams:
-            # Requests have ended them all; others come in a moment.
+            # Requests crashed all of them; replacements start soon.
             return
         id = self._choose_busy(upstreams)
         self._history.record_disturbance(
@@ -293,13 +294,13 @@
         faulty_link.set_state(link.LinkState.SOUND)
 
     def _choose_busy(self, ids: Sequence[types.UpstreamId]) -> types.UpstreamId:
-        """Return an upstream that has a request, if any has."""
+        """Return an upstream that is running a request, or else any."""
         upstreams = self._deployment.upstreams
         busy = [id for id in ids if upstreams[id].busy]
         return self._rng.choice(busy or ids)
 
     async def _choose_removable_upstream(self) -> types.UpstreamId | None:
-        """Return an upstream that may go, after another has come."""
+        """Add an upstream, then return another that may be removed."""
         free = [
             id
             for id in sorted(self._deployment.upstreams)
@@ -339,10 +340,10 @@
         ):
             await self._deployment.drain(upstream_id, silently=silently)
 
-    # What upstreams say of themselves.
+    # Notices of upstreams.
 
     async def _limit_upstream(self) -> None:
-        """Have an upstream name a limit, another one, and none again."""
+        """Have an upstream announce one or two limits, then none again."""
         upstreams = self._deployment.upstreams
         if not upstreams:
             return
@@ -355,7 +356,7 @@
         self._clear_notice(limited, since)
 
     async def _rest_pool(self) -> None:
-        """Have all upstreams of a pool turn requests away and ask for rest."""
+        """Have all upstreams of a pool reject requests with a back-off."""
         pool = self._rng.choice((layout.PLAIN, layout.ENGINES))
         seconds = self._rng.choice((0.5, 1.5, 2.5))
         resting_upstreams = [
@@ -373,9 +374,9 @@
     def _clear_notice(
         self, sender: upstream.SoakUpstream, since: float
     ) -> None:
-        """End what an upstream says of itself.
+        """Clear the notice of an upstream and record the disturbance.
 
-        Requests that found no place before begin beside those that come now.
+        Requests that waited for the upstream start together with new ones.
         """
         sender.notice = notices.NO_NOTICE
         end = time.monotonic() + _RECOVERY_SECONDS
@@ -384,7 +385,7 @@
         )
 
     async def _announce_leaving(self) -> None:
-        """Have an upstream leave that can't tell the store."""
+        """Have an upstream announce in its responses only that it leaves."""
         upstream_id = await self._choose_removable_upstream()
         if (
             upstream_id is not None
@@ -398,7 +399,7 @@
     # Callers.
 
     async def _burst(self) -> None:
-        """Have many ask for summaries at once."""
+        """Have many callers request summaries at once."""
         callers = [
             await self._deployment.add_caller(
                 layout.SUMMARY, self._rng.choice(self._deployment.vms)
@@ -410,7 +411,7 @@
             await caller.close()
 
     async def _send_crashing(self) -> None:
-        """Send a request that ends upstreams at all entry VMs for a while."""
+        """Send a crashing request through all entry VMs for a while."""
         self._crashing_count += 1
         kind = self._rng.choice(tuple(layout.KINDS_BY_NAME.values()))
         callers = [
--- a/packages/soak/src/lagoonrun_soak/fleet.py
+++ b/packages/soak/src/lagoonrun_soak/fleet.py
@@ -16,33 +16,33 @@
 
 _INITIAL_UPSTREAM_POOLS = (layout.PLAIN,) * 2 + (layout.ENGINES,) * 3
 _SERVE_AFTER_LEAVING_SECONDS = 3.0
-"""How long an upstream serves on after it has said that it leaves: longer
-than the two seconds that the platform promises."""
+"""Time for which a leaving upstream still serves: longer than the two seconds
+that the platform guarantees."""
 
 _ENTRY_EXPIRY_SECONDS = 1.5
-"""After so long the store drops the entry of an upstream that has crashed."""
+"""Time after which the store drops the entry of a crashed upstream."""
 
 _REPLACEMENT_DELAY_SECONDS = 1.0
-"""After so long another comes for one that a request has ended."""
+"""Time after which an upstream that a request crashed is replaced."""
 
 _READY_SECONDS = 20.0
 
 
 class Deployment:
-    """Everything that a soak starts.
+    """Starts, changes and stops all components of a soak.
 
     Parameters
     ----------
     network
-        Addresses.
+        Addresses of the components.
     vms
         Number of entry VMs.
     folder
-        Where settings and logs go.
+        Directory of settings and logs.
     rng
-        Source of choices.
+        Draws the delays of links and the seeds of callers.
     planted
-        Fault that is planted into the entry VMs; empty for none.
+        Defect planted into the entry VMs; empty for none.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start everything; return when all entry VMs take callers."""
+        """Start all components; return when all entry VMs accept callers."""
         self.store.era = 1
         await self.store.start()
         await self.declare()
@@ -99,7 +99,7 @@
                 await self.add_caller(kind, target)
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all components."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -114,7 +114,7 @@
     def schedule(
         self, seconds: float, action: Callable[[], Awaitable[None]]
     ) -> None:
-        """Do some work after a time, if the soak still runs then."""
+        """Run an action after a delay unless the soak ends before."""
 
         async def run() -> None:
             await asyncio.sleep(seconds)
@@ -131,7 +131,7 @@
         *,
         crashing_request: str = "",
     ) -> caller.Caller:
-        """Start another caller; of a request that ends upstreams, if named."""
+        """Start a caller, of a crashing request if one is named."""
         new_caller = caller.Caller(
             name=f"c{len(self._callers)}-{kind.name}",
             kind=kind,
@@ -144,7 +144,7 @@
         await new_caller.start()
         return new_caller
 
-    # What operators do.
+    # Actions of operators.
 
     async def declare(self) -> None:
         """Put the next revision of the declarations into the store."""
@@ -162,17 +162,17 @@
         await self._put(platform_layout.PlatformLayout.declarations_key, value)
 
     async def rewrite_after_restore(self) -> None:
-        """Write what operators and upstreams wrote and a restored store lacks."""
+        """Write the declarations and registrations to a restored store."""
         await self._put_declarations()
         for running in tuple(self.upstreams.values()):
             id = running.registration.id
             if id not in self.history.left_at_by_upstream:
                 await self._register(running.registration)
 
-    # What upstreams do.
+    # Actions of upstreams.
 
     async def add_upstream(self, pool: types.PoolName) -> None:
-        """Start an upstream with a link before it, and register it."""
+        """Start an upstream behind a link and register it."""
         index = self._upstream_count
         self._upstream_count += 1
         registration = self.network.registration(index, pool)
@@ -193,7 +193,7 @@
         await self._register(registration)
 
     async def drain(self, id: types.UpstreamId, *, silently: bool) -> None:
-        """Have an upstream leave, as its entry says or by its removal."""
+        """Have an upstream leave: mark its entry, or remove it if silently."""
         registration = self.upstreams[id].registration
         if silently:
             await self._remove_entry(id)
@@ -207,19 +207,19 @@
         )
 
     async def stop_later(self, id: types.UpstreamId) -> None:
-        """Have an upstream end that has told its callers only that it leaves."""
+        """Stop an upstream later that announced leaving only in responses."""
         self.schedule(
             2.0 * _SERVE_AFTER_LEAVING_SECONDS, lambda: self._stop_upstream(id)
         )
 
     async def crash(self, id: types.UpstreamId) -> None:
-        """End an upstream at once; its entry runs out later."""
+        """Crash an upstream; its entry in the store expires later."""
         self.history.record_disturbance(str(id), time.monotonic(), float("inf"))
         await self._close_upstream(id)
         self.schedule(_ENTRY_EXPIRY_SECONDS, lambda: self._remove_entry(id))
 
     def _crash_and_replace(self, id: types.UpstreamId) -> None:
-        """Have an upstream crash, and another come a while later."""
+        """Crash an upstream and start its replacement later."""
         crashed = self.upstreams.get(id)
         if crashed is None:
             return
