--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -1,6 +1,6 @@
-"""The entry VM's program with one promise broken on purpose.
+"""Entry VM program with a planted defect that violates one guarantee.
 
-A soak that does not notice these proves nothing. Only the soak runs this.
+Only the soak runs it. A soak that misses such a defect proves nothing.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class PlantedDefect(enum.Enum):
-    """Which promise is broken."""
+    """Defects by the guarantee that they violate."""
 
     ONCE = "once"
     OWN_ANSWER = "own-answer"
@@ -46,12 +46,12 @@
 
 
 def plant(defect: PlantedDefect) -> None:
-    """Break one promise in this process."""
+    """Plant one defect in this process."""
     _PLANTERS[defect]()
 
 
 def _break_once() -> None:
-    """Send whatever was lost to another upstream."""
+    """Retry every lost request at another upstream."""
 
     def decide(call, lost, sends, *, now):
         del call, lost, now
@@ -63,7 +63,7 @@
 
 
 def _break_own_answer() -> None:
-    """Cut the last byte off, as if the answer were whole."""
+    """Cut the last byte off a response that still looks complete."""
     original = answers.pass_on
 
     async def pass_on(
@@ -78,7 +78,7 @@
 
 
 def _break_not_run() -> None:
-    """Say of each failed request that it has not run."""
+    """Report each failed request as not run."""
 
     def end_as_not_run(self, reason, detail, upstream):
         del self
@@ -94,7 +94,7 @@
 
 
 def _break_leaving() -> None:
-    """Go on sending to upstreams that leave."""
+    """Keep sending requests to leaving upstreams."""
     directory = upstreams.UpstreamDirectory
     directory.may_send = lambda self, upstream, *, now: True
     directory.usable = lambda self, pool, *, now: tuple(
@@ -106,7 +106,7 @@
 
 
 def _break_planned_stop() -> None:
-    """End at once."""
+    """Stop without waiting for running requests."""
 
     async def stop(self) -> int:
         await self.close()
@@ -116,7 +116,7 @@
 
 
 def _break_no_revert() -> None:
-    """Put the declarations of before into force again after a while."""
+    """Revert to the previous declarations after a while."""
     original = store_replica.StoreReplica.__init__
 
     def init(self, *, on_declarations, **more) -> None:
@@ -136,7 +136,7 @@
 
 
 def _break_in_force() -> None:
-    """Take only the first declarations."""
+    """Apply only the first declarations."""
     original = store_replica.StoreReplica.take_declarations
 
     def apply_first(self, value, *, source) -> None:
@@ -147,7 +147,7 @@
 
 
 def _break_tiers() -> None:
-    """Leave the most room to the lowest tier."""
+    """Grant the largest share of capacity to the lowest tier."""
     original = admission.share_of
 
     def share_of(tier, tiers):
@@ -165,23 +165,23 @@
 
 
 def _break_crashing() -> None:
-    """Hold no crash against any request."""
+    """Ignore all crash evidence against requests."""
     crash_evidence.CrashEvidence.take = lambda self, record, *, now: False
 
 
 def _break_limits() -> None:
-    """Need no place at any upstream."""
+    """Send without a place, the right to send to a rate-limited upstream."""
     places.Places.is_limited = lambda self, upstream: False
 
 
 def _break_rests() -> None:
-    """Hear of no rest."""
+    """Ignore the back-offs that upstreams ask for."""
     rests = upstream_rests.UpstreamRests
     rests.apply_answer = lambda self, at, notice, *, now: None
 
 
 def _break_own_leaving() -> None:
-    """Hear of leaving from the store only."""
+    """Ignore notices of leaving in responses, but not the store's entries."""
     upstreams.UpstreamDirectory.mark_leaving = (
         lambda self, upstream, *, start, source: None
     )
