--- a/packages/soak/src/lagoonrun_soak/soak.py
+++ b/packages/soak/src/lagoonrun_soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: a fleet, faults by a seed, and the promises checked at the end."""
+"""Runs a soak: injects faults into a deployment, then checks the guarantees."""
 
 import asyncio
 import collections
@@ -11,20 +11,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What a soak does.
+    """Parameters of a soak.
 
     Parameters
     ----------
     seed
-        Of all choices.
+        Seed of all random choices.
     seconds
-        How long faults are injected.
+        Time for which faults are injected.
     vms
-        Entry VMs.
+        Number of entry VMs.
     planted
-        Promise that is broken on purpose; empty for none.
+        Guarantee that a planted defect violates; empty for no defect.
     kinds
-        Faults that may come.
+        Kinds of faults that may be injected.
     """
 
     seed: int
@@ -36,14 +36,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SoakResult:
-    """What a soak found.
+    """Violations and statistics of a soak.
 
     Parameters
     ----------
-    asks
-        Requests by class and status; status 0 is no answer.
+    violations
+        Violations of the guarantees.
+    request_counts
+        Number of requests by class and status; status 0 is no response.
     faults
-        What happened, with the time.
+        Injected faults with their times.
     """
 
     violations: tuple[checks.Violation, ...]
@@ -52,7 +54,7 @@
 
 
 _UNDISTURBED_SECONDS = 1.0
-"""Before the first fault, and after the last for answers on their way."""
+"""Time before the first fault, and after the last one for open responses."""
 
 
 async def run(plan: Plan, *, folder: pathlib.Path) -> SoakResult:
--- a/packages/soak/tests/test_soak.py
+++ b/packages/soak/tests/test_soak.py
@@ -1,7 +1,7 @@
-"""The soak itself: it keeps quiet on the product, and finds what is planted.
+"""Tests that the soak finds planted defects and no violation without them.
 
-Promises are broken on purpose in the real program, one at a time, and the
-faults that show it are injected. A soak that misses one proves nothing.
+Each defect violates one guarantee in the real program while the faults that
+reveal it are injected. A soak that misses one proves nothing.
 """
 
 import pytest
@@ -29,11 +29,11 @@
 }
 
 SECONDS = 7.0
-"""Long enough for what takes three seconds to count as overdue."""
+"""Long enough that a check which allows three seconds can find a violation."""
 
 
 SECONDS_BY_DEFECT = {PlantedDefect.LIMITS: 2 * SECONDS}
-"""A limit binds after three seconds, and is checked over the four that follow."""
+"""A limit must be obeyed after three seconds; the next four are checked."""
 
 
 async def run_soak(tmp_path, seed=1, **changes):
@@ -80,10 +80,10 @@
 
 
 async def test_entry_vms_hear_each_other(tmp_path):
-    """No soak of the exchange between entry VMs says anything without it.
+    """Guards against entry VMs that reject each other's datagrams.
 
-    Each reached the store at a host of its own and took the datagrams of the
-    others for those of another fleet, for as long as there was a soak.
+    Earlier each entry VM reached the store at a different host and took the
+    others for members of another fleet, so that no soak tested their exchange.
     """
     await run_soak(tmp_path, seconds=2.0, kinds=(FaultKind.DECLARED,))
     logs = {path.name: path.read_text() for path in tmp_path.glob("*.log")}
