--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -58,7 +58,7 @@
             running_requests.UpstreamInstance, float
         ] = {}
 
-    def tell(
+    def send(
         self, statement: upstream_limits.LimitStatement, *, now: float
     ) -> None:
         """Broadcast a limit that an answer has just changed."""
@@ -67,11 +67,11 @@
             self._sent_at_by_instance[statement.at] = now
             self._spreader.broadcast(self._message((statement,), now))
 
-    def take(self, news: router_messages.LimitNews, *, now: float) -> None:
+    def receive(self, news: router_messages.LimitNews, *, now: float) -> None:
         """Apply limits known to a peer, and forward those that are new."""
         changed = [
             self._limits.apply_report(
-                statement_of(one, now=now), source=news.entry_vm, now=now
+                from_upstream_limit(one, now=now), source=news.entry_vm, now=now
             )
             for one in news.limits
         ]
@@ -120,11 +120,11 @@
         return router_messages.LimitNews(
             entry_vm=self._entry_vm,
             domain=self._domain,
-            limits=tuple(told(one, now=now) for one in statements),
+            limits=tuple(to_upstream_limit(one, now=now) for one in statements),
         )
 
 
-def told(
+def to_upstream_limit(
     statement: upstream_limits.LimitStatement, *, now: float
 ) -> router_messages.UpstreamLimit:
     """Return a statement as messages have it."""
@@ -140,7 +140,7 @@
     )
 
 
-def statement_of(
+def from_upstream_limit(
     limit: router_messages.UpstreamLimit, *, now: float
 ) -> upstream_limits.LimitStatement:
     """Return the statement in a part of a message."""
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -246,7 +246,7 @@
             port=self._configured.peer.port,
             domain=self._configured.domain,
             number=self._number,
-            limit=limit_news.told(statement, now=now),
+            limit=limit_news.to_upstream_limit(statement, now=now),
             upstream_domain=upstream.domain,
             tier=tier,
         )
@@ -285,7 +285,7 @@
         """Answer a place request, or forward it as the relay of its sender."""
         now = self._clock.monotonic()
         self._limits.apply_report(
-            limit_news.statement_of(request.limit, now=now),
+            limit_news.from_upstream_limit(request.limit, now=now),
             source=request.entry_vm,
             now=now,
         )
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -46,7 +46,7 @@
             running_requests.UpstreamInstance, float
         ] = {}
 
-    def tell(self, rest: upstream_rests.Rest, *, now: float) -> None:
+    def send(self, rest: upstream_rests.Rest, *, now: float) -> None:
         """Broadcast a rest that an answer has asked for."""
         self._forget_sent(now)
         if rest.until - now < _MIN_REST_SECONDS:
@@ -56,7 +56,7 @@
         self._sent_at_by_instance[rest.at] = now
         self._spreader.broadcast(self._message(rest, now))
 
-    def take(self, news: router_messages.RestNews, *, now: float) -> None:
+    def receive(self, news: router_messages.RestNews, *, now: float) -> None:
         """Apply a rest that a peer was asked for; forward it if it is new."""
         rest = upstream_rests.Rest(
             at=running_requests.UpstreamInstance(
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -132,19 +132,19 @@
             instance, notice, sent_at=sent_at, now=now
         )
         if limit is not None:
-            self._limit_news.tell(limit, now=now)
+            self._limit_news.send(limit, now=now)
         rest = self.rests.apply_answer(instance, notice, now=now)
         if rest is not None:
-            self._rest_news.tell(rest, now=now)
+            self._rest_news.send(rest, now=now)
 
     def receive_message(
         self, message: router_messages.RouterMessage, *, now: float
     ) -> bool:
         """Apply a peer's message; return whether it was about notices."""
         if isinstance(message, router_messages.LimitNews):
-            self._limit_news.take(message, now=now)
+            self._limit_news.receive(message, now=now)
         elif isinstance(message, router_messages.RestNews):
-            self._rest_news.take(message, now=now)
+            self._rest_news.receive(message, now=now)
         elif isinstance(message, router_messages.PlaceRequest):
             self.places.receive_question(message)
         elif isinstance(message, router_messages.PlaceAnswer):
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -70,7 +70,7 @@
                 return
             number, message = self.in_transit.pop(0)
             now = NOW + step * HOP_SECONDS
-            self.exchanges[number].take(message, now=now)
+            self.exchanges[number].receive(message, now=now)
 
 
 def rest_exchange(name, spreader):
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -109,7 +109,7 @@
 def test_limit_with_many_digits_equals_its_report(limits):
     """Guards against a change reported with each answer of an upstream."""
     made = apply_answer(limits, 1.23456789)
-    message = limit_news.told(made, now=NOW + 1)
-    again = limit_news.statement_of(message, now=NOW + 1)
+    message = limit_news.to_upstream_limit(made, now=NOW + 1)
+    again = limit_news.from_upstream_limit(message, now=NOW + 1)
     assert again.requests_per_second == limits.limit_of(INSTANCE)
     assert not apply_answer(limits, 1.23456789, now=NOW + 2)
