--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -49,7 +49,7 @@
     ----------
     entry_vm, domain
         This entry VM and its failure domain.
-    spreader
+    broadcaster
         Sends messages to the other entry VMs.
     records
         Returns the known crash records.
@@ -60,12 +60,12 @@
         *,
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
-        spreader: news_broadcaster.NewsBroadcaster,
+        broadcaster: news_broadcaster.NewsBroadcaster,
         records: KnownRecords,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._records = records
         self._ticks = 0
         self._next_index = 0
@@ -75,7 +75,7 @@
     ) -> None:
         """Send records of this entry VM to the whole fleet."""
         for news in self._messages(records, now):
-            self._spreader.broadcast(news)
+            self._broadcaster.broadcast(news)
 
     def forward(
         self,
@@ -86,12 +86,12 @@
     ) -> None:
         """Forward, as the relay, new records of another failure domain."""
         for news in self._messages(new, now):
-            self._spreader.forward(news, origin=received.domain)
+            self._broadcaster.forward(news, origin=received.domain)
 
     @property
     def is_relay(self) -> bool:
         """Whether this entry VM is the relay of its failure domain."""
-        return self._spreader.is_relay
+        return self._broadcaster.is_relay
 
     def tick(self, *, now: float) -> None:
         """Repeat records that others may not have received, every few calls."""
@@ -104,7 +104,7 @@
         if not repeated:
             return
         for news in self._messages(repeated[:_MAX_RECORDS_PER_MESSAGE], now):
-            self._spreader.send_to_sample(news)
+            self._broadcaster.send_to_sample(news)
 
     def _next_batch(
         self, records: tuple[crash_evidence.CrashRecord, ...]
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -36,7 +36,7 @@
         This entry VM.
     limits
         Known limits of the upstreams.
-    spreader
+    broadcaster
         Sends messages.
     """
 
@@ -46,12 +46,12 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         limits: upstream_limits.UpstreamLimits,
-        spreader: news_broadcaster.NewsBroadcaster,
+        broadcaster: news_broadcaster.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
         self._limits = limits
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._ticks = 0
         self._next_standing = 0
         self._sent_at_by_instance: dict[
@@ -65,7 +65,7 @@
         sent_at = self._sent_at_by_instance.get(statement.at, float("-inf"))
         if now - sent_at >= _MIN_BROADCAST_INTERVAL_SECONDS:
             self._sent_at_by_instance[statement.at] = now
-            self._spreader.broadcast(self._message((statement,), now))
+            self._broadcaster.broadcast(self._message((statement,), now))
 
     def receive(self, news: router_messages.LimitNews, *, now: float) -> None:
         """Apply limits known to a peer, and forward those that are new."""
@@ -77,7 +77,9 @@
         ]
         new = tuple(one for one in changed if one is not None)
         if new:
-            self._spreader.forward(self._message(new, now), origin=news.domain)
+            self._broadcaster.forward(
+                self._message(new, now), origin=news.domain
+            )
 
     def tick(self, *, now: float) -> None:
         """Repeat limits that others may have missed, every few calls."""
@@ -87,7 +89,7 @@
         changes = self._limits.own_changes(since=now - _REPEAT_SECONDS)
         if changes:
             newest = changes[-_MAX_STATEMENTS:]
-            self._spreader.send_to_sample(self._message(newest, now))
+            self._broadcaster.send_to_sample(self._message(newest, now))
         if self._ticks % _STANDING_REPEAT_TICKS == 0:
             self._forget_sent(now)
             self._repeat_standing(now)
@@ -100,8 +102,8 @@
     def _repeat_standing(self, now: float) -> None:
         """Repeat limits in force, as the relay, for newly started peers."""
         statements = self._next_standing_part()
-        if statements and self._spreader.is_relay:
-            self._spreader.broadcast(self._message(statements, now))
+        if statements and self._broadcaster.is_relay:
+            self._broadcaster.broadcast(self._message(statements, now))
 
     def _next_standing_part(self) -> tuple[upstream_limits.LimitStatement, ...]:
         """Return the next part of the limits in force."""
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -180,7 +180,7 @@
             send=self._socket.send,
         )
         self.send = self._socket.send
-        self.spreader = news_broadcaster.NewsBroadcaster(
+        self.broadcaster = news_broadcaster.NewsBroadcaster(
             domain=configured.domain,
             table=table,
             fleet=self,
@@ -191,7 +191,7 @@
         self._crash_news = crash_news.CrashNewsExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
-            spreader=self.spreader,
+            broadcaster=self.broadcaster,
             records=crashing.records,
         )
         crashing.news = self._crash_news
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -26,7 +26,7 @@
         This entry VM.
     rests
         Known rests of the upstreams.
-    spreader
+    broadcaster
         Sends messages.
     """
 
@@ -36,12 +36,12 @@
         entry_vm: types.EntryVmId,
         domain: types.FailureDomain,
         rests: upstream_rests.UpstreamRests,
-        spreader: news_broadcaster.NewsBroadcaster,
+        broadcaster: news_broadcaster.NewsBroadcaster,
     ) -> None:
         self._entry_vm = entry_vm
         self._domain = domain
         self._rests = rests
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._sent_at_by_instance: dict[
             running_requests.UpstreamInstance, float
         ] = {}
@@ -54,7 +54,7 @@
         if rest.at in self._sent_at_by_instance:
             return
         self._sent_at_by_instance[rest.at] = now
-        self._spreader.broadcast(self._message(rest, now))
+        self._broadcaster.broadcast(self._message(rest, now))
 
     def receive(self, news: router_messages.RestNews, *, now: float) -> None:
         """Apply a rest that a peer was asked for; forward it if it is new."""
@@ -65,7 +65,7 @@
             until=now + news.left_milliseconds / 1000.0,
         )
         if self._rests.apply_report(rest, source=news.entry_vm, now=now):
-            self._spreader.forward(news, origin=news.domain)
+            self._broadcaster.forward(news, origin=news.domain)
 
     def _forget_sent(self, now: float) -> None:
         for at, sent_at in tuple(self._sent_at_by_instance.items()):
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -31,7 +31,7 @@
 class NoticeExchange(Protocol):
     """What is used of the exchange with the other entry VMs."""
 
-    spreader: news_broadcaster.NewsBroadcaster
+    broadcaster: news_broadcaster.NewsBroadcaster
     routing: place_routing.PlaceRouting
     send: news_broadcaster.Sender
 
@@ -80,13 +80,13 @@
             entry_vm=configured.entry_vm,
             domain=configured.domain,
             limits=self.limits,
-            spreader=exchange.spreader,
+            broadcaster=exchange.broadcaster,
         )
         self._rest_news = rest_news.RestNewsExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
             rests=self.rests,
-            spreader=exchange.spreader,
+            broadcaster=exchange.broadcaster,
         )
         self.places = places.Places(
             configured=configured,
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -72,7 +72,7 @@
     return crash_news.CrashNewsExchange(
         entry_vm="vm-1",
         domain="north",
-        spreader=news_broadcaster.NewsBroadcaster(
+        broadcaster=news_broadcaster.NewsBroadcaster(
             domain="north",
             table=table,
             fleet=fleet,
--- a/packages/router/tests/test_news_between_relays.py
+++ b/packages/router/tests/test_news_between_relays.py
@@ -40,10 +40,10 @@
         self.in_transit = []
         self.sent = 0
         self.exchanges = [
-            make_exchange(f"vm-{n}", self._spreader(n)) for n in range(2)
+            make_exchange(f"vm-{n}", self._broadcaster(n)) for n in range(2)
         ]
 
-    def _spreader(self, number):
+    def _broadcaster(self, number):
         table = peer_table.PeerTable(entry_vm=f"vm-{number}", domain="north")
         other = f"vm-{1 - number}"
         address = settings.Address(host=other, port=1)
@@ -73,21 +73,21 @@
             self.exchanges[number].receive(message, now=now)
 
 
-def rest_exchange(name, spreader):
+def rest_exchange(name, broadcaster):
     return rest_news.RestNewsExchange(
         entry_vm=name,
         domain="north",
         rests=upstream_rests.UpstreamRests(rng=random.Random(1)),
-        spreader=spreader,
+        broadcaster=broadcaster,
     )
 
 
-def limit_exchange(name, spreader):
+def limit_exchange(name, broadcaster):
     return limit_news.LimitNewsExchange(
         entry_vm=name,
         domain="north",
         limits=upstream_limits.UpstreamLimits(),
-        spreader=spreader,
+        broadcaster=broadcaster,
     )
 
 
