--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -129,7 +129,7 @@
     def record_answer(self, request: types.RequestDigest) -> None:
         """Clear the records of a request that an upstream has answered."""
         now = self._clock.monotonic()
-        self._answered.note(request, now=now)
+        self._answered.record(request, now=now)
         cleared = self._clear(request, reason="answered")
         if len(cleared) >= _CRASHES_TO_BROADCAST:
             self._broadcast(cleared, now)
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -225,7 +225,7 @@
         if news.domain == self._domain or not self._is_newer(news):
             return False
         self._domains.record_contact(news.domain, now=now)
-        self._domains.note_reading(news.domain, news.reads_store)
+        self._domains.record_reading(news.domain, news.reads_store)
         if self._usage is not None:
             self._usage.record_remote_holder(
                 news.domain, news.duties_holder, now=now
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -221,7 +221,7 @@
             news.domains, news.silent_milliseconds, strict=False
         ):
             self._domains.record_contact(domain, now=now - milliseconds / 1000)
-            self._domains.note_reading(domain, domain in news.reading_domains)
+            self._domains.record_reading(domain, domain in news.reading_domains)
         self._record_alive_reporters(news, now)
 
     def _own_loads_in(
--- a/packages/router/src/lagoonrun_router/limit_shares.py
+++ b/packages/router/src/lagoonrun_router/limit_shares.py
@@ -17,14 +17,14 @@
     ----------
     known
         All that may exist, including this one.
-    near
+    in_domain
         Those of the own failure domain that are not lost, including this one.
     silent
         All that this one receives nothing from, or that receive nothing.
     """
 
     known: int
-    near: int
+    in_domain: int
     silent: int
 
 
@@ -35,7 +35,7 @@
 
 def domain_share(counts: FleetCounts) -> float:
     """Return the share of a failure domain that cannot ask the giver."""
-    return max(1, counts.near) / max(1, counts.known)
+    return max(1, counts.in_domain) / max(1, counts.known)
 
 
 def single_share(counts: FleetCounts) -> float:
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -185,7 +185,7 @@
             # During an upgrade of the fleet a peer may lack that path.
             body = await self._call(peer, address, DECLARATIONS_PATH)
             if body is not None:
-                self._replica.take_declarations(body, source=peer)
+                self._replica.apply_declarations(body, source=peer)
             return
         change = _decode(body, peer)
         if isinstance(change, router_messages.DeclaredChange):
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -78,16 +78,18 @@
 
     def fleet_counts(self, *, now: float) -> limit_shares.FleetCounts:
         """Return the numbers of known and of reachable entry VMs."""
-        near_known = self._table.neighbour_budget_sharers(now=now) + 1
-        near = len(self._table.neighbours()) + 1
-        silent = near_known - near
+        known_in_domain = self._table.neighbour_budget_sharers(now=now) + 1
+        in_domain = len(self._table.neighbours()) + 1
+        silent = known_in_domain - in_domain
         silent_by_domain = self._domains.silent_seconds(now=now)
-        known = near_known
+        known = known_in_domain
         for domain, cores_by_id in self._table.remote_cores_by_domain().items():
             known += len(cores_by_id)
             if silent_by_domain.get(domain, 0.0) > _SILENT_SECONDS:
                 silent += len(cores_by_id)
-        return limit_shares.FleetCounts(known=known, near=near, silent=silent)
+        return limit_shares.FleetCounts(
+            known=known, in_domain=in_domain, silent=silent
+        )
 
     def _giver_domain(
         self, upstream_domain: types.FailureDomain
--- a/packages/router/src/lagoonrun_router/places.py
+++ b/packages/router/src/lagoonrun_router/places.py
@@ -281,7 +281,7 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def receive_question(self, request: router_messages.PlaceRequest) -> None:
+    def receive_request(self, request: router_messages.PlaceRequest) -> None:
         """Answer a place request, or forward it as the relay of its sender."""
         now = self._clock.monotonic()
         self._limits.apply_report(
--- a/packages/router/src/lagoonrun_router/pressure.py
+++ b/packages/router/src/lagoonrun_router/pressure.py
@@ -18,7 +18,7 @@
 """
 
 
-LEAST_REQUESTS = 3
+MIN_REJECTIONS = 3
 """Rejected requests of a tier, at all entry VMs together, that block lower
 tiers.
 
@@ -110,7 +110,7 @@
                 self._fleet_report.pressed, pool, tier
             )
             rejections = max(rejections, fleet_rejections)
-        return rejections >= LEAST_REQUESTS
+        return rejections >= MIN_REJECTIONS
 
     def recent_with(
         self, peers: Iterable[types.LoadReporter], *, now: float
--- a/packages/router/src/lagoonrun_router/reach.py
+++ b/packages/router/src/lagoonrun_router/reach.py
@@ -43,7 +43,7 @@
         known = self._heard_at_by_domain.get(domain, now)
         self._heard_at_by_domain[domain] = max(known, now)
 
-    def note_reading(self, domain: types.FailureDomain, reads: bool) -> None:
+    def record_reading(self, domain: types.FailureDomain, reads: bool) -> None:
         """Record whether some entry VM of `domain` reads the store."""
         if reads:
             self._reading.add(domain)
--- a/packages/router/src/lagoonrun_router/reader_selection.py
+++ b/packages/router/src/lagoonrun_router/reader_selection.py
@@ -56,7 +56,7 @@
     read_revision: int
     """Revision of the store up to which all keys are known here."""
 
-    newest_told_revision: int
+    newest_reported_revision: int
     """Newest such revision that any peer has reported."""
 
 
@@ -157,7 +157,8 @@
         """Restart the watch if peers report newer revisions for a while."""
         behind = (
             self._replica.follows_store
-            and self._replica.newest_told_revision > self._replica.read_revision
+            and self._replica.newest_reported_revision
+            > self._replica.read_revision
         )
         self._updates_behind = self._updates_behind + 1 if behind else 0
         if self._updates_behind == _MAX_UPDATES_BEHIND:
--- a/packages/router/src/lagoonrun_router/recent_answers.py
+++ b/packages/router/src/lagoonrun_router/recent_answers.py
@@ -21,7 +21,7 @@
             types.RequestDigest, float
         ] = collections.OrderedDict()
 
-    def note(self, request: types.RequestDigest, *, now: float) -> None:
+    def record(self, request: types.RequestDigest, *, now: float) -> None:
         """Record that a request was answered."""
         self._at_by_request[request] = now
         self._at_by_request.move_to_end(request)
--- a/packages/router/src/lagoonrun_router/store_replica.py
+++ b/packages/router/src/lagoonrun_router/store_replica.py
@@ -104,7 +104,7 @@
         """Newest known store revision that changed upstreams or blocks."""
         self.read_revision = store_module.ABSENT
         """Revision of the store up to which all keys are known."""
-        self.newest_told_revision = store_module.ABSENT
+        self.newest_reported_revision = store_module.ABSENT
         """Highest `read_revision` that a peer has reported."""
         self._entries_by_key: dict[str, bytes] = {}
 
@@ -294,7 +294,7 @@
                 detail=error.detail,
             )
             return
-        self.take_declarations(value, source=source)
+        self.apply_declarations(value, source=source)
 
     def record_peer_revision(
         self, message: router_messages.RouterState | router_messages.DomainNews
@@ -304,8 +304,8 @@
         If it has the same declarations and upstreams as this entry VM, this one
         knows the store up to the same revision.
         """
-        self.newest_told_revision = max(
-            self.newest_told_revision,
+        self.newest_reported_revision = max(
+            self.newest_reported_revision,
             store_module.StoreRevision(message.read_revision),
         )
         if self.follows_store:
@@ -336,7 +336,7 @@
         self.store_revision = revision
         self._apply_entries(entries_by_key)
 
-    def take_declarations(self, value: bytes, *, source: str) -> None:
+    def apply_declarations(self, value: bytes, *, source: str) -> None:
         """Apply an encoded value of the declarations if it is newer."""
         try:
             declared = self._layout.decode_declarations(value)
@@ -364,7 +364,7 @@
 
     def _apply_value(self, key: str, value: bytes) -> None:
         if key == self._layout.declarations_key:
-            self.take_declarations(value, source="store")
+            self.apply_declarations(value, source="store")
         elif key.startswith(self._layout.upstreams_prefix):
             self._entries_by_key[key] = value
             self._apply_upstream_entry(key, value)
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -146,7 +146,7 @@
         elif isinstance(message, router_messages.RestNews):
             self._rest_news.receive(message, now=now)
         elif isinstance(message, router_messages.PlaceRequest):
-            self.places.receive_question(message)
+            self.places.receive_request(message)
         elif isinstance(message, router_messages.PlaceAnswer):
             self.places.receive_answer(message)
         else:
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -260,7 +260,7 @@
 
 def test_placements_and_pressed_tiers_reach_other_domains(relay, remote_relay):
     relay.prompt_locations.record_placement("part", "u-1", now=0.0)
-    for _ in range(pressure.LEAST_REQUESTS):
+    for _ in range(pressure.MIN_REJECTIONS):
         relay.pressed.record_rejection("pool", 1, now=0.0)
     relay.tick(now=0.1)
     remote_relay.exchange.receive(
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -264,7 +264,7 @@
     relay, member, other
 ):
     other.prompt_locations.record_placement("part", "u-1", now=0.0)
-    for _ in range(pressure.LEAST_REQUESTS):
+    for _ in range(pressure.MIN_REJECTIONS):
         other.pressed.record_rejection(POOL, 1, now=0.0)
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     other.begin_request(tokens=9000.0)
--- a/packages/router/tests/test_places.py
+++ b/packages/router/tests/test_places.py
@@ -117,7 +117,7 @@
             if not self._fleet.reaches(self, other):
                 continue
             if isinstance(message, places.router_messages.PlaceRequest):
-                other.places.receive_question(message)
+                other.places.receive_request(message)
             else:
                 other.places.receive_answer(message)
 
@@ -145,7 +145,7 @@
             reachable = fleet.vms
         return limit_shares.FleetCounts(
             known=len(fleet.vms),
-            near=sum(one.domain == self.domain for one in reachable),
+            in_domain=sum(one.domain == self.domain for one in reachable),
             silent=len(fleet.vms) - len(reachable),
         )
 
@@ -318,16 +318,16 @@
         size for size, one in zip(sizes, reachable, strict=True) if not one
     )
     total = limit_shares.giver_share(
-        limit_shares.FleetCounts(known=known, near=sizes[0], silent=silent)
+        limit_shares.FleetCounts(known=known, in_domain=sizes[0], silent=silent)
     )
     for size, one in zip(sizes, reachable, strict=True):
         if not one:
             total += limit_shares.domain_share(
                 limit_shares.FleetCounts(
-                    known=known, near=size, silent=known - size
+                    known=known, in_domain=size, silent=known - size
                 )
             )
     total += lost_neighbours * limit_shares.single_share(
-        limit_shares.FleetCounts(known=known, near=1, silent=known - 1)
+        limit_shares.FleetCounts(known=known, in_domain=1, silent=known - 1)
     )
     assert total <= 1.0 + 1e-9
--- a/packages/router/tests/test_reader_selection.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -56,7 +56,7 @@
         self.clock = clock
         self.follows_store = False
         self.read_revision = 5
-        self.newest_told_revision = 5
+        self.newest_reported_revision = 5
         self.sequence = 0
         self.domains = reach.DomainReach()
         self.table = peer_table.PeerTable(entry_vm=name, domain="north")
@@ -228,7 +228,7 @@
     vm.selection._reading_domains._hash = (*vm.before, "north").index
     for domain in vm.before:
         vm.domains.record_contact(domain, now=vm.clock.monotonic())
-        vm.domains.note_reading(domain, True)
+        vm.domains.record_reading(domain, True)
     return vm
 
 
@@ -249,7 +249,7 @@
 
 def test_domain_joins_when_another_does_not_reach_the_store(first, clock):
     assert first.update_role() is ReaderRole.STAND_BY
-    first.domains.note_reading(first.before[0], False)
+    first.domains.record_reading(first.before[0], False)
     clock.advance(reader_selection.CATCH_UP_SECONDS)
     for domain in first.before:
         first.domains.record_contact(domain, now=clock.monotonic())
@@ -259,7 +259,7 @@
 def test_fleet_of_two_domains_has_one_reader_in_each(vms):
     for vm in vms:
         vm.domains.record_contact("south", now=vm.clock.monotonic())
-        vm.domains.note_reading("south", True)
+        vm.domains.record_reading("south", True)
     assert (
         update_roles(vms)
         == [ReaderRole.FOR_OTHERS] + [ReaderRole.STAND_BY] * 13
@@ -275,14 +275,14 @@
     reader = vms[0]
     reader.follows_store = True
     reader.update_role()
-    reader.newest_told_revision = 6
+    reader.newest_reported_revision = 6
     reader.update_role()
     assert reader.follower.restarts == 0
     reader.update_role()
     assert reader.follower.restarts == 1
     reader.read_revision = 6
     reader.update_role()
-    reader.newest_told_revision = 7
+    reader.newest_reported_revision = 7
     reader.update_role()
     assert reader.follower.restarts == 1
 
--- a/packages/router/tests/test_recent_answers.py
+++ b/packages/router/tests/test_recent_answers.py
@@ -14,22 +14,22 @@
 
 
 def test_answer_counts_for_a_limited_time(answers):
-    answers.note("one", now=NOW)
+    answers.record("one", now=NOW)
     assert answers.has("one", now=LATER - 1.0)
     assert not answers.has("one", now=LATER)
     assert not answers.has("two", now=NOW)
 
 
 def test_newer_answer_counts_longer(answers):
-    answers.note("one", now=NOW)
-    answers.note("one", now=LATER)
+    answers.record("one", now=NOW)
+    answers.record("one", now=LATER)
     assert answers.has("one", now=LATER + 1.0)
 
 
 def test_oldest_answers_are_evicted(answers):
     for number in range(3000):
-        answers.note(f"r-{number}", now=NOW)
-        answers.note("often", now=NOW)
+        answers.record(f"r-{number}", now=NOW)
+        answers.record("often", now=NOW)
     assert not answers.has("r-0", now=NOW)
     assert answers.has("r-2999", now=NOW)
     assert answers.has("often", now=NOW)
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -137,13 +137,13 @@
 
 def _break_in_force() -> None:
     """Apply only the first declarations."""
-    original = store_replica.StoreReplica.take_declarations
+    original = store_replica.StoreReplica.apply_declarations
 
     def apply_first(self, value, *, source) -> None:
         if not self.revision:
             original(self, value, source=source)
 
-    store_replica.StoreReplica.take_declarations = apply_first
+    store_replica.StoreReplica.apply_declarations = apply_first
 
 
 def _break_tiers() -> None:
