--- a/packages/router/src/lagoonrun_router/crash_evidence.py
+++ b/packages/router/src/lagoonrun_router/crash_evidence.py
@@ -166,7 +166,7 @@
 
     # Updates.
 
-    def take(self, record: CrashRecord, *, now: float) -> bool:
+    def merge(self, record: CrashRecord, *, now: float) -> bool:
         """Merge a record; return whether it is new or has become void."""
         if now - record.seen_at >= EXPIRY_SECONDS:
             return False
@@ -201,7 +201,7 @@
             records[one.at] = one
         return tuple(changed)
 
-    def forget_old(self, *, now: float) -> None:
+    def remove_expired(self, *, now: float) -> None:
         """Drop expired records."""
         self._drop(
             one
--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -66,5 +66,5 @@
 
     def run_housekeeping(self) -> None:
         """Drop expired records and write due blocks; called once a second."""
-        self.watch.forget_old()
+        self.watch.remove_expired_runs()
         self.crashing.tick()
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -136,9 +136,9 @@
         if broken and self._directory.is_serving(run.at.upstream):
             self._start_probe(run.at, upstream)
 
-    def forget_old(self) -> None:
+    def remove_expired_runs(self) -> None:
         """Drop runs that ended too long ago to be suspects."""
-        self._running.forget_old(now=self._clock.monotonic())
+        self._running.remove_expired(now=self._clock.monotonic())
 
     # Crashes detected by others.
 
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -199,7 +199,7 @@
     def tick(self) -> None:
         """Write due blocks, drop expired records and end expired blocks."""
         now = self._clock.monotonic()
-        self._evidence.forget_old(now=now)
+        self._evidence.remove_expired(now=now)
         for request, due_at in tuple(self._write_at_by_request.items()):
             if now >= due_at:
                 del self._write_at_by_request[request]
@@ -214,7 +214,7 @@
         self, records: tuple[crash_evidence.CrashRecord, ...], now: float
     ) -> tuple[crash_evidence.CrashRecord, ...]:
         return tuple(
-            one for one in records if self._evidence.take(one, now=now)
+            one for one in records if self._evidence.merge(one, now=now)
         )
 
     def _own_records(
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -109,13 +109,13 @@
             run.ended_at = now
         else:
             self._remove(run)
-        self._forget_old(run.at, now)
+        self._remove_expired_at(run.at, now)
 
     def suspects_at(
         self, at: UpstreamInstance, *, now: float
     ) -> frozenset[SuspectRequest]:
         """Return the requests that run, or recently ran, at an upstream."""
-        self._forget_old(at, now)
+        self._remove_expired_at(at, now)
         runs = self._runs_by_instance.get(at, ())
         return frozenset(
             SuspectRequest(
@@ -129,17 +129,17 @@
         """Number of upstream instances with stored runs."""
         return len(self._runs_by_instance)
 
-    def forget_old(self, *, now: float) -> None:
+    def remove_expired(self, *, now: float) -> None:
         """Remove runs that ended too long ago, of all upstreams."""
         for at in tuple(self._runs_by_instance):
-            self._forget_old(at, now)
+            self._remove_expired_at(at, now)
 
     def _remove(self, run: Run) -> None:
         runs = self._runs_by_instance.get(run.at)
         if runs and run in runs:
             runs.remove(run)
 
-    def _forget_old(self, at: UpstreamInstance, now: float) -> None:
+    def _remove_expired_at(self, at: UpstreamInstance, now: float) -> None:
         runs = [
             run
             for run in self._runs_by_instance.get(at, ())
--- a/packages/router/tests/test_crash_evidence.py
+++ b/packages/router/tests/test_crash_evidence.py
@@ -40,7 +40,7 @@
 def crash(evidence, upstream, *requests, at=NOW, silent=True):
     for request in requests:
         one = record(request, upstream, seen_at=at, silent=silent)
-        evidence.take(one, now=at)
+        evidence.merge(one, now=at)
 
 
 def blocked(evidence, request, *, now=NOW):
@@ -68,7 +68,7 @@
 
 def test_upstream_that_starts_again_under_its_id_counts_again(evidence):
     for start in range(3):
-        evidence.take(
+        evidence.merge(
             dataclasses.replace(
                 record(GUILTY, "u-1"), at=make_instance("u-1", start)
             ),
@@ -157,10 +157,10 @@
 def test_old_crashes_are_forgotten(evidence):
     crash(evidence, "u-1", GUILTY)
     later = NOW + crash_evidence.EXPIRY_SECONDS
-    evidence.forget_old(now=later)
+    evidence.remove_expired(now=later)
     assert evidence.records() == ()
     # Reports of peers that still have the record don't restore it.
-    assert not evidence.take(record(GUILTY, "u-1"), now=later)
+    assert not evidence.merge(record(GUILTY, "u-1"), now=later)
 
 
 def test_eviction_keeps_requests_with_the_most_crashes(evidence):
@@ -219,7 +219,7 @@
                 seen_at=self.now,
                 silent=silent,
             )
-            assert self.vms[vm].take(one, now=self.now)
+            assert self.vms[vm].merge(one, now=self.now)
             self.reports.append(one)
 
     @rule(vm=st.integers(0, VMS - 1), request=st.sampled_from(("a", "b", "c")))
@@ -238,14 +238,14 @@
         for one in data.draw(
             st.lists(st.sampled_from(self.reports), max_size=6)
         ):
-            vm.take(one, now=self.now)
+            vm.merge(one, now=self.now)
 
     @rule()
     def exchange_all(self):
         """Exchange all reports: all entry VMs then block the same requests."""
         for vm in self.vms:
             for one in self.reports:
-                vm.take(one, now=self.now)
+                vm.merge(one, now=self.now)
         blocks = [vm.blocks(now=self.now) for vm in self.vms]
         assert all(
             {one.request for one in some} == {one.request for one in blocks[0]}
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self._count_by_request = collections.Counter()
 
-    def take(self, record, *, now):
+    def merge(self, record, *, now):
         """Count a crash."""
         del now
         self._count_by_request[record.request] += 1
@@ -111,7 +111,7 @@
             record = crash_evidence.CrashRecord(
                 request=request, at=at, route="r", seen_at=now, silent=silent
             )
-            self._evidence.take(record, now=now)
+            self._evidence.merge(record, now=now)
         self._resent = running
 
 
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -98,7 +98,7 @@
     news, evidence, sent
 ):
     """If the first datagrams are lost, repetitions reach all in two seconds."""
-    evidence.take(record(1), now=NOW)
+    evidence.merge(record(1), now=NOW)
     for _ in range(3 * TICKS_PER_SECOND):
         news.tick(now=NOW + 1.0)
     reached = {one for _, to in sent for one in to}
@@ -111,7 +111,7 @@
     """A failure domain that was cut off receives the crashes it has missed."""
     old = NOW - crash_news.NEWS_SECONDS - 1.0
     for number in range(100):
-        evidence.take(record(number, seen_at=old), now=NOW)
+        evidence.merge(record(number, seen_at=old), now=NOW)
     for _ in range(12 * TICKS_PER_SECOND):
         news.tick(now=NOW)
     repeated = {one.request for message, _ in sent for one in message.runs}
@@ -121,7 +121,7 @@
 
 def test_many_new_records_are_sent_in_limited_messages(news, evidence, sent):
     for number in range(1000):
-        evidence.take(record(number), now=NOW)
+        evidence.merge(record(number), now=NOW)
     for _ in range(TICKS_PER_SECOND):
         news.tick(now=NOW)
     assert len(sent) <= 4
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -301,5 +301,5 @@
             route="lookups",
             seen_at=0.0,
         )
-        evidence.take(record, now=0.0)
+        evidence.merge(record, now=0.0)
     return block_record.encode(evidence.block_of("one", now=0.0))
--- a/packages/router/tests/test_running_requests.py
+++ b/packages/router/tests/test_running_requests.py
@@ -69,5 +69,5 @@
         at = running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
         run = running.begin("one", route="r", at=at)
         running.end(run, running_requests.RunEnd.ABANDONED, now=NOW)
-    running.forget_old(now=LONG_AFTER)
+    running.remove_expired(now=LONG_AFTER)
     assert running.upstreams == 0
--- a/packages/soak/src/lagoonrun_soak/planted.py
+++ b/packages/soak/src/lagoonrun_soak/planted.py
@@ -166,7 +166,7 @@
 
 def _break_crashing() -> None:
     """Ignore all crash evidence against requests."""
-    crash_evidence.CrashEvidence.take = lambda self, record, *, now: False
+    crash_evidence.CrashEvidence.merge = lambda self, record, *, now: False
 
 
 def _break_limits() -> None:
