--- a/packages/router/src/lagoonrun_router/block_record.py
+++ b/packages/router/src/lagoonrun_router/block_record.py
@@ -35,7 +35,7 @@
         return tuple(
             crash_evidence.CrashRecord(
                 request=request,
-                at=running_requests.UpstreamInstance(
+                instance=running_requests.UpstreamInstance(
                     upstream=types.UpstreamId(str(one["upstream"])),
                     start=types.UpstreamStart(int(one["start"])),
                 ),
--- a/packages/router/src/lagoonrun_router/crash_evidence.py
+++ b/packages/router/src/lagoonrun_router/crash_evidence.py
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    at
+    instance
         Instance of the upstream.
     route
         Route of the request, for operators.
@@ -56,7 +56,7 @@
     """
 
     request: types.RequestDigest
-    at: running_requests.UpstreamInstance
+    instance: running_requests.UpstreamInstance
     route: str
     seen_at: float
     silent: bool = True
@@ -119,7 +119,7 @@
         return Block(
             request=request,
             route=counted[-1].route,
-            crashes=tuple(one.at for one in counted),
+            crashes=tuple(one.instance for one in counted),
             until=until,
         )
 
@@ -171,11 +171,13 @@
         if now - record.seen_at >= EXPIRY_SECONDS:
             return False
         records = self._records_by_request.setdefault(record.request, {})
-        known = records.get(record.at)
+        known = records.get(record.instance)
         if known is None:
-            records[record.at] = record
+            records[record.instance] = record
             self._size += 1
-            suspects = self._suspects_by_instance.setdefault(record.at, set())
+            suspects = self._suspects_by_instance.setdefault(
+                record.instance, set()
+            )
             suspects.add(record.request)
             self._evict()
             return True
@@ -186,7 +188,7 @@
             silent=known.silent or record.silent,
             void=known.void or record.void,
         )
-        records[record.at] = merged
+        records[record.instance] = merged
         return merged.void is not known.void
 
     def clear(self, request: types.RequestDigest) -> tuple[CrashRecord, ...]:
@@ -198,7 +200,7 @@
             if not one.void
         ]
         for one in changed:
-            records[one.at] = one
+            records[one.instance] = one
         return tuple(changed)
 
     def remove_expired(self, *, now: float) -> None:
@@ -237,7 +239,7 @@
         own = self._suspicion(crash.request, now)
         return crash.silent and all(
             self._suspicion(other, now) < own
-            for other in self._suspects_by_instance[crash.at]
+            for other in self._suspects_by_instance[crash.instance]
             if other != crash.request
         )
 
@@ -265,13 +267,13 @@
     def _drop(self, dropped: Iterable[CrashRecord]) -> None:
         for one in tuple(dropped):
             records = self._records_by_request[one.request]
-            del records[one.at]
+            del records[one.instance]
             if not records:
                 del self._records_by_request[one.request]
-            suspects = self._suspects_by_instance[one.at]
+            suspects = self._suspects_by_instance[one.instance]
             suspects.discard(one.request)
             if not suspects:
-                del self._suspects_by_instance[one.at]
+                del self._suspects_by_instance[one.instance]
             self._size -= 1
 
 
--- a/packages/router/src/lagoonrun_router/crash_news.py
+++ b/packages/router/src/lagoonrun_router/crash_news.py
@@ -141,7 +141,7 @@
     return tuple(
         crash_evidence.CrashRecord(
             request=one.request,
-            at=running_requests.UpstreamInstance(
+            instance=running_requests.UpstreamInstance(
                 upstream=one.upstream, start=one.start
             ),
             route=one.route,
@@ -160,8 +160,8 @@
     return router_messages.CrashedRun(
         request=record.request,
         route=record.route,
-        upstream=record.at.upstream,
-        start=record.at.start,
+        upstream=record.instance.upstream,
+        start=record.instance.start,
         age_milliseconds=round(age_seconds * 1000.0),
         silent=record.silent,
         void=record.void,
--- a/packages/router/src/lagoonrun_router/crash_watch.py
+++ b/packages/router/src/lagoonrun_router/crash_watch.py
@@ -112,7 +112,7 @@
     ) -> running_requests.Run:
         """Record that a request is about to be written to an upstream."""
         return self._running.begin(
-            digest, route=route, at=running_requests.instance_of(upstream)
+            digest, route=route, instance=running_requests.instance_of(upstream)
         )
 
     def end(
@@ -133,8 +133,8 @@
         if end is running_requests.RunEnd.ANSWERED and self.on_answer:
             self.on_answer(run.digest)
         broken = end is running_requests.RunEnd.BROKEN
-        if broken and self._directory.is_serving(run.at.upstream):
-            self._start_probe(run.at, upstream)
+        if broken and self._directory.is_serving(run.instance.upstream):
+            self._start_probe(run.instance, upstream)
 
     def remove_expired_runs(self) -> None:
         """Drop runs that ended too long ago to be suspects."""
--- a/packages/router/src/lagoonrun_router/crashing_requests.py
+++ b/packages/router/src/lagoonrun_router/crashing_requests.py
@@ -226,7 +226,7 @@
         entry VM saw no broken request.
         """
         recent = {
-            one.at
+            one.instance
             for one in reported
             if now - one.seen_at < running_requests.SUSPECT_SECONDS
         }
@@ -318,7 +318,7 @@
     return tuple(
         crash_evidence.CrashRecord(
             request=one.digest,
-            at=instance,
+            instance=instance,
             route=one.route,
             seen_at=seen_at,
             silent=one.silent,
--- a/packages/router/src/lagoonrun_router/gauges.py
+++ b/packages/router/src/lagoonrun_router/gauges.py
@@ -103,7 +103,7 @@
             gauge.clear()
         own_running = self._ledger.own_running()
         limit_by_id = {
-            one.at.upstream: one.requests_per_second
+            one.instance.upstream: one.requests_per_second
             for one in self._limits.in_force()
         }
         for one in self._directory.registrations:
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -62,9 +62,11 @@
         self, statement: upstream_limits.LimitStatement, *, now: float
     ) -> None:
         """Broadcast a limit that an answer has just changed."""
-        sent_at = self._sent_at_by_instance.get(statement.at, float("-inf"))
+        sent_at = self._sent_at_by_instance.get(
+            statement.instance, float("-inf")
+        )
         if now - sent_at >= _MIN_BROADCAST_INTERVAL_SECONDS:
-            self._sent_at_by_instance[statement.at] = now
+            self._sent_at_by_instance[statement.instance] = now
             self._broadcaster.broadcast(self._message((statement,), now))
 
     def receive(self, news: router_messages.LimitNews, *, now: float) -> None:
@@ -95,9 +97,9 @@
             self._repeat_standing(now)
 
     def _forget_sent(self, now: float) -> None:
-        for at, sent_at in tuple(self._sent_at_by_instance.items()):
+        for instance, sent_at in tuple(self._sent_at_by_instance.items()):
             if now - sent_at >= _MIN_BROADCAST_INTERVAL_SECONDS:
-                del self._sent_at_by_instance[at]
+                del self._sent_at_by_instance[instance]
 
     def _repeat_standing(self, now: float) -> None:
         """Repeat limits in force, as the relay, for newly started peers."""
@@ -133,8 +135,8 @@
     per_second = statement.requests_per_second
     age_seconds = max(0.0, now - statement.heard_at)
     return router_messages.UpstreamLimit(
-        upstream=statement.at.upstream,
-        start=statement.at.start,
+        upstream=statement.instance.upstream,
+        start=statement.instance.start,
         thousandths_per_second=_NO_LIMIT
         if per_second is None
         else max(1, round(per_second * 1000.0)),
@@ -148,7 +150,7 @@
     """Return the statement in a part of a message."""
     thousandths = limit.thousandths_per_second
     return upstream_limits.LimitStatement(
-        at=running_requests.UpstreamInstance(
+        instance=running_requests.UpstreamInstance(
             upstream=limit.upstream, start=limit.start
         ),
         requests_per_second=None
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -51,15 +51,15 @@
         self._forget_sent(now)
         if rest.until - now < _MIN_REST_SECONDS:
             return
-        if rest.at in self._sent_at_by_instance:
+        if rest.instance in self._sent_at_by_instance:
             return
-        self._sent_at_by_instance[rest.at] = now
+        self._sent_at_by_instance[rest.instance] = now
         self._broadcaster.broadcast(self._message(rest, now))
 
     def receive(self, news: router_messages.RestNews, *, now: float) -> None:
         """Apply a rest that a peer was asked for; forward it if it is new."""
         rest = upstream_rests.Rest(
-            at=running_requests.UpstreamInstance(
+            instance=running_requests.UpstreamInstance(
                 upstream=news.upstream, start=news.start
             ),
             until=now + news.left_milliseconds / 1000.0,
@@ -68,9 +68,9 @@
             self._broadcaster.forward(news, origin=news.domain)
 
     def _forget_sent(self, now: float) -> None:
-        for at, sent_at in tuple(self._sent_at_by_instance.items()):
+        for instance, sent_at in tuple(self._sent_at_by_instance.items()):
             if now - sent_at >= _MIN_INTERVAL_SECONDS:
-                del self._sent_at_by_instance[at]
+                del self._sent_at_by_instance[instance]
 
     def _message(
         self, rest: upstream_rests.Rest, now: float
@@ -78,7 +78,7 @@
         return router_messages.RestNews(
             entry_vm=self._entry_vm,
             domain=self._domain,
-            upstream=rest.at.upstream,
-            start=rest.at.start,
+            upstream=rest.instance.upstream,
+            start=rest.instance.start,
             left_milliseconds=round((rest.until - now) * 1000.0),
         )
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -70,7 +70,7 @@
 
     Parameters
     ----------
-    at
+    instance
         The upstream instance that runs it.
     ended_at
         Reading of the clock when it was broken or abandoned; None while it
@@ -84,7 +84,7 @@
 
     digest: types.RequestDigest
     route: str
-    at: UpstreamInstance
+    instance: UpstreamInstance
     ended_at: float | None = None
     silent: bool = True
 
@@ -96,11 +96,15 @@
         self._runs_by_instance: dict[UpstreamInstance, list[Run]] = {}
 
     def begin(
-        self, digest: types.RequestDigest, *, route: str, at: UpstreamInstance
+        self,
+        digest: types.RequestDigest,
+        *,
+        route: str,
+        instance: UpstreamInstance,
     ) -> Run:
         """Record that a request is about to be written to an upstream."""
-        run = Run(digest=digest, route=route, at=at)
-        self._runs_by_instance.setdefault(at, []).append(run)
+        run = Run(digest=digest, route=route, instance=instance)
+        self._runs_by_instance.setdefault(instance, []).append(run)
         return run
 
     def end(self, run: Run, end: RunEnd, *, now: float) -> None:
@@ -109,14 +113,14 @@
             run.ended_at = now
         else:
             self._remove(run)
-        self._remove_expired_at(run.at, now)
+        self._remove_expired_at(run.instance, now)
 
     def suspects_at(
-        self, at: UpstreamInstance, *, now: float
+        self, instance: UpstreamInstance, *, now: float
     ) -> frozenset[SuspectRequest]:
         """Return the requests that run, or recently ran, at an upstream."""
-        self._remove_expired_at(at, now)
-        runs = self._runs_by_instance.get(at, ())
+        self._remove_expired_at(instance, now)
+        runs = self._runs_by_instance.get(instance, ())
         return frozenset(
             SuspectRequest(
                 digest=run.digest, route=run.route, silent=run.silent
@@ -131,21 +135,23 @@
 
     def remove_expired(self, *, now: float) -> None:
         """Remove runs that ended too long ago, of all upstreams."""
-        for at in tuple(self._runs_by_instance):
-            self._remove_expired_at(at, now)
+        for instance in tuple(self._runs_by_instance):
+            self._remove_expired_at(instance, now)
 
     def _remove(self, run: Run) -> None:
-        runs = self._runs_by_instance.get(run.at)
+        runs = self._runs_by_instance.get(run.instance)
         if runs and run in runs:
             runs.remove(run)
 
-    def _remove_expired_at(self, at: UpstreamInstance, now: float) -> None:
+    def _remove_expired_at(
+        self, instance: UpstreamInstance, now: float
+    ) -> None:
         runs = [
             run
-            for run in self._runs_by_instance.get(at, ())
+            for run in self._runs_by_instance.get(instance, ())
             if run.ended_at is None or now - run.ended_at <= SUSPECT_SECONDS
         ]
         if runs:
-            self._runs_by_instance[at] = runs
+            self._runs_by_instance[instance] = runs
         else:
-            self._runs_by_instance.pop(at, None)
+            self._runs_by_instance.pop(instance, None)
--- a/packages/router/src/lagoonrun_router/upstream_limits.py
+++ b/packages/router/src/lagoonrun_router/upstream_limits.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    at
+    instance
         Instance of the upstream; a restarted upstream has no limit.
     requests_per_second
         Limit for all entry VMs together; None if the upstream has ended it.
@@ -48,7 +48,7 @@
         Monotonic time at which the answer with the statement arrived.
     """
 
-    at: running_requests.UpstreamInstance
+    instance: running_requests.UpstreamInstance
     requests_per_second: float | None
     heard_at: float
 
@@ -131,7 +131,7 @@
                 return None
         return self._apply(
             LimitStatement(
-                at=instance, requests_per_second=per_second, heard_at=now
+                instance=instance, requests_per_second=per_second, heard_at=now
             ),
             source=_OWN_ANSWER,
             now=now,
@@ -145,7 +145,7 @@
             statement,
             requests_per_second=_bounded(statement.requests_per_second),
         )
-        known = self.statement_of(statement.at)
+        known = self.statement_of(statement.instance)
         if known is not None and (
             bounded.requests_per_second == known.requests_per_second
             # The reported age does not include the transit time.
@@ -163,10 +163,10 @@
     def _apply(
         self, statement: LimitStatement, *, source: str, now: float
     ) -> LimitStatement | None:
-        known = self._entry_by_instance.pop(statement.at, None)
+        known = self._entry_by_instance.pop(statement.instance, None)
         previous = known.statement.requests_per_second if known else None
         changed = statement.requests_per_second != previous
-        self._entry_by_instance[statement.at] = _Entry(
+        self._entry_by_instance[statement.instance] = _Entry(
             statement=statement,
             changed_at=now if changed or known is None else known.changed_at,
             own=source == _OWN_ANSWER,
@@ -178,8 +178,8 @@
         logs.emit(
             events.LogEvent.UPSTREAM_LIMITED,
             level=logging.WARNING,
-            upstream=statement.at.upstream,
-            start=statement.at.start,
+            upstream=statement.instance.upstream,
+            start=statement.instance.start,
             per_second=statement.requests_per_second,
             previous=previous,
             source=source,
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -38,13 +38,13 @@
 
     Parameters
     ----------
-    at
+    instance
         The upstream instance.
     until
         Reading of the clock at the end of the rest.
     """
 
-    at: running_requests.UpstreamInstance
+    instance: running_requests.UpstreamInstance
     until: float
 
 
@@ -67,28 +67,28 @@
         ] = {}
 
     def rest_seconds(
-        self, at: running_requests.UpstreamInstance, *, now: float
+        self, instance: running_requests.UpstreamInstance, *, now: float
     ) -> float:
         """Return how long this entry VM must not send to an upstream."""
-        return max(0.0, self._requested_until.get(at, now) - now)
+        return max(0.0, self._requested_until.get(instance, now) - now)
 
     def has_any(self, *, now: float) -> bool:
         """Return whether any upstream rests, by its own request or a report."""
         for until_by_instance in (self._requested_until, self._reported_until):
-            for at, until in tuple(until_by_instance.items()):
+            for instance, until in tuple(until_by_instance.items()):
                 if now >= until:
-                    del until_by_instance[at]
+                    del until_by_instance[instance]
         return bool(self._requested_until or self._reported_until)
 
     def is_avoided(
-        self, at: running_requests.UpstreamInstance, *, now: float
+        self, instance: running_requests.UpstreamInstance, *, now: float
     ) -> bool:
         """Return whether a peer has reported a rest of an upstream."""
-        return self._reported_until.get(at, now) > now
+        return self._reported_until.get(instance, now) > now
 
     def apply_answer(
         self,
-        at: running_requests.UpstreamInstance,
+        instance: running_requests.UpstreamInstance,
         notice: upstream_notice.UpstreamNotice,
         *,
         now: float,
@@ -103,50 +103,55 @@
             return None
         seconds = min(MAX_REST_SECONDS, asked_seconds)
         until = now + seconds * (1.0 + _JITTER * self._rng.random())
-        if until <= self._requested_until.get(at, now):
+        if until <= self._requested_until.get(instance, now):
             return None
-        _record(self._requested_until, at, until)
+        _record(self._requested_until, instance, until)
         logs.emit(
             events.LogEvent.UPSTREAM_RESTS,
             level=logging.WARNING,
-            upstream=at.upstream,
-            start=at.start,
+            upstream=instance.upstream,
+            start=instance.start,
             seconds=round(seconds, 3),
             asked_seconds=round(asked_seconds, 3),
             source="answer",
         )
-        return Rest(at=at, until=now + seconds)
+        return Rest(instance=instance, until=now + seconds)
 
     def apply_report(self, rest: Rest, *, source: str, now: float) -> bool:
         """Apply a rest that a peer reports; return whether it was unknown."""
         until = min(rest.until, now + MAX_REST_SECONDS)
         # Messages carry the remaining time without their own delay, so that
         # the same rest appears to end later with each entry VM that forwards it.
-        if until <= self._reported_until.get(rest.at, now) + _MAX_DELAY_SECONDS:
+        if (
+            until
+            <= self._reported_until.get(rest.instance, now) + _MAX_DELAY_SECONDS
+        ):
             return False
-        _record(self._reported_until, rest.at, until)
+        _record(self._reported_until, rest.instance, until)
         logs.emit(
             events.LogEvent.UPSTREAM_RESTS,
-            upstream=rest.at.upstream,
-            start=rest.at.start,
+            upstream=rest.instance.upstream,
+            start=rest.instance.start,
             seconds=round(until - now, 3),
             asked_seconds=round(until - now, 3),
             source=source,
         )
         return True
 
-    def forget_instance(self, at: running_requests.UpstreamInstance) -> None:
+    def forget_instance(
+        self, instance: running_requests.UpstreamInstance
+    ) -> None:
         """Forget the rests of an instance that has been replaced."""
-        self._requested_until.pop(at, None)
-        self._reported_until.pop(at, None)
+        self._requested_until.pop(instance, None)
+        self._reported_until.pop(instance, None)
 
 
 def _record(
     until_by_instance: dict[running_requests.UpstreamInstance, float],
-    at: running_requests.UpstreamInstance,
+    instance: running_requests.UpstreamInstance,
     until: float,
 ) -> None:
-    until_by_instance.pop(at, None)
-    until_by_instance[at] = until
+    until_by_instance.pop(instance, None)
+    until_by_instance[instance] = until
     while len(until_by_instance) > _MAX_RESTS:
         del until_by_instance[next(iter(until_by_instance))]
--- a/packages/router/tests/test_block_writer.py
+++ b/packages/router/tests/test_block_writer.py
@@ -57,7 +57,7 @@
     await wait_for(lambda: store.revision > before)
     stored_value = await stored(store)
     records = block_record.decode("one", stored_value.value, now=5.0)
-    assert tuple(one.at for one in records) == BLOCK.crashes
+    assert tuple(one.instance for one in records) == BLOCK.crashes
     clock.advance(crash_evidence.EXPIRY_SECONDS + 1.0)
     # The memory store removes an expired lease during its next call.
     await store.grant_lease(ttl_seconds=1.0)
--- a/packages/router/tests/test_crash_evidence.py
+++ b/packages/router/tests/test_crash_evidence.py
@@ -30,7 +30,7 @@
 def record(request, upstream, *, seen_at=NOW, **more):
     return crash_evidence.CrashRecord(
         request=request,
-        at=make_instance(upstream),
+        instance=make_instance(upstream),
         route="lookups",
         seen_at=seen_at,
         **more,
@@ -70,7 +70,7 @@
     for start in range(3):
         evidence.merge(
             dataclasses.replace(
-                record(GUILTY, "u-1"), at=make_instance("u-1", start)
+                record(GUILTY, "u-1"), instance=make_instance("u-1", start)
             ),
             now=NOW,
         )
@@ -183,7 +183,7 @@
     crash(evidence, "u-1", "old", GUILTY)
     crash(evidence, "u-2", GUILTY, at=NOW + 5)
     found = evidence.records(since=NOW + 1)
-    assert [(one.request, one.at.upstream) for one in found] == [
+    assert [(one.request, one.instance.upstream) for one in found] == [
         (GUILTY, "u-2")
     ]
 
@@ -255,8 +255,8 @@
 
     def _check_against_counts(self, blocked):
         """Check the blocks against plain counts of the reports."""
-        void = {(one.request, one.at) for one in self.reports if one.void}
-        valid = {(one.request, one.at) for one in self.reports} - void
+        void = {(one.request, one.instance) for one in self.reports if one.void}
+        valid = {(one.request, one.instance) for one in self.reports} - void
         counts = {
             request: sum(one == request for one, _ in valid)
             for request in ("a", "b", "c")
--- a/packages/router/tests/test_crash_evidence_under_load.py
+++ b/packages/router/tests/test_crash_evidence_under_load.py
@@ -103,13 +103,17 @@
 
     def _crash(self, cause, running, now):
         self._upstreams += 1
-        at = running_requests.UpstreamInstance(
+        instance = running_requests.UpstreamInstance(
             upstream=f"u-{self._upstreams}", start=0
         )
         for request in (cause, *running):
             silent = request == cause or self._rng.random() < SILENT_SHARE
             record = crash_evidence.CrashRecord(
-                request=request, at=at, route="r", seen_at=now, silent=silent
+                request=request,
+                instance=instance,
+                route="r",
+                seen_at=now,
+                silent=silent,
             )
             self._evidence.merge(record, now=now)
         self._resent = running
--- a/packages/router/tests/test_crash_news.py
+++ b/packages/router/tests/test_crash_news.py
@@ -41,7 +41,7 @@
 def record(number, *, seen_at=NOW, **more):
     return crash_evidence.CrashRecord(
         request=f"r-{number}",
-        at=running_requests.UpstreamInstance(upstream="u-1", start=7),
+        instance=running_requests.UpstreamInstance(upstream="u-1", start=7),
         route="lookups",
         seen_at=seen_at,
         **more,
--- a/packages/router/tests/test_crashing_requests_units.py
+++ b/packages/router/tests/test_crashing_requests_units.py
@@ -297,7 +297,7 @@
     for number in range(3):
         record = crash_evidence.CrashRecord(
             request="one",
-            at=make_instance(number),
+            instance=make_instance(number),
             route="lookups",
             seen_at=0.0,
         )
--- a/packages/router/tests/test_upstream_limits.py
+++ b/packages/router/tests/test_upstream_limits.py
@@ -19,16 +19,18 @@
     return upstream_limits.UpstreamLimits()
 
 
-def apply_answer(limits, per_second, *, at=INSTANCE, sent_at=None, now=NOW):
+def apply_answer(
+    limits, per_second, *, instance=INSTANCE, sent_at=None, now=NOW
+):
     notice = upstream_notice.UpstreamNotice(requests_per_second=per_second)
     return limits.apply_answer(
-        at, notice, sent_at=now if sent_at is None else sent_at, now=now
+        instance, notice, sent_at=now if sent_at is None else sent_at, now=now
     )
 
 
 def apply_report(limits, per_second, *, heard_at, now=NOW):
     statement = upstream_limits.LimitStatement(
-        at=INSTANCE, requests_per_second=per_second, heard_at=heard_at
+        instance=INSTANCE, requests_per_second=per_second, heard_at=heard_at
     )
     return limits.apply_report(statement, source="vm-2", now=now)
 
@@ -95,9 +97,11 @@
 def test_number_of_statements_is_bounded(limits, monkeypatch):
     monkeypatch.setattr(upstream_limits, "_MAX_LIMITS", 4)
     for number in range(10):
-        at = running_requests.UpstreamInstance(upstream=f"u-{number}", start=1)
-        apply_answer(limits, 1.0, at=at)
-    known = {one.at.upstream for one in limits.in_force()}
+        instance = running_requests.UpstreamInstance(
+            upstream=f"u-{number}", start=1
+        )
+        apply_answer(limits, 1.0, instance=instance)
+    known = {one.instance.upstream for one in limits.in_force()}
     assert known == {"u-6", "u-7", "u-8", "u-9"}
 
 
--- a/packages/router/tests/test_upstream_rests.py
+++ b/packages/router/tests/test_upstream_rests.py
@@ -53,10 +53,10 @@
 
 
 def test_reported_rest_is_a_preference_and_does_not_close(rests):
-    rest = upstream_rests.Rest(at=INSTANCE, until=NOW + 2.0)
+    rest = upstream_rests.Rest(instance=INSTANCE, until=NOW + 2.0)
     assert rests.apply_report(rest, source="vm-2", now=NOW)
     assert not rests.apply_report(rest, source="vm-3", now=NOW)
-    late = upstream_rests.Rest(at=INSTANCE, until=NOW + 2.01)
+    late = upstream_rests.Rest(instance=INSTANCE, until=NOW + 2.01)
     assert not rests.apply_report(late, source="vm-3", now=NOW + 0.01)
     assert rests.rest_seconds(INSTANCE, now=NOW) == 0.0
     assert rests.is_avoided(INSTANCE, now=NOW + 1.9)
