--- a/packages/router/src/lagoonrun_router/crash_guard.py
+++ b/packages/router/src/lagoonrun_router/crash_guard.py
@@ -31,7 +31,7 @@
     ----------
     watch
         Tracks the in-flight requests of this entry VM and detects crashes.
-    crashing
+    crashing_requests
         Requests that crash upstreams.
     """
 
@@ -51,7 +51,7 @@
         self._block_writer = block_writer.BlockWriter(
             store=store, prefix=prefix, rng=rng
         )
-        self.crashing = crashing_requests.CrashingRequests(
+        self.crashing_requests = crashing_requests.CrashingRequests(
             watch=self.watch, block_writer=self._block_writer, clock=clock
         )
 
@@ -67,4 +67,4 @@
     def run_housekeeping(self) -> None:
         """Drop expired records and write due blocks; called once a second."""
         self.watch.remove_expired_runs()
-        self.crashing.tick()
+        self.crashing_requests.tick()
--- a/packages/router/src/lagoonrun_router/domain_aggregate.py
+++ b/packages/router/src/lagoonrun_router/domain_aggregate.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self._ledger = load_ledger.LoadLedger()
-        self._pressed = pressure.Pressure()
+        self._pressure = pressure.Pressure()
         self._reporters_by_id: dict[types.EntryVmId, Reporter] = {}
         self._domains: set[types.FailureDomain] = set()
 
@@ -58,7 +58,7 @@
         self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
-        self._pressed.apply_report(
+        self._pressure.apply_report(
             state.entry_vm,
             peer_loads.from_pressed_tiers(state.pressed),
             now=now,
@@ -81,7 +81,7 @@
         self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
-        self._pressed.apply_report(
+        self._pressure.apply_report(
             news.domain, peer_loads.from_pressed_tiers(news.pressed), now=now
         )
 
@@ -119,9 +119,9 @@
 
     def domain_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
         """Return the tiers that this failure domain could not admit lately."""
-        return self._pressed.recent_with(self._reporters_by_id, now=now)
+        return self._pressure.recent_with(self._reporters_by_id, now=now)
 
     def fleet_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
         """Return the tiers that the whole fleet could not admit lately."""
         reporters = (*self._reporters_by_id, *self._domains)
-        return self._pressed.recent_with(reporters, now=now)
+        return self._pressure.recent_with(reporters, now=now)
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -86,7 +86,7 @@
         Selects the relays of the own failure domain.
     aggregate
         Reports of the neighbours, where they report to a relay only.
-    ledger, prompt_locations, pressed, domains
+    ledger, prompt_locations, pressure, domains
         State that is sent and updated.
     usage
         Knows which entry VM holds the duties, that is, reports usage and orders
@@ -108,7 +108,7 @@
         aggregate: domain_aggregate.DomainAggregate,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
-        pressed: pressure.Pressure,
+        pressure: pressure.Pressure,
         domains: reach.DomainReach,
         usage: usage_exchange.UsageExchange | None = None,
         send: Sender,
@@ -123,7 +123,7 @@
         self._aggregate = aggregate
         self._ledger = ledger
         self._prompt_locations = prompt_locations
-        self._pressed = pressed
+        self._pressure = pressure
         self._domains = domains
         self._usage = usage
         self._send = send
@@ -157,7 +157,7 @@
         else:
             neighbours = self._table.neighbours()
             domain_loads = self._ledger.loads_of(neighbours, now=now)
-            pressed = self._pressed.recent_with(neighbours, now=now)
+            pressed = self._pressure.recent_with(neighbours, now=now)
         return router_messages.DomainNews(
             entry_vm=self._entry_vm,
             domain=self._domain,
@@ -248,7 +248,7 @@
         self._ledger.apply_report(
             news.domain, peer_loads.from_rows(news.loads), now=now
         )
-        self._pressed.apply_report(
+        self._pressure.apply_report(
             news.domain, peer_loads.from_pressed_tiers(news.pressed), now=now
         )
         if from_relay:
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -87,12 +87,12 @@
     ----------
     configured
         Settings of the process, with duties.
-    counting
+    usage_counting
         Usage counts of this entry VM and of others.
     store, platform
         Store of the tenure, which records who holds the duties; and the
         receiver of the calls.
-    view
+    duty_inputs
         State of the router that the duties depend on.
     ready
         Returns whether the router has enough state to act for the fleet.
@@ -107,10 +107,10 @@
         self,
         *,
         configured: settings.RouterSettings,
-        counting: UsageCounting,
+        usage_counting: UsageCounting,
         store: store_module.KeyValueStore,
         platform: platform_calls.DutyPlatform,
-        view: "DutyInputs",
+        duty_inputs: "DutyInputs",
         ready: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -119,19 +119,19 @@
         # Imported here so that a deployment without duties does not load them.
         from lagoonrun_duties import duties
 
-        self.view = view
-        self._exchange = counting.exchange
+        self.duty_inputs = duty_inputs
+        self._exchange = usage_counting.exchange
         self._clock = clock
         self._duties = duties.Duties(
             configured=configured.duties,
             entry_vm=configured.entry_vm,
             store=store,
             platform=platform,
-            exchange=counting.exchange,
-            rank=lambda now: view.rank(now) if ready() else None,
-            is_complete=view.is_complete,
-            views=view.views,
-            time=counting.time,
+            exchange=usage_counting.exchange,
+            rank=lambda now: duty_inputs.rank(now) if ready() else None,
+            is_complete=duty_inputs.is_complete,
+            views=duty_inputs.views,
+            time=usage_counting.time,
             clock=clock,
             rng=rng,
             eras=eras,
--- a/packages/router/src/lagoonrun_router/fleet_news.py
+++ b/packages/router/src/lagoonrun_router/fleet_news.py
@@ -58,7 +58,7 @@
         Start number of the process, drawn at random.
     aggregate
         Reports of the neighbours and of the other failure domains.
-    table, ledger, pressed, prompt_locations, domains, directory
+    table, ledger, pressure, prompt_locations, domains, directory
         State that is sent and updated.
     send
         Sends a message.
@@ -73,7 +73,7 @@
         aggregate: domain_aggregate.DomainAggregate,
         table: peer_table.PeerTable,
         ledger: load_ledger.LoadLedger,
-        pressed: pressure.Pressure,
+        pressure: pressure.Pressure,
         prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
         directory: upstreams.UpstreamDirectory,
@@ -85,7 +85,7 @@
         self._aggregate = aggregate
         self._table = table
         self._ledger = ledger
-        self._pressed = pressed
+        self._pressure = pressure
         self._prompt_locations = prompt_locations
         self._domains = domains
         self._directory = directory
@@ -210,7 +210,7 @@
             ),
             now=now,
         )
-        self._pressed.apply_fleet_report(
+        self._pressure.apply_fleet_report(
             peer_loads.from_pressed_tiers(news.pressed), now=now
         )
         for placement in news.placements:
--- a/packages/router/src/lagoonrun_router/gauges.py
+++ b/packages/router/src/lagoonrun_router/gauges.py
@@ -25,7 +25,7 @@
     ----------
     router_metrics
         The metrics that are set.
-    directory, ledger, peers, budget, follower, crashing, limits
+    directory, ledger, peers, budget, follower, crashing_requests, limits
         The state that the gauges show.
     """
 
@@ -38,7 +38,7 @@
         peers: peer_table.PeerTable,
         budget: retry_budget.RetryBudget,
         follower: store_follower.StoreFollower,
-        crashing: crashing_requests.CrashingRequests,
+        crashing_requests: crashing_requests.CrashingRequests,
         limits: upstream_limits.UpstreamLimits,
     ) -> None:
         self._metrics = router_metrics
@@ -47,7 +47,7 @@
         self._peers = peers
         self._budget = budget
         self._follower = follower
-        self._crashing = crashing
+        self._crashing_requests = crashing_requests
         self._limits = limits
 
     def refresh(
@@ -72,7 +72,9 @@
         router_metrics = self._metrics
         router_metrics.ready.set(ready)
         router_metrics.peers.set(len(self._peers.known()))
-        router_metrics.blocked_requests.set(len(self._crashing.blocks()))
+        router_metrics.blocked_requests.set(
+            len(self._crashing_requests.blocks())
+        )
         router_metrics.store_watched.set(
             self._follower.role is not store_follower.ReaderRole.STAND_BY
         )
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -78,9 +78,9 @@
         The other entry VMs.
     replica
         Replica of the store.
-    directory, ledger, prompt_locations, domains, pressed, aggregate
+    directory, ledger, prompt_locations, domains, pressure, aggregate
         State that is sent and updated.
-    crashing
+    crashing_requests
         Requests that crash upstreams.
     counters
         Counts the places at limited upstreams.
@@ -101,9 +101,9 @@
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
         domains: reach.DomainReach,
-        pressed: pressure.Pressure,
+        pressure: pressure.Pressure,
         aggregate: domain_aggregate.DomainAggregate,
-        crashing: crashing_requests.CrashingRequests,
+        crashing_requests: crashing_requests.CrashingRequests,
         counters: metrics.RouterMetrics,
         usage: usage_exchange.UsageExchange | None = None,
         clock: clocks.Clock,
@@ -120,7 +120,7 @@
         self._ledger = ledger
         self._prompt_locations = prompt_locations
         self._domains = domains
-        self._pressed = pressed
+        self._pressure = pressure
         self._aggregate = aggregate
         self._usage = usage
         self._clock = clock
@@ -145,7 +145,7 @@
             directory=directory,
             ledger=ledger,
             prompt_locations=prompt_locations,
-            pressed=pressed,
+            pressure=pressure,
             relays=self._relays,
             usage=usage,
             rng=rng,
@@ -157,7 +157,7 @@
             aggregate=aggregate,
             table=table,
             ledger=ledger,
-            pressed=pressed,
+            pressure=pressure,
             prompt_locations=prompt_locations,
             domains=domains,
             directory=directory,
@@ -174,7 +174,7 @@
             aggregate=aggregate,
             ledger=ledger,
             prompt_locations=prompt_locations,
-            pressed=pressed,
+            pressure=pressure,
             domains=domains,
             usage=usage,
             send=self._socket.send,
@@ -187,14 +187,14 @@
             send=self._socket.send,
             rng=rng,
         )
-        self._crashing = crashing
+        self._crashing_requests = crashing_requests
         self._crash_news = crash_news.CrashNewsExchange(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
             broadcaster=self.broadcaster,
-            records=crashing.records,
+            records=crashing_requests.records,
         )
-        crashing.news = self._crash_news
+        crashing_requests.news = self._crash_news
         self.routing = place_routing.PlaceRouting(
             entry_vm=configured.entry_vm,
             domain=configured.domain,
@@ -394,7 +394,7 @@
             if self._replica.apply_peer_changes(message):
                 self._forward(message)
         elif isinstance(message, router_messages.CrashNews):
-            self._crashing.receive_news(message)
+            self._crashing_requests.receive_news(message)
         elif isinstance(message, router_messages.UsageNews):
             if self._usage is not None:
                 self._usage.receive_news(message)
@@ -475,7 +475,7 @@
         self._ledger.apply_report(
             state.entry_vm, peer_loads.from_rows(state.loads), now=now
         )
-        self._pressed.apply_report(
+        self._pressure.apply_report(
             state.entry_vm,
             peer_loads.from_pressed_tiers(state.pressed),
             now=now,
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -146,7 +146,7 @@
             clock=self._clock,
             rng=self._rng,
         )
-        self.crashing = self._crash_guard.crashing
+        self.crashing_requests = self._crash_guard.crashing_requests
         self._build_replication()
         self._duties = self._build_duties()
         self._build_endpoints(dialect, listening)
@@ -161,10 +161,10 @@
         self._usage_counting.send = self.exchange.send_usage
         return fleet_duties.FleetDuties(
             configured=self._settings,
-            counting=self._usage_counting,
+            usage_counting=self._usage_counting,
             store=self._store,
             platform=self._duty_platform,
-            view=fleet_duties.DutyInputs(
+            duty_inputs=fleet_duties.DutyInputs(
                 configured=self._settings,
                 exchange=self.exchange,
                 domains=self._domains,
@@ -187,7 +187,7 @@
             layout=self._layout,
             directory=self.directory,
             peers=self._peer_table,
-            blocks=self.crashing,
+            blocks=self.crashing_requests,
             on_declarations=self._apply_declarations,
             on_upstreams=self._on_upstreams_changed,
             clock=self._clock,
@@ -217,9 +217,9 @@
             ledger=self._ledger,
             prompt_locations=self._prompt_locations,
             domains=self._domains,
-            pressed=self._pressure,
+            pressure=self._pressure,
             aggregate=self._aggregate,
-            crashing=self.crashing,
+            crashing_requests=self.crashing_requests,
             counters=self.metrics,
             usage=self._usage_exchange,
             clock=self._clock,
@@ -232,7 +232,7 @@
             peers=self._peer_table,
             budget=self._budget,
             follower=self.follower,
-            crashing=self.crashing,
+            crashing_requests=self.crashing_requests,
             limits=self.exchange.notices.limits,
         )
 
@@ -258,7 +258,7 @@
                 rng=self._rng,
                 metrics=self.metrics,
                 crash_watch=self._crash_guard.watch,
-                crashing_requests=self.crashing,
+                crashing_requests=self.crashing_requests,
                 notices=self.exchange.notices,
                 usage=self._usage_exchange,
             )
@@ -278,7 +278,9 @@
             self._metrics_server = self._server(
                 configured.metrics,
                 router_endpoints.OperatorEndpoint(
-                    router=self, blocks=self.crashing, clock=self._clock
+                    router=self,
+                    blocks=self.crashing_requests,
+                    clock=self._clock,
                 ),
             )
 
@@ -412,7 +414,7 @@
         self._route_table = route_table.RouteTable(declared=declared)
         self._ingress.set_route_table(self._route_table)
         if self._duties is not None:
-            self._duties.view.use(declared.pools_by_name.values())
+            self._duties.duty_inputs.use(declared.pools_by_name.values())
         self.metrics.revision.set(declared.revision)
         self._caller_server.set_limits(
             http_endpoints.caller_limits(declared.caller_limits)
--- a/packages/router/src/lagoonrun_router/state_publisher.py
+++ b/packages/router/src/lagoonrun_router/state_publisher.py
@@ -50,7 +50,7 @@
         Settings of the process.
     start
         Start number of the process, drawn at random.
-    table, replica, directory, ledger, prompt_locations, pressed
+    table, replica, directory, ledger, prompt_locations, pressure
         State that is reported.
     relays
         Selects the relays of the own failure domain.
@@ -70,7 +70,7 @@
         directory: upstreams.UpstreamDirectory,
         ledger: load_ledger.LoadLedger,
         prompt_locations: prompt_locations.PromptLocations,
-        pressed: pressure.Pressure,
+        pressure: pressure.Pressure,
         relays: roster.Roster,
         usage: usage_exchange.UsageExchange | None = None,
         rng: random.Random,
@@ -82,7 +82,7 @@
         self._directory = directory
         self._ledger = ledger
         self._prompt_locations = prompt_locations
-        self._pressed = pressed
+        self._pressure = pressure
         self._relays = relays
         self._usage = usage
         self._rng = rng
@@ -117,7 +117,7 @@
         self._sent_urgent_fields = urgent_fields
         self._ticks_since_sent = 0
         self._ledger.mark_reported()
-        self._pressed.changed = False
+        self._pressure.changed = False
         state = self._state(placements, now=now, full=full)
         self._sent_leaving = self._directory.leaving
         return state
@@ -132,7 +132,7 @@
 
     def _ticks_until_due(self) -> int:
         """Return how many ticks after the last state the next one is due."""
-        if self._ledger.urgent_change or self._pressed.changed:
+        if self._ledger.urgent_change or self._pressure.changed:
             return 1
         if self._urgent_fields() != self._sent_urgent_fields:
             return 1
@@ -178,7 +178,9 @@
             usage = self._usage.pending_rows(relay, now=now)
         if with_load:
             loads = peer_loads.to_rows(self._ledger.own_loads(now=now))
-            pressed = peer_loads.to_pressed_tiers(self._pressed.recent(now=now))
+            pressed = peer_loads.to_pressed_tiers(
+                self._pressure.recent(now=now)
+            )
         return router_messages.RouterState(
             entry_vm=self._configured.entry_vm,
             domain=self._configured.domain,
--- a/packages/router/tests/test_crashing_requests.py
+++ b/packages/router/tests/test_crashing_requests.py
@@ -200,7 +200,7 @@
     await send_until_refused_everywhere(worlds, pool, max_requests=12)
     assert len(pool.crashed) <= CRASHES_BEFORE + MAX_RETRIES
     for world in worlds:
-        assert world.router.crashing.block_of(digest_of(BAD))
+        assert world.router.crashing_requests.block_of(digest_of(BAD))
 
 
 async def block_everywhere(worlds, pool):
@@ -267,12 +267,16 @@
         await pool.replace_crashed()
     for world in worlds:
         await wait_for(
-            lambda world=world: world.router.crashing.block_of(digest_of(BAD))
+            lambda world=world: world.router.crashing_requests.block_of(
+                digest_of(BAD)
+            )
         )
     await wait_for_stored(worlds[0], [digest_of(BAD)])
     late = await world_of(name="vm-late", domain="north")
     await late.ready()
-    await wait_for(lambda: late.router.crashing.block_of(digest_of(BAD)))
+    await wait_for(
+        lambda: late.router.crashing_requests.block_of(digest_of(BAD))
+    )
     assert len(pool.crashed) == CRASHES_BEFORE
 
 
@@ -297,7 +301,7 @@
     for world in worlds:
         for body in concurrent:
             assert (await ask(world, body)).status == 200
-        assert world.router.crashing.block_of(digest_of(LONG)) is None
+        assert world.router.crashing_requests.block_of(digest_of(LONG)) is None
 
 
 async def test_replacements_of_crashed_upstreams_have_no_failures(world_of):
@@ -320,9 +324,11 @@
     worlds, pool = await fleet(world_of, make_stream_route())
     await block_everywhere(worlds, pool)
     pool.repaired = True
-    assert worlds[1].router.crashing.lift(digest_of(BAD))
+    assert worlds[1].router.crashing_requests.lift(digest_of(BAD))
     assert (await ask(worlds[1])).status == 200
     for world in worlds:
-        await wait_for(lambda world=world: not world.router.crashing.blocks())
+        await wait_for(
+            lambda world=world: not world.router.crashing_requests.blocks()
+        )
         assert (await ask(world)).status == 200
     await wait_for_stored(worlds[0], [])
--- a/packages/router/tests/test_domain_news.py
+++ b/packages/router/tests/test_domain_news.py
@@ -63,7 +63,7 @@
     exchange: domain_news.DomainNewsExchange
     ledger: load_ledger.LoadLedger
     prompt_locations: prompt_locations.PromptLocations
-    pressed: pressure.Pressure
+    pressure: pressure.Pressure
     table: peer_table.PeerTable
     relays: roster.Roster
     aggregate: domain_aggregate.DomainAggregate
@@ -100,7 +100,7 @@
             "prompt_locations": prompt_locations.PromptLocations(
                 reuse_seconds=10.0
             ),
-            "pressed": pressure.Pressure(),
+            "pressure": pressure.Pressure(),
             "table": table,
             "relays": make_roster(name, table),
             "aggregate": domain_aggregate.DomainAggregate(),
@@ -261,13 +261,13 @@
 def test_placements_and_pressed_tiers_reach_other_domains(relay, remote_relay):
     relay.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.MIN_REJECTIONS):
-        relay.pressed.record_rejection("pool", 1, now=0.0)
+        relay.pressure.record_rejection("pool", 1, now=0.0)
     relay.tick(now=0.1)
     remote_relay.exchange.receive(
         relay.sent[-1][0], host=address_of(relay.name).host, now=0.1
     )
     assert remote_relay.prompt_locations.has("part", "u-1", now=0.1)
-    assert remote_relay.pressed.higher_tier_pressed("pool", 2, now=0.1)
+    assert remote_relay.pressure.higher_tier_pressed("pool", 2, now=0.1)
 
 
 async def test_loads_reach_entry_vms_of_another_domain(world_of):
--- a/packages/router/tests/test_fleet_news.py
+++ b/packages/router/tests/test_fleet_news.py
@@ -44,7 +44,7 @@
     aggregate: domain_aggregate.DomainAggregate
     ledger: load_ledger.LoadLedger
     prompt_locations: prompt_locations.PromptLocations
-    pressed: pressure.Pressure
+    pressure: pressure.Pressure
     domains: reach.DomainReach
     directory: upstreams.UpstreamDirectory
     table: peer_table.PeerTable
@@ -63,7 +63,7 @@
             revision=1,
             relay=relay,
             loads=peer_loads.to_rows(self.ledger.own_loads(now=now)),
-            pressed=peer_loads.to_pressed_tiers(self.pressed.recent(now=now)),
+            pressed=peer_loads.to_pressed_tiers(self.pressure.recent(now=now)),
             placements=peer_loads.to_placements(
                 self.prompt_locations.pop_own()
             ),
@@ -103,7 +103,7 @@
             "prompt_locations": prompt_locations.PromptLocations(
                 reuse_seconds=10.0
             ),
-            "pressed": pressure.Pressure(),
+            "pressure": pressure.Pressure(),
             "domains": reach.DomainReach(),
             "directory": upstreams.UpstreamDirectory(),
             "table": table,
@@ -265,14 +265,14 @@
 ):
     other.prompt_locations.record_placement("part", "u-1", now=0.0)
     for _ in range(pressure.MIN_REJECTIONS):
-        other.pressed.record_rejection(POOL, 1, now=0.0)
+        other.pressure.record_rejection(POOL, 1, now=0.0)
     relay.exchange.receive_state(member.state(RELAY), now=0.0)
     other.begin_request(tokens=9000.0)
     relay.exchange.receive_state(other.state(RELAY), now=0.0)
     (news,) = relay.tick(0.1)
     member.exchange.receive(news, now=0.1)
     assert member.prompt_locations.has("part", "u-1", now=0.1)
-    assert member.pressed.higher_tier_pressed(POOL, 2, now=0.1)
+    assert member.pressure.higher_tier_pressed(POOL, 2, now=0.1)
     assert member.ledger.recent_prefill("u-1", now=0.1) > 1000.0
 
 
--- a/packages/router/tests/test_state_publisher.py
+++ b/packages/router/tests/test_state_publisher.py
@@ -72,7 +72,7 @@
         directory=upstreams.UpstreamDirectory(),
         ledger=ledger,
         prompt_locations=prompt_locations.PromptLocations(reuse_seconds=10.0),
-        pressed=pressure.Pressure(),
+        pressure=pressure.Pressure(),
         relays=roster.Roster(
             duty="relay", wanted_count=2, own="vm-1", own_size=0.5, others=table
         ),
