--- a/packages/router/src/lagoonrun_router/admission_floor.py
+++ b/packages/router/src/lagoonrun_router/admission_floor.py
@@ -36,6 +36,6 @@
         self._admitted_at_by_profile[profile] = now
 
     def is_due(self, profile: types.ProfileName, *, now: float) -> bool:
-        """Return whether this entry VM owes a class one admission."""
+        """Return whether a class is due for an admission at this entry VM."""
         last = self._admitted_at_by_profile.get(profile, self._started_at)
         return now - last >= FLOOR_SECONDS * self._entry_vm_count
--- a/packages/router/src/lagoonrun_router/answers.py
+++ b/packages/router/src/lagoonrun_router/answers.py
@@ -46,7 +46,7 @@
 
 
 def spread_retry_seconds(rng: random.Random, *, wait_seconds: float) -> float:
-    """Return a spread Retry-After for capacity that frees up one unit at a time.
+    """Return a spread Retry-After for capacity that frees up unit by unit.
 
     Parameters
     ----------
--- a/packages/router/src/lagoonrun_router/attempt_result.py
+++ b/packages/router/src/lagoonrun_router/attempt_result.py
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Delivered:
-    """The upstream's answer was delivered, completely or as far as it arrived."""
+    """The upstream's answer was delivered, complete or as far as it arrived."""
 
     ending: outcomes.Ending
 
--- a/packages/router/src/lagoonrun_router/dialect.py
+++ b/packages/router/src/lagoonrun_router/dialect.py
@@ -17,7 +17,7 @@
     def read_attributes(
         self, head: http_messages.RequestHead
     ) -> calls.CallAttributes:
-        """Return what a caller states about its request; raises `FormatError`."""
+        """Return what a caller states of its request; raises `FormatError`."""
 
     def upstream_head(
         self,
@@ -42,7 +42,7 @@
         """
 
     def says_not_run(self, head: http_messages.ResponseHead) -> bool:
-        """Return whether the upstream states that it did not run the request."""
+        """Return whether the upstream states that the request did not run."""
 
     def is_misdirected(self, head: http_messages.ResponseHead) -> bool:
         """Return whether a process other than the intended one has answered."""
@@ -72,7 +72,7 @@
     """Prefix of the keys of blocked requests; entry VMs write one for each."""
 
     def decode_declarations(self, value: bytes) -> declarations.Declarations:
-        """Return the declarations that `value` encodes; raises `FormatError`."""
+        """Return the declarations in `value`; raises `FormatError`."""
 
     def decode_upstream(self, key: str, value: bytes) -> upstreams.Registration:
         """Return the upstream that an entry encodes; raises `FormatError`."""
--- a/packages/router/src/lagoonrun_router/domain_aggregate.py
+++ b/packages/router/src/lagoonrun_router/domain_aggregate.py
@@ -114,14 +114,14 @@
         return self._ledger.reported_loads(now=now)
 
     def prefill_rate(self, upstream: types.UpstreamId, *, now: float) -> float:
-        """Return the prompt tokens a second that `upstream` was sent lately."""
+        """Return the prompt tokens a second sent to `upstream` recently."""
         return self._ledger.recent_prefill(upstream, now=now)
 
     def domain_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
-        """Return the tiers that this failure domain could not admit lately."""
+        """Return the tiers that this failure domain recently rejected."""
         return self._pressure.recent_with(self._reporters_by_id, now=now)
 
     def fleet_pressed(self, *, now: float) -> tuple[pressure.PressedTier, ...]:
-        """Return the tiers that the whole fleet could not admit lately."""
+        """Return the tiers that the whole fleet recently rejected."""
         reporters = (*self._reporters_by_id, *self._domains)
         return self._pressure.recent_with(reporters, now=now)
--- a/packages/router/src/lagoonrun_router/domain_news.py
+++ b/packages/router/src/lagoonrun_router/domain_news.py
@@ -73,7 +73,7 @@
     Parameters
     ----------
     entry_vm, domain
-        This entry VM.
+        This entry VM and its failure domain.
     port
         Port on which it receives datagrams.
     start
@@ -202,7 +202,7 @@
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return another domain's relay; None if it was not heard lately."""
+        """Return another domain's relay; None without recent contact."""
         relay = self._relays_by_domain.get(domain)
         if relay is None or now - relay.heard_at >= _RELAY_TIMEOUT_SECONDS:
             return None
--- a/packages/router/src/lagoonrun_router/event_splitter.py
+++ b/packages/router/src/lagoonrun_router/event_splitter.py
@@ -51,7 +51,7 @@
         return complete
 
     def pop_remainder(self) -> bytes:
-        """Return and clear the buffered bytes, at the end of a complete stream."""
+        """Return and clear the buffer, at the end of a complete stream."""
         remainder, self._incomplete = self._incomplete, b""
         return remainder
 
--- a/packages/router/src/lagoonrun_router/execution.py
+++ b/packages/router/src/lagoonrun_router/execution.py
@@ -133,7 +133,7 @@
     async def _choose(
         self,
     ) -> choosing.Choice | admission.Refusal | choosing.AllClosed | None:
-        """Choose an upstream, and acquire a place there if it is rate limited."""
+        """Choose an upstream; acquire a place there if it is rate limited."""
         for _ in range(_MAX_PLACE_REQUESTS):
             choice = self._choose_upstream()
             if not isinstance(choice, choosing.Choice):
--- a/packages/router/src/lagoonrun_router/fleet_duties.py
+++ b/packages/router/src/lagoonrun_router/fleet_duties.py
@@ -97,10 +97,9 @@
     ready
         Returns whether the router has enough state to act for the fleet.
     eras
-        Eras of the store, which are incremented on each restore from a backup;
-        None if it is never restored.
+        Restore epochs (eras) of the store; None if it is never restored.
     clock, rng
-        Sources of time and of random choices.
+        Sources of time and of randomness.
     """
 
     def __init__(
@@ -223,7 +222,7 @@
         """Return whether all other failure domains' counts are complete.
 
         The own failure domain is left out: it may consist of this entry VM
-        alone, which then hears nobody.
+        alone, which then receives nothing.
         """
         now = self._clock.monotonic()
         silent_by_domain = self._domains.silent_seconds(now=now)
--- a/packages/router/src/lagoonrun_router/http_endpoints.py
+++ b/packages/router/src/lagoonrun_router/http_endpoints.py
@@ -20,10 +20,11 @@
 """Sets no limit of its own: the time limits of the routes end every request."""
 
 _MAX_HELD_BODY_BYTES = 32 * 1024 * 1024
-"""Memory for request bodies; a tenth of the memory of the smallest VM in use."""
+"""Memory for request bodies; a tenth of that of the smallest VM in use."""
 
 _SWEEP_SECONDS = 0.25
-"""Interval of the check for timeouts of callers and peers, which are seconds."""
+"""Interval of the check for timeouts of callers and peers, which are seconds
+long."""
 
 
 def upstream_client(*, clock: clocks.Clock) -> http_upstream.UpstreamClient:
--- a/packages/router/src/lagoonrun_router/limit_news.py
+++ b/packages/router/src/lagoonrun_router/limit_news.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     entry_vm, domain
-        This entry VM.
+        This entry VM and its failure domain.
     limits
         Known limits of the upstreams.
     broadcaster
@@ -131,7 +131,7 @@
 def to_upstream_limit(
     statement: upstream_limits.LimitStatement, *, now: float
 ) -> router_messages.UpstreamLimit:
-    """Return a statement as messages have it."""
+    """Return a statement, encoded for a message."""
     per_second = statement.requests_per_second
     age_seconds = max(0.0, now - statement.heard_at)
     return router_messages.UpstreamLimit(
@@ -147,7 +147,7 @@
 def from_upstream_limit(
     limit: router_messages.UpstreamLimit, *, now: float
 ) -> upstream_limits.LimitStatement:
-    """Return the statement in a part of a message."""
+    """Return the statement that a part of a message encodes."""
     thousandths = limit.thousandths_per_second
     return upstream_limits.LimitStatement(
         instance=running_requests.UpstreamInstance(
--- a/packages/router/src/lagoonrun_router/limit_shares.py
+++ b/packages/router/src/lagoonrun_router/limit_shares.py
@@ -2,8 +2,8 @@
 
 A place is the right to send one request to a rate-limited upstream. One entry
 VM (the giver) allocates the places, and can't tell entry VMs that are cut off
-from those that have ended. So it reserves the shares of those that it does not
-hear from, and those that cannot ask it use no more than their shares.
+from those that have ended. So it reserves the shares of those from which it
+receives nothing, and those that cannot ask it use no more than their shares.
 """
 
 import dataclasses
--- a/packages/router/src/lagoonrun_router/load_ledger.py
+++ b/packages/router/src/lagoonrun_router/load_ledger.py
@@ -247,7 +247,7 @@
     def recent_prefill(
         self, upstream: types.UpstreamId, *, now: float
     ) -> float:
-        """Return the prompt tokens a second that `upstream` was sent lately."""
+        """Return the prompt tokens a second sent to `upstream` recently."""
         if self.has_relay_report(now=now):
             return self._fleet_report.loads.prefill_rate(upstream)
         known = self._prefill_by_upstream.get(upstream)
--- a/packages/router/src/lagoonrun_router/loads.py
+++ b/packages/router/src/lagoonrun_router/loads.py
@@ -45,7 +45,7 @@
         return sum(self.waiting_by_tier)
 
     def waiting_before(self, tier: types.Tier) -> float:
-        """Return the waiting tokens that are read before new ones of `tier`."""
+        """Return the waiting tokens that precede new ones of `tier`."""
         return sum(self.waiting_by_tier[:tier])
 
     def plus(self, other: "Load") -> "Load":
--- a/packages/router/src/lagoonrun_router/peer_exchange.py
+++ b/packages/router/src/lagoonrun_router/peer_exchange.py
@@ -87,7 +87,7 @@
     usage
         Counts of requests; None if usage is not reported.
     clock, rng
-        Sources of time and of random choices.
+        Sources of time and of randomness.
     """
 
     def __init__(
@@ -351,7 +351,7 @@
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return another domain's relay; None if it was not heard lately."""
+        """Return another domain's relay; None without recent contact."""
         return self._domain_news.relay_of(domain, now=now)
 
     def relays_on_duty(self, *, now: float) -> tuple[types.EntryVmId, ...]:
--- a/packages/router/src/lagoonrun_router/peer_fetch.py
+++ b/packages/router/src/lagoonrun_router/peer_fetch.py
@@ -1,4 +1,4 @@
-"""Fetches declarations and upstreams from a peer that has newer ones.
+"""Fetch declarations and upstreams from a peer that has newer ones.
 
 So they reach an entry VM that does not read the store itself, or whose requests
 the store rejects.
--- a/packages/router/src/lagoonrun_router/peer_loads.py
+++ b/packages/router/src/lagoonrun_router/peer_loads.py
@@ -128,7 +128,7 @@
 def to_placements(
     upstreams_by_part: Mapping[str, types.UpstreamId],
 ) -> tuple[router_messages.PromptPlacement, ...]:
-    """Return the upstreams of prompt parts as messages have them."""
+    """Return the upstreams of prompt parts, encoded for a message."""
     return tuple(
         router_messages.PromptPlacement(part=part, upstream=upstream)
         for part, upstream in upstreams_by_part.items()
@@ -138,7 +138,7 @@
 def to_pressed_tiers(
     tiers: Iterable[pressures.PressedTier],
 ) -> tuple[router_messages.PressedTier, ...]:
-    """Return tiers that could not be admitted lately as messages have them."""
+    """Return recently rejected tiers, encoded for a message."""
     return tuple(
         router_messages.PressedTier(
             pool=one.pool, tier=one.tier, requests=one.requests
@@ -150,7 +150,7 @@
 def from_pressed_tiers(
     tiers: Iterable[router_messages.PressedTier],
 ) -> tuple[pressures.PressedTier, ...]:
-    """Return tiers that could not be admitted lately from a message."""
+    """Return the recently rejected tiers that a message reports."""
     return tuple(
         pressures.PressedTier(
             pool=one.pool, tier=one.tier, requests=one.requests
--- a/packages/router/src/lagoonrun_router/peer_table.py
+++ b/packages/router/src/lagoonrun_router/peer_table.py
@@ -347,7 +347,7 @@
     def member(
         self, entry_vm: types.EntryVmId
     ) -> router_messages.EntryVmAddress:
-        """Return the address of a known peer as messages have it."""
+        """Return the address of a known peer, encoded for a message."""
         peer = self._peers_by_id[entry_vm]
         return router_messages.EntryVmAddress(
             entry_vm=entry_vm,
--- a/packages/router/src/lagoonrun_router/place_routing.py
+++ b/packages/router/src/lagoonrun_router/place_routing.py
@@ -29,7 +29,7 @@
     def relay_of(
         self, domain: types.FailureDomain, *, now: float
     ) -> settings.Address | None:
-        """Return the relay of another domain, if it was heard from recently."""
+        """Return another domain's relay; None without recent contact."""
 
 
 class PlaceRouting:
--- a/packages/router/src/lagoonrun_router/placement.py
+++ b/packages/router/src/lagoonrun_router/placement.py
@@ -26,12 +26,12 @@
     and 2 points. `reading`, `rereading` and `other_domain` are prices that the
     users set on tokens and bytes (0.09 for a thousand tokens prefilled again;
     1.3 to 11 for a megabyte between failure domains, of which the higher is
-    used). The other weights are set by hand to the points usually lost, and
-    were changed only where days of traffic of the users' deployments showed a
-    difference: between 6 and 20 for `other_domain`, between 0 and 1 for
-    `overdue` (0.05 of the score of a day with unresponsive runners), and
-    between 0 and 4 for `side` (0.018 on five days of a fleet of five runners,
-    0.023 and 0.003 on two other fleets).
+    used). The other weights are the points usually lost. Three of them
+    affect the score on days of traffic of the users' deployments: it differs
+    between 6 and 20 for `other_domain`, between 0 and 1 for `overdue` (by 0.05
+    on a day with unresponsive runners), and between 0 and 4 for `side` (by
+    0.018 on five days of a fleet of five runners, and by 0.023 and 0.003 on two
+    other fleets).
 
     Parameters
     ----------
--- a/packages/router/src/lagoonrun_router/reader_selection.py
+++ b/packages/router/src/lagoonrun_router/reader_selection.py
@@ -7,13 +7,13 @@
 of 82 entry VMs watched, the store answered 40 calls for each.
 
 Three states are distinguished: whether an entry VM is alive, whether it is
-selected to read the store, and whether it is up to date with the store. A reader
-that parses a large configuration is silent for a while and not lost; a reader
-that is alive but can't reach the store causes the next one in the order to be
-selected, and keeps trying. The others never join all at once: a fleet that did
-so listed the whole store from every entry VM within the second in which one
-reader was slow. A failure domain that is cut off receives no report of a reader
-elsewhere and reads the store itself.
+selected to read the store, and whether it is up to date with the store. A
+reader that parses a large configuration is silent for a while and not lost; a
+reader that is alive but can't reach the store causes the next one in the order
+to be selected, and keeps trying. The others never join all at once: a fleet
+that did so listed the whole store from every entry VM within the second in
+which one reader was slow. A failure domain that is cut off receives no report
+of a reader elsewhere and reads the store itself.
 """
 
 from typing import Protocol
@@ -26,25 +26,26 @@
 """Entry VMs of the fleet that watch, so that one may be lost unnoticed."""
 
 MAX_READERS = 6
-"""Entry VMs of a failure domain that try to read the store at the same time while
-one of the first can't reach it, until enough of them can. If a third of all are
-cut off from the store, six in a row are cut off in one of a thousand cases."""
+"""Entry VMs of a failure domain that try to read the store at the same time
+while one of the first can't reach it, until enough of them can. If a third of
+all are cut off from the store, six in a row are cut off in one of a thousand
+cases."""
 
 MAX_READING_DOMAINS = 3
 """Failure domains that try at the same time while those before them can't reach
 the store."""
 
 CATCH_UP_SECONDS = 1.5
-"""Time that an entry VM has to get up to date with the store after it was selected:
-two or three calls and the parsing of a large configuration."""
+"""Time that an entry VM has to get up to date with the store after it was
+selected: two or three calls and the parsing of a large configuration."""
 
 _UPDATE_SECONDS = 0.25
-"""Interval of the selection: a quarter of the silence after which a watching entry
-VM is no longer counted."""
+"""Interval of the selection: a quarter of the silence after which a watching
+entry VM is no longer counted."""
 
 _MAX_UPDATES_BEHIND = 2
-"""Updates for which a reader may know an older revision of the store than a peer
-reports, before its watch counts as dead."""
+"""Updates for which a reader may know an older revision of the store than a
+peer reports, before its watch counts as dead."""
 
 
 class StoreKnowledge(Protocol):
@@ -177,7 +178,7 @@
     def _domain_reads_or_starts(
         self, member: roster.Member, *, since: float, first: bool
     ) -> bool:
-        """Return whether any entry VM of a domain reads or may be starting to."""
+        """Return whether any entry VM of a domain reads or may begin to."""
         now = self._clock.monotonic()
         if first and now - since < CATCH_UP_SECONDS:
             return True
--- a/packages/router/src/lagoonrun_router/recent_answers.py
+++ b/packages/router/src/lagoonrun_router/recent_answers.py
@@ -5,9 +5,10 @@
 from lagoonrun_core import types
 
 ANSWERED_SECONDS = 30.0
-"""Age up to which an answer shows that a request does not crash upstreams. Longer than
-a series of crashes, and shorter than operators wait for a reaction when a new version
-of an engine crashes on requests that the previous one could run."""
+"""Age up to which an answer shows that a request does not crash upstreams.
+Longer than a series of crashes, and shorter than operators wait for a reaction
+when a new version of an engine crashes on requests that the previous one could
+run."""
 
 _MAX_REMEMBERED = 2048
 """Requests that are stored, a hundred bytes each; the oldest are evicted."""
--- a/packages/router/src/lagoonrun_router/request_digest.py
+++ b/packages/router/src/lagoonrun_router/request_digest.py
@@ -6,8 +6,8 @@
 from lagoonrun_http import messages as http_messages
 
 _DIGEST_BYTES = 16
-"""Bytes of a digest: long enough that no two requests in the lifetime of a fleet
-collide by chance."""
+"""Bytes of a digest: long enough that no two requests in the lifetime of a
+fleet collide by chance."""
 
 
 def digest_of(
--- a/packages/router/src/lagoonrun_router/rest_news.py
+++ b/packages/router/src/lagoonrun_router/rest_news.py
@@ -23,7 +23,7 @@
     Parameters
     ----------
     entry_vm, domain
-        This entry VM.
+        This entry VM and its failure domain.
     rests
         Known rests of the upstreams.
     broadcaster
--- a/packages/router/src/lagoonrun_router/roster.py
+++ b/packages/router/src/lagoonrun_router/roster.py
@@ -37,7 +37,7 @@
         """Return the sizes of all members, including silent ones."""
 
     def heard_at(self, member: Member) -> float:
-        """Return when a member was last heard; minus infinity for never."""
+        """Return the last contact with a member; minus infinity without one."""
 
     def is_stopping(self, member: Member) -> bool:
         """Return whether a member has announced that it is about to stop."""
@@ -134,7 +134,7 @@
                 one, since, first=len(selected) < wanted_count
             )
             selected.append(one)
-        # Members further back get a new period to become heard when needed.
+        # Members further back get a new period to send a message when needed.
         self._selected_since = since_by_member
         return tuple(selected)
 
--- a/packages/router/src/lagoonrun_router/route_table.py
+++ b/packages/router/src/lagoonrun_router/route_table.py
@@ -11,7 +11,7 @@
 
 
 class RouteTable:
-    """Index of one revision of the declarations; each revision has its own table.
+    """Index of one revision of the declarations; each revision has its own.
 
     Parameters
     ----------
--- a/packages/router/src/lagoonrun_router/router.py
+++ b/packages/router/src/lagoonrun_router/router.py
@@ -46,8 +46,8 @@
 _ACCEPTING_SECONDS = 2.6
 """Time from the stop signal until no new connection is accepted.
 
-The load balancer checks readiness once a second and needs two failed checks; the
-rest allows for a late check."""
+The load balancer checks readiness once a second and needs two failed checks;
+the rest allows for a late check."""
 
 _STOP_MARGIN_SECONDS = 0.5
 """Time before the process is killed at which the last requests are aborted."""
@@ -70,11 +70,11 @@
     dialect
         Wire format of the requests and answers.
     clock, rng
-        Sources of time and of random numbers.
+        Sources of time and of randomness.
     store_calls_by_kind, unsent_store_calls_by_kind
         Counters of the store's client, for the metrics.
     eras
-        Restore epochs of the store; None if it is never restored from a backup.
+        Restore epochs (eras) of the store; None if it is never restored.
     listening
         Listening socket of the caller address; None to open one.
     duty_platform
@@ -395,7 +395,7 @@
     def apply_settings(
         self, changed: settings.RouterSettings
     ) -> frozenset[str]:
-        """Apply changed settings; return the names of those that need a restart.
+        """Apply settings; return the names of those that need a restart.
 
         A changed address of the store is applied by the store's client.
         """
@@ -437,7 +437,7 @@
         self._aggregate.forget_upstreams(known)
 
     async def _write_own_record(self) -> None:
-        """Write this entry VM's address to the store, retrying until it is there."""
+        """Write this entry VM's address to the store, retrying if needed."""
         key = self._layout.entry_vms_prefix + self._settings.entry_vm
         value = self._peer_table.record(
             self._settings.peer,
--- a/packages/router/src/lagoonrun_router/router_endpoints.py
+++ b/packages/router/src/lagoonrun_router/router_endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints of the router itself, for the platform, peers and operators."""
+"""HTTP endpoints of the router, for the platform, peers and operators."""
 
 import json
 from typing import Protocol
@@ -31,7 +31,7 @@
         """Return the blocks of all requests that must not be sent."""
 
     def lift(self, request: types.RequestDigest) -> bool:
-        """Unblock a request; return whether there was any evidence against it."""
+        """Unblock a request; return whether it had crash records."""
 
 
 class ReadinessEndpoint:
@@ -93,8 +93,8 @@
 class OperatorEndpoint:
     """Serves the metrics, and lists and unblocks blocked requests.
 
-    `GET /blocked-requests` lists them; `DELETE /blocked-requests/DIGEST` unblocks
-    one at all entry VMs. Any other call gets the metrics.
+    `GET /blocked-requests` lists them; `DELETE /blocked-requests/DIGEST`
+    unblocks one at all entry VMs. Any other call gets the metrics.
 
     Parameters
     ----------
--- a/packages/router/src/lagoonrun_router/running_requests.py
+++ b/packages/router/src/lagoonrun_router/running_requests.py
@@ -7,13 +7,13 @@
 from lagoonrun_router import upstreams
 
 SUSPECT_SECONDS = 1.0
-"""How long after its end a broken or abandoned run is still a suspect for a crash
-that is noticed only now: the time of a connection attempt, and of the report about
-it to other entry VMs."""
+"""How long after its end a broken or abandoned run is still a suspect for a
+crash that is noticed only now: the time of a connection attempt, and of the
+report about it to other entry VMs."""
 
 
 class RunEnd(enum.Enum):
-    """How the run of a request at an upstream ended, as seen by this entry VM."""
+    """How a run ended, as seen by this entry VM."""
 
     ANSWERED = "answered"
     """The caller has the complete answer."""
--- a/packages/router/src/lagoonrun_router/state_publisher.py
+++ b/packages/router/src/lagoonrun_router/state_publisher.py
@@ -1,4 +1,4 @@
-"""Composes the states that an entry VM sends, and says when they are due."""
+"""Compose the states that an entry VM sends, and decide when they are due."""
 
 import dataclasses
 import random
--- a/packages/router/src/lagoonrun_router/store_follower.py
+++ b/packages/router/src/lagoonrun_router/store_follower.py
@@ -1,12 +1,12 @@
 """Follow the platform's store: declarations, upstreams and entry VMs.
 
 One task watches all keys: a watch is a call that is paid for, and three would
-cost three times as much. It continues from the revision up to which the listener
-knows the store, from earlier watches or from peers. All keys are listed only if
-nothing is known, if the store has compacted the changes since, or if versions of
-a large value arrive faster than the link carries them. A single broken watch is
-not a failure of the store; only if another call fails as well does the store
-count as unreachable.
+cost three times as much. It continues from the revision up to which the
+listener knows the store, from earlier watches or from peers. All keys are
+listed only if nothing is known, if the store has compacted the changes since,
+or if versions of a large value arrive faster than the link carries them. A
+single broken watch is not a failure of the store; only if another call fails as
+well does the store count as unreachable.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 _MAX_PAUSE_SECONDS = 1.0
 """Longest pause between two retries while the store is unreachable.
 
-Upstreams whose entries expired register again within two seconds after the store
-is back; that it is back has to be noticed well before.
+Upstreams whose entries expired register again within two seconds after the
+store is back; that it is back has to be noticed well before.
 """
 
 _MAX_SPARE_PAUSE_SECONDS = 3.0
-"""The same for an entry VM to which peers will report that the store is back."""
+"""The same for an entry VM to which peers report that the store is back."""
 
 _SETTLE_SECONDS = 1.0
 """Time between the first listing and the first watch. When a fleet starts, each
@@ -38,18 +38,19 @@
 entry VMs of a large fleet learn meanwhile that they need not watch."""
 
 _BATCH_SECONDS = 0.1
-"""Time between a change and the next watch, so that changes that arrive together
-are read by one call. A tenth of the time that a change may take to reach all."""
+"""Time between a change and the next watch, so that changes that arrive
+together are read by one call. A tenth of the time that a change may take to
+reach all."""
 
 _RELIED_ON_WATCH_SECONDS = 1.0
-"""Longest wait of a watch that other entry VMs rely on. Both readers of a fleet may
-be cut off from the store without a reset just when something changes; this bounds
-the time until they notice, so that the change is active everywhere within three
-seconds. It costs two calls a second for the whole fleet."""
+"""Longest wait of a watch that other entry VMs rely on. Both readers of a fleet
+may be cut off from the store without a reset just when something changes; this
+bounds the time until they notice, so that the change is active everywhere
+within three seconds. It costs two calls a second for the whole fleet."""
 
 _CATCH_UP_WAIT_SECONDS = 0.05
-"""Longest wait of the first watch of a series. It shows that the store answers and
-what has changed, which other entry VMs wait to have reported."""
+"""Longest wait of the first watch of a series. It shows that the store answers
+and what has changed, which other entry VMs wait to have reported."""
 
 _MAX_SUPERSEDED_BYTES = 256 * 1024
 """Bytes of values in one response that later values of the same key replace. If
@@ -219,7 +220,7 @@
         return True
 
     async def _catch_up(self) -> None:
-        """Ask for the changes since the known revision until one call succeeds."""
+        """Request changes since the known revision until a call succeeds."""
         while True:
             end = await self._watch(
                 wait_seconds=_CATCH_UP_WAIT_SECONDS, max_answers=1
--- a/packages/router/src/lagoonrun_router/stream_relay.py
+++ b/packages/router/src/lagoonrun_router/stream_relay.py
@@ -158,7 +158,7 @@
         return self._exchange.write(events)
 
     def record_upstream_event(self) -> float | None:
-        """Record an event; return the seconds since this upstream's previous one."""
+        """Record an event; return the seconds since its upstream's last one."""
         now = self._clock.monotonic()
         previous_at, self._last_upstream_event_at = (
             self._last_upstream_event_at,
--- a/packages/router/src/lagoonrun_router/upstream_attempt.py
+++ b/packages/router/src/lagoonrun_router/upstream_attempt.py
@@ -29,9 +29,9 @@
 """
 
 _MAX_SILENCE_TARGETS = 3.0
-"""Silence, as a multiple of the class's target latency, after which an idempotent
-plain request is retried at another upstream. Three times the target is rare in
-normal operation and leaves time for the retry."""
+"""Silence, as a multiple of the class's target latency, after which an
+idempotent plain request is retried at another upstream. Three times the target
+is rare in normal operation and leaves time for the retry."""
 
 _LOWEST_ERROR_STATUS = 400
 
--- a/packages/router/src/lagoonrun_router/upstream_notices.py
+++ b/packages/router/src/lagoonrun_router/upstream_notices.py
@@ -1,7 +1,8 @@
 """Apply the statements of upstreams about themselves: limits, rests, shutdown.
 
-Connects the known rate limits, rests (back-offs that upstreams ask for) and shutdowns,
-their exchange with peers, and the decision which upstreams may get a request.
+Connects the known rate limits, rests (back-offs that upstreams ask for) and
+shutdowns, their exchange with peers, and the decision which upstreams may get a
+request.
 """
 
 import logging
@@ -50,7 +51,7 @@
     counters
         Counts the places that are asked for.
     clock, rng
-        Sources of time and of random numbers.
+        Sources of time and of randomness.
 
     Attributes
     ----------
@@ -154,7 +155,7 @@
         return True
 
     def tick(self, *, now: float) -> None:
-        """Resend limits that peers may have missed; called several times a second."""
+        """Resend limits that peers may have missed, several times a second."""
         self._limit_news.tick(now=now)
 
     def may_write(
--- a/packages/router/src/lagoonrun_router/upstream_rests.py
+++ b/packages/router/src/lagoonrun_router/upstream_rests.py
@@ -1,9 +1,9 @@
-"""Rests: back-offs that upstreams ask for with Retry-After when they refuse a request.
+"""Rests: back-offs that upstreams ask for by Retry-After in a refusal.
 
-A rest binds the entry VM whose request was refused. The others get a report of it and
-prefer upstreams without one, so that they need not be refused to learn of it. For them
-it is a preference only: a pool must not stop serving because each of its upstreams has
-refused one entry VM.
+A rest binds the entry VM whose request was refused. The others get a report of
+it and prefer upstreams without one, so that they need not be refused to learn
+of it. For them it is a preference only: a pool must not stop serving because
+each of its upstreams has refused one entry VM.
 """
 
 import dataclasses
@@ -14,15 +14,15 @@
 from lagoonrun_router import running_requests, upstream_notice
 
 MAX_REST_SECONDS = 600.0
-"""Longest rest that is respected: an upstream that asks for a day may have recovered
-long before."""
+"""Longest rest that is respected: an upstream that asks for a day may have
+recovered long before."""
 
 UNKNOWN_REST_SECONDS = 1.0
 """Rest of an upstream whose Retry-After can't be parsed."""
 
 _JITTER = 0.1
-"""Largest random extension of a rest, as a fraction of it, so that requests that wait
-for the end of many rests are not all sent at once."""
+"""Largest random extension of a rest, as a fraction of it, so that requests
+that wait for the end of many rests are not all sent at once."""
 
 _MAX_DELAY_SECONDS = 0.1
 """Longest delay of a message between entry VMs, with a busy processor at the
@@ -49,7 +49,7 @@
 
 
 class UpstreamRests:
-    """The end of each upstream's rest, as requested here and as reported by peers.
+    """The end of each upstream's rest, as requested here or reported by peers.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
         """Apply a rest that a peer reports; return whether it was unknown."""
         until = min(rest.until, now + MAX_REST_SECONDS)
         # Messages carry the remaining time without their own delay, so that
-        # the same rest appears to end later with each entry VM that forwards it.
+        # the same rest appears to end later each time it is forwarded.
         if (
             until
             <= self._reported_until.get(rest.instance, now) + _MAX_DELAY_SECONDS
