--- a/packages/router/tests/conftest.py
+++ b/packages/router/tests/conftest.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def upstream_of() -> AsyncIterator[Callable[..., Awaitable[Upstream]]]:
-    """Return a function that starts upstreams; they are closed after the test."""
+    """Return a function that starts upstreams, closed after the test."""
     started = []
 
     async def start(answer=answer_whole, id: str = "u-1") -> Upstream:
--- a/packages/router/tests/test_execution.py
+++ b/packages/router/tests/test_execution.py
@@ -373,7 +373,7 @@
 
 
 async def test_silent_stream_resumes_elsewhere(world):
-    """A runner hangs in the middle of a stream and keeps its connection open."""
+    """A runner hangs within a stream and keeps its connection open."""
 
     async def answer(exchange):
         after = int(exchange.head.headers.get("Resume-After") or 0)
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -42,7 +42,7 @@
 
 
 async def test_requests_wait_for_the_first_declarations(world_of):
-    """All entry VMs restart at once, and callers reconnect before they are ready.
+    """All entry VMs restart at once; callers reconnect before they are ready.
 
     The declarations are read some milliseconds later; a refusal would use up
     one of the callers' few retries.
@@ -103,7 +103,7 @@
 
 
 async def test_requests_wait_for_the_first_upstreams(world_of):
-    """All entry VMs restart, and a peer sends the declarations before the store.
+    """All entry VMs restart; a peer sends the declarations before the store.
 
     The upstreams are read some milliseconds later. Until then each request was
     refused, and lower tiers were not admitted for seconds because of it.
--- a/packages/router/tests/test_leaving_upstreams.py
+++ b/packages/router/tests/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams whose answers state that they are shutting down, over real sockets."""
+"""Upstreams whose answers state that they shut down, over real sockets."""
 
 import asyncio
 import itertools
@@ -9,7 +9,8 @@
 from lagoonrun_standins.router_world import wait_for
 
 DRAIN_SECONDS = 2.0
-"""Time after which a leaving upstream gets no new requests, as users are promised."""
+"""Time after which a leaving upstream gets no new requests, as users are
+promised."""
 
 _NUMBERS = itertools.count(1)
 
@@ -88,7 +89,7 @@
 
 
 async def test_last_leaving_upstream_gets_no_new_requests_either(world_of):
-    """Guards against a leaving upstream being used because there is no other."""
+    """Guards against using a leaving upstream because there is no other."""
     upstream = LeavingUpstream()
     world = await start_entry_vm(world_of, upstream)
     upstream.leaving = True
@@ -101,7 +102,7 @@
 
 
 async def test_older_entry_in_the_store_does_not_restore_it(world_of):
-    """Guards against an entry that is older than the upstream's own statement."""
+    """Guards against an entry older than the upstream's own statement."""
     upstream = LeavingUpstream()
     world = await start_entry_vm(world_of, upstream)
     upstream.leaving = True
--- a/packages/router/tests/test_pool_separation.py
+++ b/packages/router/tests/test_pool_separation.py
@@ -248,7 +248,7 @@
     ids=["names", "few", "many", "slow", "fast", "patient", "hasty"],
 )
 def test_separation_serves_other_deployments(deployment):
-    """Deployments with other names, sizes, rates and pauses than the default one.
+    """Deployments with other names, sizes, rates and pauses than the default.
 
     The separation must never make more streams late than loads alone do.
     """
--- a/packages/router/tests/test_reader_selection.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -1,8 +1,8 @@
 """Few entry VMs of a large fleet read the store, and no change is missed.
 
-Each call to the store is paid for. The calls for a change must not grow with the
-fleet, here 14 entry VMs, and one slow reader must not make all others read the
-store at once.
+Each call to the store is paid for. The calls for a change must not grow with
+the fleet, here 14 entry VMs, and one slow reader must not make all others read
+the store at once.
 """
 
 import asyncio
@@ -155,11 +155,11 @@
 
 
 def test_both_readers_are_cut_off_and_four_others_begin_at_once(vms, clock):
-    """Both readers lose the store without a reset when an operator revokes a key.
+    """Both readers lose the store without a reset as an operator revokes a key.
 
-    They notice after a second and a half. One or two of the next in order may be
-    cut off as well, and three seconds after the operator's change the key must
-    be refused everywhere: there is no time to try them one after the other.
+    They notice after a second and a half. One or two of the next in order may
+    be cut off as well, and three seconds after the operator's change the key
+    must be refused everywhere: there is no time to try them one after the other.
     """
     run_fleet(vms, clock, 2.0, following=vms[:2])
     for reporter in vms[:2]:
@@ -217,7 +217,7 @@
 
 @pytest.fixture
 def first(vms):
-    """Return the first reader of a failure domain that is third in the order."""
+    """Return the first reader of the failure domain third in the order."""
     vm = vms[0]
     names = vm.selection._reading_domains.order_of(
         dict.fromkeys(("north", *OTHER_DOMAINS), 1.0)
--- a/packages/router/tests/test_resting_upstreams.py
+++ b/packages/router/tests/test_resting_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that refuse requests and ask for a rest, a back-off, over real sockets."""
+"""Upstreams that refuse requests and ask for a rest (back-off), by real sockets."""
 
 import asyncio
 import itertools
@@ -50,7 +50,7 @@
         await exchange.respond(status=503, headers=headers, body=b"")
 
     def max_requests_in_rest(self):
-        """Return the largest number of requests within the rest of a refusal."""
+        """Return the maximum number of requests within a refusal's rest."""
         return max(
             sum(
                 at + REACTION_SECONDS < one < at + self.rest
@@ -97,7 +97,7 @@
 
 
 async def test_pool_whose_only_upstream_rests_refuses_at_once(world_of):
-    """Guards against a resting upstream being used because there is no other."""
+    """Guards against using a resting upstream because there is no other."""
     upstream = RestingUpstream()
     world = await start_entry_vm(world_of, upstream)
     answers = await ask_repeatedly(world, REST_SECONDS + REACTION_SECONDS)
@@ -161,7 +161,7 @@
 async def test_pool_that_has_refused_one_entry_vm_serves_the_others(
     world_of,
 ):
-    """Guards against a pool that serves nobody because one entry VM was refused."""
+    """Guards against a pool that serves nobody after one refused entry VM."""
     upstream = RestingUpstream()
     world = await start_entry_vm(world_of, upstream, name="vm-1")
     other = await world_of(name="vm-2")
--- a/packages/router/tests/test_running_requests.py
+++ b/packages/router/tests/test_running_requests.py
@@ -16,7 +16,7 @@
 
 
 def digests(running, now):
-    """Return the digests of the requests that ran at `INSTANCE` before `now`."""
+    """Return the digests of requests that ran at `INSTANCE` before `now`."""
     return {one.digest for one in running.suspects_at(INSTANCE, now=now)}
 
 
