--- a/packages/router/tests/test_reader_selection.py
+++ b/packages/router/tests/test_reader_selection.py
@@ -159,7 +159,8 @@
 
     They notice after a second and a half. One or two of the next in order may
     be cut off as well, and three seconds after the operator's change the key
-    must be refused everywhere: there is no time to try them one after the other.
+    must be refused everywhere: there is no time to try them one after the
+    other.
     """
     run_fleet(vms, clock, 2.0, following=vms[:2])
     for reporter in vms[:2]:
--- a/packages/router/tests/test_resting_upstreams.py
+++ b/packages/router/tests/test_resting_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that refuse requests and ask for a rest (back-off), by real sockets."""
+"""Upstreams that refuse requests and ask for a rest, over real sockets."""
 
 import asyncio
 import itertools
