--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,6 @@
-"""Tests that are known to fail are run, reported, and not fatal.
+"""Run tests that are known to fail, and report them without failing.
 
-`KNOWN-RED.txt` names them, one a line: the test, how it was seen, what was
+`KNOWN-RED.txt` lists them, one a line: the test, how it was seen, what was
 seen, the cause, the open issue.
 """
 
@@ -8,18 +8,18 @@
 
 import pytest
 
-_LIST = pathlib.Path(__file__).with_name("KNOWN-RED.txt")
+_KNOWN_RED_PATH = pathlib.Path(__file__).with_name("KNOWN-RED.txt")
 
 
-def _lines() -> list[str]:
-    if not _LIST.exists():
+def _known_red_lines() -> list[str]:
+    if not _KNOWN_RED_PATH.exists():
         return []
-    return _LIST.read_text(encoding="utf-8").splitlines()
+    return _KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark the tests of the list; all others stay as strict as they are."""
-    line_by_test = {line.split(" | ")[0]: line for line in _lines()}
+    """Mark the listed tests; all others stay as strict as they are."""
+    line_by_test = {line.split(" | ")[0]: line for line in _known_red_lines()}
     for item in items:
         line = line_by_test.get(item.nodeid)
         if line:
@@ -27,6 +27,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, whatever became of its tests this time."""
-    for line in _lines():
+    """Print the list, whatever the results of its tests."""
+    for line in _known_red_lines():
         terminalreporter.write_line(f"KNOWN RED: {line}")
--- a/tests/days/play.py
+++ b/tests/days/play.py
@@ -1,7 +1,7 @@
-"""Play a day of each kind of trouble and print a table of them.
+"""Play one day for each kind of fault and print a table of the results.
 
-Each kind comes alone, together with stops of entry VMs, during an outage of
-the platform's store, and twice. The users' bench plays the days:
+On each day a fault occurs alone, together with stops of entry VMs, during an
+outage of the platform's store, and twice. The users' bench plays the days:
 
     FLEETBENCH=path/of/the/bench python tests/days/play.py SITE [KIND ...]
 """
@@ -14,7 +14,7 @@
 import sys
 import tempfile
 
-TROUBLES = {
+FAULTS = {
     "answer_lost": 'share = 0.5, x = 0.1, how = "reset"',
     "big_config": "count = 350",
     "burst": "x = 2.0",
@@ -99,22 +99,22 @@
 _RESULT = re.compile(r"^(\S+) +\d+/\d+ +([\d.]+) +(-?[\d.]+) +([\d.]+)(.*)$")
 
 
-def entry(name: str, at: float) -> str:
-    """Return the line of one trouble at a time in seconds."""
+def fault_line(name: str, at: float) -> str:
+    """Return the line of one fault at a time in seconds."""
     kind = name.partition("-")[0]
-    words = TROUBLES[name]
-    if "for_s" not in words:
-        words += ", for_s = 5.0"
-    return f'  {{ at = {at}, kind = "{kind}", {words} }},\n'
+    options = FAULTS[name]
+    if "for_s" not in options:
+        options += ", for_s = 5.0"
+    return f'  {{ at = {at}, kind = "{kind}", {options} }},\n'
 
 
 def day(name: str) -> str:
-    """Return a day with one kind: alone, beside a stop, in an outage, twice."""
+    """Return a day of one fault: alone, beside a stop, in an outage, twice."""
     lines_by_list = {"plan": "", "faults": ""}
     kind = name.partition("-")[0]
     own = "plan" if {name, kind} & PLANNED else "faults"
     for at in (2.0, 12.0, 22.0, 30.0, 31.0):
-        lines_by_list[own] += entry(name, at)
+        lines_by_list[own] += fault_line(name, at)
     lines_by_list["plan"] += (
         '  { at = 11.5, kind = "roll_term", share = 0.4, gap_s = 1.0 },\n'
         '  { at = 31.5, kind = "config_change", how = "idle" },\n'
@@ -158,10 +158,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play the days of the named kinds, or of all."""
+    """Play the days of the given kinds, or of all."""
     bench, site = os.environ["FLEETBENCH"], arguments[0]
     folder = os.environ.get("DAYS_FOLDER") or tempfile.mkdtemp()
-    names = arguments[1:] or sorted(TROUBLES)
+    names = arguments[1:] or sorted(FAULTS)
     jobs = int(os.environ.get("JOBS", "4"))
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         rows = pool.map(lambda name: play(bench, site, name, folder), names)
